--- a/core/membership/doc.go
+++ b/core/membership/doc.go
@@ -1,3 +1,4 @@
-// Package membership decides which hosts are alive, from the platform's lagging
-// list and from probes between hosts, and which host owns which database group.
+// Package membership determines which hosts are alive, from the platform's host
+// list, which lags, and from probes between hosts. It also ranks hosts by which of
+// them owns a database group.
 package membership
--- a/core/membership/membership_test.go
+++ b/core/membership/membership_test.go
@@ -28,10 +28,10 @@
 		}
 	}
 	if moved > 0 {
-		t.Errorf("%d groups moved that the lost host did not own", moved)
+		t.Errorf("%d groups moved although the lost host did not own them", moved)
 	}
 	if owned < 80 || owned > 170 {
-		t.Errorf("one of 8 hosts owned %d of 1000 groups", owned)
+		t.Errorf("the lost host of 8 owned %d of 1000 groups, want about 125", owned)
 	}
 }
 
@@ -44,23 +44,23 @@
 			t.Fatalf("first three hosts share a zone: %v", r[:3])
 		}
 		if !r[8].Leaving {
-			t.Fatalf("the leaving host is not last: %v", r)
+			t.Fatalf("leaving host is not last: %v", r)
 		}
 	}
 }
 
-// Some host must probe every other one, however the hashes fall, or its death
-// would go unnoticed.
+// Every host must be a neighbour of some other host for any hash values, or its
+// death would not be detected.
 func TestEveryHostIsANeighbour(t *testing.T) {
 	for _, n := range []int{2, 3, 8, 50, 300} {
 		hosts := testHosts(n)
 		probed := map[string]int{}
 		for _, h := range hosts {
-			near := selectNeighbours(h, hosts)
-			if len(near) != min(n-1, ringSuccessors+randomNeighbours) {
-				t.Fatalf("%d hosts: %d neighbours", n, len(near))
+			neighbours := selectNeighbours(h, hosts)
+			if len(neighbours) != min(n-1, ringSuccessors+randomNeighbours) {
+				t.Fatalf("%d hosts: %d neighbours", n, len(neighbours))
 			}
-			for _, other := range near {
+			for _, other := range neighbours {
 				if other.ID == h.ID {
 					t.Fatalf("%s is its own neighbour", h.ID)
 				}
@@ -73,8 +73,8 @@
 	}
 }
 
-// A host is slow once. It is suspected, hears of that, and refutes: nobody must
-// take its groups.
+// A slow host is suspected, receives the suspicion and refutes it. Other hosts must not
+// take over its groups.
 func TestRefutationEndsSuspicion(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		slow := NewTable(Host{ID: "slow"}, DefaultTiming(), nil)
@@ -87,13 +87,14 @@
 		time.Sleep(DefaultTiming().SuspicionTimeout)
 		other.Tick(time.Now())
 		if _, live := other.Lookup("slow"); !live {
-			t.Error("a host that refuted is dead")
+			t.Error("the host is dead although it refuted the suspicion")
 		}
 	})
 }
 
-// A host is silent and never refutes. It counts until the suspicion has lasted,
-// then it is dead, and a late claim of its life does not bring it back.
+// A host that does not answer or refute is live until the suspicion times out, and then
+// dead. A delayed status or host list does not make it alive again, but a message from
+// the host itself does.
 func TestUnrefutedSuspicionMarksHostDead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		changes := 0
@@ -102,7 +103,7 @@
 		table.MarkSuspect("gone", time.Now())
 		table.Tick(time.Now())
 		if len(table.Live()) != 2 {
-			t.Fatal("a suspect host is not live")
+			t.Fatal("the suspect host is not live")
 		}
 		time.Sleep(DefaultTiming().SuspicionTimeout)
 		table.Tick(time.Now())
@@ -113,13 +114,13 @@
 		}
 		table.MarkAlive(Host{ID: "gone", Incarnation: 7}, time.Now())
 		if len(table.Live()) != 2 {
-			t.Error("a host that speaks for itself is dead")
+			t.Error("the host is dead although it sent a message")
 		}
 	})
 }
 
-// A host restarts under its old name. What was said of its earlier life must not
-// bury the new one.
+// A host restarts with its old ID and a higher incarnation. A status of the old
+// incarnation must not mark it dead.
 func TestRestartedHostOverridesOldStatus(t *testing.T) {
 	now := time.Now()
 	table := NewTable(Host{ID: "self"}, DefaultTiming(), nil)
@@ -128,7 +129,7 @@
 	table.MarkAlive(Host{ID: "b", Incarnation: 20}, now)
 	table.Merge([]Status{{Host: Host{ID: "b", Incarnation: 10}, State: Dead}}, now)
 	if _, live := table.Lookup("b"); !live {
-		t.Error("an old claim buried a restarted host")
+		t.Error("a status of the old incarnation marked the restarted host dead")
 	}
 }
 
@@ -139,11 +140,11 @@
 	for range ringSuccessors + randomNeighbours {
 		h, ok := table.NextProbe(func(int, func(i, j int)) {})
 		if !ok {
-			t.Fatal("nobody to probe")
+			t.Fatal("no host to probe")
 		}
 		probed[h.ID] = true
 	}
 	if len(probed) != ringSuccessors+randomNeighbours {
-		t.Errorf("a round probed %d hosts", len(probed))
+		t.Errorf("a round probed %d hosts, want all neighbours", len(probed))
 	}
 }
--- a/core/membership/rank.go
+++ b/core/membership/rank.go
@@ -7,14 +7,14 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Rank orders the hosts by their claim to own the group, first claim first.
-// Leaving hosts come after all others. It is rendezvous hashing: each host's
-// weight depends on the group and the host alone, so the loss of a host moves
-// only the groups that it owned.
+// Rank returns the hosts in the order in which they own the group: the first one
+// is the owner. Leaving hosts come after all others. Rank uses rendezvous hashing:
+// a host's weight depends only on the group and the host, so the loss of a host
+// moves only the groups that it owned.
 //
-// Hosts after the first are taken from availability zones not yet used while
-// there are any: they are asked as witnesses, and must not share the first one's
-// fate. The successor of a lost host is the first of the ranking without it.
+// The hosts after the first come from availability zones not used yet, as long as
+// there are any. They act as witnesses and must not fail together with the owner.
+// The successor of a lost host is the first one in the ranking without it.
 //
 // See Thaler and Ravishankar, "Using Name-Based Mappings to Increase Hit
 // Rates", IEEE/ACM Transactions on Networking 6(1), 1998.
@@ -36,6 +36,8 @@
 	return spreadZones(ranked)
 }
 
+// compareLeaving orders a leaving host after one that is not leaving. a is either of
+// them, compared with the other.
 func compareLeaving(a Host) int {
 	if a.Leaving {
 		return 1
@@ -43,6 +45,7 @@
 	return -1
 }
 
+// weight returns the rendezvous weight of a host for a group.
 func weight(group, host string) uint64 {
 	var d xxhash.Digest
 	d.Reset()
@@ -52,8 +55,8 @@
 	return d.Sum64()
 }
 
-// spreadZones moves the first host of each availability zone forward, keeping
-// the order otherwise. Leaving hosts stay last.
+// spreadZones moves the first host of each availability zone to the front and
+// otherwise keeps the order. Leaving hosts stay last.
 func spreadZones(ranked []Host) []Host {
 	seen := map[string]bool{}
 	first := make([]Host, 0, len(ranked))
--- a/core/membership/table.go
+++ b/core/membership/table.go
@@ -8,20 +8,22 @@
 	"time"
 )
 
-// Timing bounds how a host probes the others.
+// Timing holds the intervals of the failure detector.
 type Timing struct {
-	// ProbeInterval is the pause between two probes that a host sends.
+	// ProbeInterval is the time between two probes that a host sends.
 	ProbeInterval time.Duration
-	// ProbeTimeout is how long a probe may go unanswered.
+	// ProbeTimeout is how long a host waits for the answer to a probe.
 	ProbeTimeout time.Duration
-	// SuspicionTimeout is how long a suspect host has to refute.
+	// SuspicionTimeout is how long a suspect host may take to refute the suspicion
+	// before it counts as dead.
 	SuspicionTimeout time.Duration
-	// DeadRetention is how long a dead host is remembered, so that late claims do not
-	// bring it back.
+	// DeadRetention is how long a dead host is remembered, so that delayed statuses
+	// do not make it alive again.
 	DeadRetention time.Duration
 }
 
-// DefaultTiming returns the timing for hosts a few milliseconds apart.
+// DefaultTiming returns the timing for hosts with a few milliseconds of latency
+// between them.
 func DefaultTiming() Timing {
 	return Timing{
 		ProbeInterval:    500 * time.Millisecond,
@@ -31,9 +33,10 @@
 	}
 }
 
-// Table is one host's belief about all hosts. Hosts probe one another at random
-// and pass claims on with the probes, so the messages of a host do not grow with
-// the fleet. Suspicion before removal lets a slow host refute.
+// Table is the membership list of one host. Hosts probe their neighbours and
+// piggyback statuses on the probes, so the number of messages per host does not grow
+// with the fleet. A host is suspected before it counts as dead, so that a slow host
+// can refute the suspicion. A Table is safe for concurrent use.
 //
 // See Das, Gupta and Motivala, "SWIM: Scalable Weakly-consistent
 // Infection-style Process Group Membership Protocol", DSN 2002.
@@ -44,28 +47,29 @@
 	self             Host
 	entries          map[string]*entry
 	onChange         func()
-	probeOrder       []string // hosts still to be probed in this round
+	probeOrder       []string // IDs of the hosts still to be probed in this round
 	cachedLive       []Host   // cached result of Live, nil after a change
 	cachedNeighbours []Host   // cached result of Neighbours, nil after a change
 }
 
-// entry is what a table holds of a host.
+// entry is what a table knows about another host.
 type entry struct {
-	status     Status
-	stateSince time.Time // of the state
-	// transmissions is how often the claim was passed on.
+	status Status
+	// stateSince is when the state was recorded.
+	stateSince time.Time
+	// transmissions is how many times the status was sent to other hosts.
 	transmissions int
 	// listed is true while the platform lists the host.
 	listed bool
 }
 
-// NewTable returns a table that knows only its own host. changed, which may be
-// nil, is called without locks after the set of live hosts has changed.
-func NewTable(self Host, timing Timing, changed func()) *Table {
-	if changed == nil {
-		changed = func() {}
+// NewTable returns a table that knows only its own host, self. onChange, which may be
+// nil, is called without locks held after the set of live hosts has changed.
+func NewTable(self Host, timing Timing, onChange func()) *Table {
+	if onChange == nil {
+		onChange = func() {}
 	}
-	return &Table{timing: timing, self: self, entries: map[string]*entry{}, onChange: changed}
+	return &Table{timing: timing, self: self, entries: map[string]*entry{}, onChange: onChange}
 }
 
 // Self returns the table's own host.
@@ -75,7 +79,7 @@
 	return t.self
 }
 
-// Leave announces that the own host is leaving.
+// Leave marks the table's own host as leaving. Gossip announces it to other hosts.
 func (t *Table) Leave() {
 	t.mu.Lock()
 	t.self.Leaving = true
@@ -85,15 +89,16 @@
 	t.onChange()
 }
 
-// Live returns the hosts that are not dead, the own one among them, by
-// identifier. Suspect hosts count: what they own stays with them until the
-// suspicion is settled. The result must not be changed.
+// Live returns the hosts that are not dead, including the table's own host, sorted by
+// ID. Suspect hosts are included: they keep what they own until the suspicion is
+// refuted or confirmed. The result must not be changed.
 func (t *Table) Live() []Host {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.liveLocked()
 }
 
+// liveLocked is Live for callers that hold t.mu.
 func (t *Table) liveLocked() []Host {
 	if t.cachedLive == nil {
 		t.cachedLive = append(t.cachedLive, t.self)
@@ -107,7 +112,7 @@
 	return t.cachedLive
 }
 
-// Lookup returns a host that is not dead.
+// Lookup returns the host with the given ID, and whether it is known and not dead.
 func (t *Table) Lookup(id string) (Host, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -121,7 +126,7 @@
 	return e.status.Host, true
 }
 
-// Statuses returns what is believed of all other hosts.
+// Statuses returns the statuses of all other hosts, sorted by ID.
 func (t *Table) Statuses() []Status {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -133,9 +138,8 @@
 	return out
 }
 
-// MergeHostList takes in the platform's list, which lags. It brings in hosts not heard of
-// yet and marks leaving ones, but it never revives a host that probes found
-// dead.
+// MergeHostList merges the platform's host list, which lags. It adds unknown hosts and
+// marks leaving ones, but it never makes a host alive that probes found dead.
 func (t *Table) MergeHostList(list []Host, now time.Time) {
 	t.mu.Lock()
 	before := t.fingerprint()
@@ -150,6 +154,7 @@
 	t.unlockAndNotify(before)
 }
 
+// mergeListed merges a host of the platform's list. t.mu is held.
 func (t *Table) mergeListed(h Host, now time.Time) {
 	if h.ID == t.self.ID {
 		t.self.Leaving = t.self.Leaving || h.Leaving
@@ -157,67 +162,70 @@
 	}
 	e := t.entries[h.ID]
 	if e == nil {
-		// Everybody is told by the platform, so it need not be passed on.
+		// All hosts read the platform's list, so the status is not gossiped.
 		t.entries[h.ID] = &entry{status: Status{Host: h}, stateSince: now, transmissions: transmissionsDone}
 		return
 	}
 	e.status.Host.Leaving = e.status.Host.Leaving || h.Leaving
 }
 
-// Merge takes in claims that another host passed on.
-func (t *Table) Merge(claims []Status, now time.Time) {
+// Merge merges statuses received from another host. If one of them says that the table's
+// own host is suspect or dead, the host refutes it with a higher incarnation.
+func (t *Table) Merge(statuses []Status, now time.Time) {
 	t.mu.Lock()
 	before := t.fingerprint()
-	for _, c := range claims {
-		t.mergeStatus(c, now)
+	for _, s := range statuses {
+		t.mergeStatus(s, now)
 	}
 	t.unlockAndNotify(before)
 }
 
-func (t *Table) mergeStatus(c Status, now time.Time) {
-	if c.Host.ID == t.self.ID {
-		if c.State != Alive && c.Host.Incarnation >= t.self.Incarnation {
-			// Refute: only the host itself raises its incarnation.
-			t.self.Incarnation = c.Host.Incarnation + 1
+// mergeStatus merges a status received from another host. t.mu is held.
+func (t *Table) mergeStatus(s Status, now time.Time) {
+	if s.Host.ID == t.self.ID {
+		if s.State != Alive && s.Host.Incarnation >= t.self.Incarnation {
+			// Refute the status. Only the host itself increases its incarnation.
+			t.self.Incarnation = s.Host.Incarnation + 1
 		}
 		return
 	}
-	e := t.entries[c.Host.ID]
+	e := t.entries[s.Host.ID]
 	if e == nil {
-		if c.State != Dead {
-			t.entries[c.Host.ID] = &entry{status: c, stateSince: now}
+		if s.State != Dead {
+			t.entries[s.Host.ID] = &entry{status: s, stateSince: now}
 		}
 		return
 	}
-	if !c.overrides(e.status) {
+	if !s.overrides(e.status) {
 		return
 	}
-	next := entry{status: c, stateSince: now, listed: e.listed}
-	if c.State == e.status.State && c.Host.Leaving == e.status.Host.Leaving {
-		next.transmissions = e.transmissions // only the incarnation is new
+	next := entry{status: s, stateSince: now, listed: e.listed}
+	if s.State == e.status.State && s.Host.Leaving == e.status.Host.Leaving {
+		next.transmissions = e.transmissions // only the incarnation changed
 	}
 	*e = next
 }
 
-// RecordReply records that the host answered.
+// RecordReply records that the host answered a probe. It ends a suspicion of the host.
 func (t *Table) RecordReply(id string, now time.Time) {
 	t.mu.Lock()
 	before := t.fingerprint()
 	if e := t.entries[id]; e != nil && e.status.State == Suspect {
-		// The host's own answer is better evidence than a claim. Others learn it
-		// when the host refutes.
+		// A direct answer outweighs a gossiped status. Other hosts learn of it when the
+		// host refutes the suspicion.
 		e.status.State, e.stateSince = Alive, now
 	}
 	t.unlockAndNotify(before)
 }
 
-// MarkSuspect records that the host did not answer.
+// MarkSuspect records that the host did not answer a probe.
 func (t *Table) MarkSuspect(id string, now time.Time) { t.escalate(id, Suspect, now) }
 
-// MarkDead records certain knowledge that the host's process is gone, such as a
+// MarkDead records that the host's process is known to be gone, for example after a
 // refused connection.
 func (t *Table) MarkDead(id string, now time.Time) { t.escalate(id, Dead, now) }
 
+// escalate sets the state of a host if it is more severe than the current one.
 func (t *Table) escalate(id string, state State, now time.Time) {
 	t.mu.Lock()
 	before := t.fingerprint()
@@ -227,8 +235,8 @@
 	t.unlockAndNotify(before)
 }
 
-// Tick turns suspicions that were not refuted in time into deaths, and forgets
-// old deaths.
+// Tick marks hosts dead whose suspicion was not refuted within the suspicion timeout,
+// and removes hosts that are dead for the retention time and no longer listed.
 func (t *Table) Tick(now time.Time) {
 	t.mu.Lock()
 	before := t.fingerprint()
@@ -244,23 +252,24 @@
 	t.unlockAndNotify(before)
 }
 
-// Numbers of neighbours. Each host is the successor of someone, so that none
-// goes unprobed; the others make the graph of probes a random one, over which
-// claims reach every host in a number of steps that grows with the logarithm of
+// Numbers of neighbours. Every host is a ring successor of some host, so that every
+// host is probed. The random neighbours make the probes form a random graph, in which
+// a status reaches every host in a number of steps that is logarithmic in the size of
 // the fleet.
 const (
 	ringSuccessors   = 2
 	randomNeighbours = 6
 )
 
-// Neighbours returns the live hosts that this one probes and keeps connections
-// to. Their number does not grow with the fleet. The result must not be changed.
+// Neighbours returns the live hosts that this host probes and keeps connections to.
+// Their number does not grow with the fleet. The result must not be changed.
 func (t *Table) Neighbours() []Host {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.neighboursLocked()
 }
 
+// neighboursLocked is Neighbours for callers that hold t.mu.
 func (t *Table) neighboursLocked() []Host {
 	if t.cachedNeighbours == nil {
 		t.cachedNeighbours = selectNeighbours(t.self, t.liveLocked())
@@ -268,30 +277,32 @@
 	return t.cachedNeighbours
 }
 
-// selectNeighbours returns the neighbours of self among the live hosts.
+// selectNeighbours returns the neighbours of self among the live hosts: the next hosts
+// on the ring of all hosts ordered by hash, and the hosts with the highest weights for
+// self.
 func selectNeighbours(self Host, live []Host) []Host {
-	ring := slices.Clone(live)
-	slices.SortFunc(ring, func(a, b Host) int { return cmp.Compare(weight("", a.ID), weight("", b.ID)) })
-	at := slices.IndexFunc(ring, func(h Host) bool { return h.ID == self.ID })
-	near := []Host{}
-	for i := 1; i <= ringSuccessors && i < len(ring); i++ {
-		near = append(near, ring[(at+i)%len(ring)])
-	}
-	slices.SortFunc(ring, func(a, b Host) int { return cmp.Compare(weight(self.ID, b.ID), weight(self.ID, a.ID)) })
-	for _, h := range ring {
-		if len(near) == ringSuccessors+randomNeighbours {
+	hosts := slices.Clone(live)
+	slices.SortFunc(hosts, func(a, b Host) int { return cmp.Compare(weight("", a.ID), weight("", b.ID)) })
+	position := slices.IndexFunc(hosts, func(h Host) bool { return h.ID == self.ID })
+	neighbours := []Host{}
+	for i := 1; i <= ringSuccessors && i < len(hosts); i++ {
+		neighbours = append(neighbours, hosts[(position+i)%len(hosts)])
+	}
+	slices.SortFunc(hosts, func(a, b Host) int { return cmp.Compare(weight(self.ID, b.ID), weight(self.ID, a.ID)) })
+	for _, h := range hosts {
+		if len(neighbours) == ringSuccessors+randomNeighbours {
 			break
 		}
-		if h.ID != self.ID && !slices.ContainsFunc(near, func(n Host) bool { return n.ID == h.ID }) {
-			near = append(near, h)
+		if h.ID != self.ID && !slices.ContainsFunc(neighbours, func(n Host) bool { return n.ID == h.ID }) {
+			neighbours = append(neighbours, h)
 		}
 	}
-	return near
+	return neighbours
 }
 
-// NextProbe returns the host to probe next: each neighbour once a round, in an order
-// that shuffle draws anew for each round, and one dead host that the platform
-// still lists, so that the two sides of a healed partition meet again.
+// NextProbe returns the host to probe next, or false if there is none. Each round covers
+// every neighbour once, in an order drawn by shuffle for that round, and one dead host that
+// the platform still lists, so that the two sides of a healed partition detect each other.
 func (t *Table) NextProbe(shuffle func(n int, swap func(i, j int))) (Host, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -308,60 +319,62 @@
 	return Host{}, false
 }
 
-// startProbeRound starts a round of probes. t.mu is held.
+// startProbeRound fills probeOrder for a new round. t.mu is held.
 func (t *Table) startProbeRound(shuffle func(n int, swap func(i, j int))) {
 	for _, h := range t.neighboursLocked() {
 		t.probeOrder = append(t.probeOrder, h.ID)
 	}
-	var lost []string
+	var dead []string
 	for id, e := range t.entries {
 		if e.status.State == Dead && e.listed {
-			lost = append(lost, id)
+			dead = append(dead, id)
 		}
 	}
-	slices.Sort(lost)
+	slices.Sort(dead)
 	swap := func(list []string) func(i, j int) {
 		return func(i, j int) { list[i], list[j] = list[j], list[i] }
 	}
-	shuffle(len(lost), swap(lost))
-	t.probeOrder = append(t.probeOrder, lost[:min(1, len(lost))]...)
+	shuffle(len(dead), swap(dead))
+	t.probeOrder = append(t.probeOrder, dead[:min(1, len(dead))]...)
 	shuffle(len(t.probeOrder), swap(t.probeOrder))
 }
 
-// transmissionsDone marks a claim that needs no spreading.
+// transmissionsDone is a number of transmissions above any limit: the status is not
+// gossiped.
 const transmissionsDone = 1 << 30
 
-// maxGossipStatuses bounds the claims in one message.
+// maxGossipStatuses bounds the statuses in one message.
 const maxGossipStatuses = 128
 
-// Gossip returns the claims to send with the next message: the own host's and
-// those passed on least often, each a number of times that grows with the
-// logarithm of the fleet.
+// Gossip returns the statuses to send with the next message: that of the table's own host
+// and those sent least often. Each status is sent a number of times that is logarithmic in
+// the size of the fleet.
 func (t *Table) Gossip() []Status {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	limit := 3 * bits.Len(uint(len(t.entries)+1))
-	var fresh []*entry
+	var pending []*entry
 	for _, e := range t.entries {
 		if e.transmissions < limit {
-			fresh = append(fresh, e)
+			pending = append(pending, e)
 		}
 	}
-	slices.SortFunc(fresh, func(a, b *entry) int {
+	slices.SortFunc(pending, func(a, b *entry) int {
 		if a.transmissions != b.transmissions {
 			return a.transmissions - b.transmissions
 		}
 		return compareHosts(a.status.Host, b.status.Host)
 	})
 	out := []Status{{Host: t.self}}
-	for _, e := range fresh[:min(len(fresh), maxGossipStatuses-1)] {
+	for _, e := range pending[:min(len(pending), maxGossipStatuses-1)] {
 		e.transmissions++
 		out = append(out, e.status)
 	}
 	return out
 }
 
-// MarkAlive records a message from a host itself: it is alive whatever was claimed.
+// MarkAlive records a message received from the host itself: it is alive, whatever its
+// status was.
 func (t *Table) MarkAlive(h Host, now time.Time) {
 	t.mu.Lock()
 	before := t.fingerprint()
@@ -378,7 +391,8 @@
 	t.unlockAndNotify(before)
 }
 
-// fingerprint identifies the set of live hosts as far as ranks depend on it.
+// fingerprint returns a hash of the IDs of the live hosts other than the table's own, and
+// whether they are leaving, on which rankings depend. t.mu is held.
 func (t *Table) fingerprint() uint64 {
 	var sum uint64
 	for id, e := range t.entries {
@@ -396,15 +410,15 @@
 	return ""
 }
 
-// unlockAndNotify unlocks the table and calls changed if the live hosts differ from
-// before.
+// unlockAndNotify unlocks t.mu and calls onChange if the fingerprint differs from before.
+// The caches of live hosts and neighbours are cleared first.
 func (t *Table) unlockAndNotify(before uint64) {
-	different := t.fingerprint() != before
-	if different {
+	changed := t.fingerprint() != before
+	if changed {
 		t.cachedLive, t.cachedNeighbours = nil, nil
 	}
 	t.mu.Unlock()
-	if different {
+	if changed {
 		t.onChange()
 	}
 }
