--- a/core/kv/doc.go
+++ b/core/kv/doc.go
@@ -1,14 +1,16 @@
-// Package kv says what a host may believe of a key-value store that keeps what it has acknowledged, but for one
-// case: the store may come back from an older copy.
+// Package kv holds a host's view of a key-value store. The store keeps what it has
+// acknowledged, except that it may be restored from an older backup.
 //
-// The changes made since the copy are gone then, with their leases, and their revisions are given out again for
-// other changes. The same number may stand for two contents, and a smaller one may be the later. So a Revision
-// counts in an epoch, which rises each time the store comes back; revisions of all epochs are in one
-// order. A View of the store never returns to an earlier epoch, whoever tells of it, and takes over nothing but a
-// whole list of a later one.
+// A restore loses the changes made since the backup, with their leases, and the store assigns
+// their revision numbers again to other changes. So a number may identify two different changes,
+// and a smaller number may belong to the later one. A Revision therefore includes an epoch, which
+// increases with each restore, and the revisions of all epochs are totally ordered. A View never
+// returns to an earlier epoch, whatever its source, and enters a later one only with a full
+// update.
 //
-// What a value says of its own age outlasts the copy: a document with a version, or an entry that its writer
-// counts. A View keeps the one that is known until the store shows one that is not older.
+// Some values carry their own version: a document with a version number, or an entry whose writer
+// counts its writes. Such a version survives a restore. A View keeps the known value until the
+// store holds one that is not older.
 //
-// The package does no I/O and knows no clock.
+// The package does no I/O and does not read the time.
 package kv
--- a/core/kv/history.go
+++ b/core/kv/history.go
@@ -5,37 +5,37 @@
 	"slices"
 )
 
-// history keeps a store's newest changes. The zero value is ready for use.
+// history keeps the newest changes of a store. The zero value is ready for use.
 type history struct {
-	// changes are in order of their revisions.
+	// changes are in order of revision.
 	changes []Item
-	// start is the revision after which items holds all changes.
+	// start is the revision after which changes is complete.
 	start Revision
 }
 
-// minKeptChanges changes are kept at least: more than a restart of all hosts makes at the
-// users' sites. A host that lacks more is sent everything.
+// minKeptChanges is the minimum number of changes kept: more than a restart of all hosts
+// causes at the users' sites. A host that lacks more receives a full update.
 const minKeptChanges = 512
 
-func (c *history) add(i Item) {
-	c.changes = append(c.changes, i)
-	if n := len(c.changes); n > 1 && i.Revision < c.changes[n-2].Revision {
-		slices.SortStableFunc(c.changes, compareRevisions)
+func (h *history) add(i Item) {
+	h.changes = append(h.changes, i)
+	if n := len(h.changes); n > 1 && i.Revision < h.changes[n-2].Revision {
+		slices.SortStableFunc(h.changes, compareRevisions)
 	}
-	if len(c.changes) < 2*minKeptChanges {
+	if len(h.changes) < 2*minKeptChanges {
 		return
 	}
-	c.start = max(c.start, c.changes[minKeptChanges-1].Revision)
-	c.changes = slices.Clone(c.changes[minKeptChanges:])
+	h.start = max(h.start, h.changes[minKeptChanges-1].Revision)
+	h.changes = slices.Clone(h.changes[minKeptChanges:])
 }
 
-// since returns the changes after the revision, or false if they are no longer kept.
-func (c *history) since(after Revision) ([]Item, bool) {
-	if after < c.start {
+// since returns the changes after the revision, or false if not all of them are kept.
+func (h *history) since(after Revision) ([]Item, bool) {
+	if after < h.start {
 		return nil, false
 	}
-	first, _ := slices.BinarySearchFunc(c.changes, after+1, func(i Item, revision Revision) int {
+	first, _ := slices.BinarySearchFunc(h.changes, after+1, func(i Item, revision Revision) int {
 		return cmp.Compare(i.Revision, revision)
 	})
-	return slices.Clone(c.changes[first:]), true
+	return slices.Clone(h.changes[first:]), true
 }
--- a/core/kv/item.go
+++ b/core/kv/item.go
@@ -2,29 +2,29 @@
 
 import "cmp"
 
-// Item is a key of the store, or the removal of one.
+// Item is the state of a key of the store, or its removal.
 type Item struct {
 	Key   string
 	Value []byte
-	// Revision is that of the last change.
+	// Revision is the revision of the last change.
 	Revision Revision
-	// Created is the number of the revision at which the key came to be: another one means that it was removed in
-	// between. It is zero where that is not known. A copy of the store keeps it, so it has no epoch.
+	// Created is the number of the revision at which the key was created. A different number means that the key was
+	// removed and created again. It is zero if it is not known. It has no epoch, since a restore keeps it.
 	Created int64
-	// Removed is true for an event that deletes the key.
+	// Removed is true if the item is the removal of the key.
 	Removed bool
 }
 
-// Snapshot is a set of items that was read at a revision.
+// Snapshot is a set of items read at a revision.
 type Snapshot struct {
 	Items    []Item
 	Revision Revision
 }
 
-// Update is what a source tells of the store.
+// Update is what a source sends about the store: either all items or changes.
 type Update struct {
 	Snapshot
-	// Full is true when the items are all there are. Otherwise they are changes.
+	// Full is true if Items holds all items of the store. Otherwise it holds changes.
 	Full bool
 }
 
--- a/core/kv/page.go
+++ b/core/kv/page.go
@@ -2,25 +2,26 @@
 
 import "github.com/pkg/errors"
 
-// Range names keys of a store, in the order of the keys.
+// Range selects keys of a store. They are returned in key order.
 type Range struct {
-	// Prefix is what the keys start with.
+	// Prefix is the common prefix of the keys.
 	Prefix string
-	// After is the key before the first one, or empty.
+	// After excludes all keys up to and including this one, unless it is empty.
 	After string
-	// AllowStale is true if the answer may be some seconds old.
+	// AllowStale is true if the result may be some seconds old.
 	AllowStale bool
 }
 
-// Page is the beginning of a range.
+// Page holds the first items of a range.
 type Page struct {
 	Snapshot
-	// More is true if there are further keys.
+	// More is true if the range has further keys.
 	More bool
 }
 
-// ListBuilder puts a list together from its pages. These are no snapshot, so that the list holds as of the first one: a watch
-// from there tells what has changed since. Use it for one list.
+// ListBuilder builds a list from its pages. The pages are read at different times and are not a consistent snapshot, so the
+// list has the revision of the first page. A watch from that revision returns what changed since. The zero value is ready
+// for use, for one list.
 type ListBuilder struct {
 	Snapshot
 	started  bool
@@ -28,16 +29,16 @@
 	after    string
 }
 
-// ErrEpochChanged means that the store came back from an older copy between two pages of a list.
-var ErrEpochChanged = errors.New("the pages of the list are of different copies of the store")
+// ErrEpochChanged means that the store was restored from a backup between two pages of a list.
+var ErrEpochChanged = errors.New("the store was restored between two pages of the list")
 
-// Next returns the key after which the next page begins, or false once the list is complete.
+// Next returns the key after which the next page begins. more is false once the list is complete.
 func (l *ListBuilder) Next() (after string, more bool) { return l.after, !l.complete }
 
-// Started reports whether any page was added.
+// Started reports whether a page was added.
 func (l *ListBuilder) Started() bool { return l.started }
 
-// Add takes over the next page, or returns ErrTorn.
+// Add appends the next page. It returns ErrEpochChanged if the page has another epoch than the first one.
 func (l *ListBuilder) Add(p Page) error {
 	if !l.started {
 		l.started, l.Revision = true, p.Revision
--- a/core/kv/revision.go
+++ b/core/kv/revision.go
@@ -2,35 +2,36 @@
 
 import "fmt"
 
-// Epoch is how often a store has come back from an older copy. The first one is zero.
+// Epoch is how many times a store was restored from an older backup. The first epoch is zero.
 type Epoch int64
 
-// Revision is the number of a change of a store, with the epoch in which the store gave it out. Revisions are in the
-// order of the changes, over all epochs; those of the first epoch equal the store's own numbers. Zero is before
-// all changes.
+// Revision is the number of a change of a store, combined with the epoch in which the store assigned it. Revisions are
+// ordered like the changes, across all epochs. Those of the first epoch equal the store's own numbers. Zero is before all
+// changes.
 //
-// A revision at which a key was written by a holder serves as the holder's fencing token: it is given out once, and
-// exceeds all earlier ones.
+// The revision at which a holder wrote its key is the holder's fencing token, since it is unique and exceeds all earlier
+// revisions.
 type Revision int64
 
-// EpochBits is how many bits an epoch has at most.
+// EpochBits is the maximum number of bits of an epoch.
 const EpochBits = 63 - numberBits
 
-// numberBits is how many of a revision's bits hold the store's number: at 1,200 changes a second they last for 29 years.
+// numberBits is the number of bits of a revision that hold the store's number. At 1,200 changes a second they last for 29
+// years.
 const numberBits = 40
 
-// NewRevision returns the revision of a number that a store gave out in an epoch.
+// NewRevision returns the revision for a number that the store assigned in an epoch.
 func NewRevision(e Epoch, number int64) Revision { return Revision(int64(e)<<numberBits | number) }
 
-// Epoch returns the epoch in which the store gave the revision out.
+// Epoch returns the epoch in which the store assigned the revision.
 func (r Revision) Epoch() Epoch { return Epoch(r >> numberBits) }
 
-// Number returns the store's own number of the change, which it may give out again in a later epoch.
+// Number returns the store's own number of the change. The store may assign it again in a later epoch.
 func (r Revision) Number() int64 { return int64(r) & (1<<numberBits - 1) }
 
 var _ fmt.Stringer = Revision(0)
 
-// String implements fmt.Stringer. A revision of the first epoch reads as its number, others as epoch and number.
+// String implements fmt.Stringer. It returns the number for a revision of the first epoch and "epoch.number" for others.
 func (r Revision) String() string {
 	if r.Epoch() == 0 {
 		return fmt.Sprint(r.Number())
--- a/core/kv/transaction.go
+++ b/core/kv/transaction.go
@@ -1,37 +1,37 @@
 package kv
 
-// Transaction is a set of changes that a store carries out together, or not at all.
+// Transaction is a set of changes that a store applies atomically if all preconditions hold.
 type Transaction struct {
-	// Preconditions names the revisions that keys must have, by their numbers.
+	// Preconditions are compared by the numbers of their revisions, without the epochs.
 	Preconditions []Precondition
 	Writes        []Write
 	Deletes       []string
 }
 
-// Precondition is the revision that a key must have. Zero means that it does not exist.
+// Precondition is the revision that a key must have. Zero means that the key must not exist.
 type Precondition struct {
 	Key      string
 	Revision Revision
 }
 
-// Write gives a key a value, which goes with its lease (0: stays).
+// Write sets the value of a key. The store removes the key when its lease ends; a lease of 0 means that the key has none.
 type Write struct {
 	Key   string
 	Value []byte
 	Lease int64
 }
 
-// Replace writes a key if the number of its revision is still that of the given one.
+// Replace returns a transaction that writes a key if its revision still has the number of the given one.
 func Replace(key string, revision Revision, value []byte, lease int64) Transaction {
 	return Transaction{Preconditions: []Precondition{{key, revision}}, Writes: []Write{{key, value, lease}}}
 }
 
-// Remove removes a key if the number of its revision is still that of the given one.
+// Remove returns a transaction that removes a key if its revision still has the number of the given one.
 func Remove(key string, revision Revision) Transaction {
 	return Transaction{Preconditions: []Precondition{{key, revision}}, Deletes: []string{key}}
 }
 
-// Merge returns both transactions as one.
+// Merge returns a transaction with the preconditions and changes of both. It modifies neither.
 func (t Transaction) Merge(o Transaction) Transaction {
 	return Transaction{
 		Preconditions: append(t.Preconditions[:len(t.Preconditions):len(t.Preconditions)], o.Preconditions...),
--- a/core/kv/view.go
+++ b/core/kv/view.go
@@ -10,18 +10,18 @@
 
 // Errors of a View.
 var (
-	// ErrStale means that a source knows less than the view.
+	// ErrStale means that an update is older than the view.
 	ErrStale = errors.New("the source is behind")
-	// ErrGap means that changes do not follow on what the view holds, since they are of a later epoch, or it
-	// holds nothing yet: a whole list is needed.
-	ErrGap = errors.New("the changes do not follow on what is known")
+	// ErrGap means that changes can't be applied because earlier changes are missing: the changes are of a later
+	// epoch, or the view is empty. A full update is needed.
+	ErrGap = errors.New("the changes are not contiguous with the known revision")
 )
 
-// NewerFunc reports whether the first value of a key is of a later state than the second, by what the values themselves
-// say. It returns false where they don't tell.
+// NewerFunc reports whether the first value of a key is newer than the second, according to the versions that the values
+// themselves carry. It returns false if they carry none.
 type NewerFunc func(key string, first, second []byte) bool
 
-// View is what is known of a store. Use NewView. It is not safe for concurrent use.
+// View is the known state of a store. Use NewView to create one. It is not safe for concurrent use.
 type View struct {
 	newer      NewerFunc
 	items      map[string]Item
@@ -30,75 +30,76 @@
 	tombstones tombstones
 }
 
-// NewView returns a view that knows nothing.
-func NewView(later NewerFunc) *View { return &View{newer: later, items: map[string]Item{}} }
+// NewView returns an empty view. newer may be nil if no values carry versions.
+func NewView(newer NewerFunc) *View { return &View{newer: newer, items: map[string]Item{}} }
 
-// ApplyResult is what news changed in a view.
+// ApplyResult describes what an update changed in a view.
 type ApplyResult struct {
-	// Changed holds the changes of keys, in their order.
+	// Changed holds the changed items, in order of revision.
 	Changed []Item
-	// Rejected holds the items that were not taken though their value is another than the one known.
+	// Rejected holds the items that were not applied although their values differ from the known ones.
 	Rejected []Conflict
-	// Restored is true if the news are of a later epoch than what was known, and Former what was known of the keys
-	// then that were changed or are gone.
+	// Restored is true if the update is of a later epoch than the view was. Replaced then holds the previous items of
+	// the keys that were changed or removed by the restore.
 	Restored bool
 	Replaced []Item
-	// PreviousRevision is the revision of the view before.
+	// PreviousRevision is the revision of the view before the update.
 	PreviousRevision Revision
 }
 
-// Conflict is an item that was not taken, and the one that was known.
+// Conflict is an item that was not applied, with the known item that was kept.
 type Conflict struct{ Received, Known Item }
 
-// Apply takes over news. It returns ErrBehind or ErrPartial, and changes nothing, if these are not to be had from them.
-func (v *View) Apply(n Update) (ApplyResult, error) {
+// Apply applies an update. It returns ErrStale or ErrGap, and changes nothing, if the update is older than the view or does
+// not continue it.
+func (v *View) Apply(u Update) (ApplyResult, error) {
 	out := ApplyResult{PreviousRevision: v.revision}
-	// A store that came back counts from a smaller number. Hosts that took its lists for old ones, or its items for
-	// older than those known, served dropped routes until its number had passed the old one.
-	switch known, told := v.revision.Epoch(), n.Revision.Epoch(); {
-	case told < known || n.Full && n.Revision < v.revision:
-		return ApplyResult{}, errors.Wrapf(ErrStale, "revision %v, and %v is known", n.Revision, v.revision)
-	case !n.Full && (told > known || v.revision == 0):
-		return ApplyResult{}, errors.Wrapf(ErrGap, "revision %v, and %v is known", n.Revision, v.revision)
+	// A restored store counts from a smaller number. When hosts rejected its lists as outdated, or its items as older than
+	// the known ones, they served removed routes until its number had passed the old one.
+	switch known, received := v.revision.Epoch(), u.Revision.Epoch(); {
+	case received < known || u.Full && u.Revision < v.revision:
+		return ApplyResult{}, errors.Wrapf(ErrStale, "revision %v, and %v is known", u.Revision, v.revision)
+	case !u.Full && (received > known || v.revision == 0):
+		return ApplyResult{}, errors.Wrapf(ErrGap, "revision %v, and %v is known", u.Revision, v.revision)
 	default:
-		out.Restored = told > known && v.revision != 0
+		out.Restored = received > known && v.revision != 0
 	}
-	if n.Full {
-		// Whoever knows less than this list needs all of it: a key that came and went before it is in no list, and
-		// whoever saw it come would believe in it for ever.
-		v.history, v.tombstones = history{start: n.Revision}, tombstones{start: n.Revision}
+	if u.Full {
+		// A host that has an older revision than this list needs all of it. A key that was created and removed before
+		// the list is not in it, and a host that has seen only its creation would keep the key forever.
+		v.history, v.tombstones = history{start: u.Revision}, tombstones{start: u.Revision}
 	}
-	items := slices.Clone(n.Items)
-	if n.Full {
-		items = append(items, v.missingKeys(n)...)
+	items := slices.Clone(u.Items)
+	if u.Full {
+		items = append(items, v.missingKeys(u)...)
 	}
 	slices.SortStableFunc(items, compareRevisions)
 	for _, i := range items {
-		if _, known := v.items[i.Key]; !known && !n.Full && i.Revision <= out.PreviousRevision {
-			continue // it was removed since, as is known
+		if _, known := v.items[i.Key]; !known && !u.Full && i.Revision <= out.PreviousRevision {
+			continue // the view already knows that the key was removed later
 		}
 		v.applyItem(i, &out)
 	}
-	v.revision = max(v.revision, n.Revision)
+	v.revision = max(v.revision, u.Revision)
 	return out, nil
 }
 
-// missingKeys returns the removal of each key that complete news no longer holds.
-func (v *View) missingKeys(n Update) []Item {
-	fresh := make(map[string]bool, len(n.Items))
-	for _, i := range n.Items {
-		fresh[i.Key] = true
+// missingKeys returns a removal for each known key that a full update does not contain.
+func (v *View) missingKeys(u Update) []Item {
+	received := make(map[string]bool, len(u.Items))
+	for _, i := range u.Items {
+		received[i.Key] = true
 	}
 	var out []Item
 	for key, i := range v.items {
-		if !fresh[key] && i.Revision <= n.Revision {
-			out = append(out, Item{Key: key, Revision: n.Revision, Removed: true})
+		if !received[key] && i.Revision <= u.Revision {
+			out = append(out, Item{Key: key, Revision: u.Revision, Removed: true})
 		}
 	}
 	return out
 }
 
-// applyItem takes over a change, unless a newer one of the key is known.
+// applyItem applies a change unless a newer one of the key is known.
 func (v *View) applyItem(i Item, out *ApplyResult) {
 	old, known := v.items[i.Key]
 	if known && old.Revision >= i.Revision || !known && i.Removed {
@@ -121,37 +122,38 @@
 	v.items[i.Key] = i
 }
 
-// reconcileRestored returns what is to be believed of a key when the store has come back. A copy may hold an older value of
-// a key whose values tell their age: a caller's key that was taken away would let callers in again, and a
-// member that is about to leave would get new work. The known value stays until its writer has written again.
-func (v *View) reconcileRestored(old, found Item, out *ApplyResult) Item {
-	if !found.Removed && v.newer != nil && v.newer(found.Key, old.Value, found.Value) {
-		out.Rejected = append(out.Rejected, Conflict{found, old})
-		found.Value = old.Value
-		return found
+// reconcileRestored returns the item to keep for a key that is known from an earlier epoch than that of received. A restored
+// store may hold an older value of a key whose values carry versions: a revoked key of a client account would grant access
+// again, and a member that is about to leave would get new work. The known value is kept until its writer writes the key
+// again.
+func (v *View) reconcileRestored(known, received Item, out *ApplyResult) Item {
+	if !received.Removed && v.newer != nil && v.newer(received.Key, known.Value, received.Value) {
+		out.Rejected = append(out.Rejected, Conflict{received, known})
+		received.Value = known.Value
+		return received
 	}
-	if found.Removed || !bytes.Equal(old.Value, found.Value) {
-		out.Replaced = append(out.Replaced, old)
+	if received.Removed || !bytes.Equal(known.Value, received.Value) {
+		out.Replaced = append(out.Replaced, known)
 	}
-	return found
+	return received
 }
 
-// Revision returns the revision up to which the view knows all changes, or zero before the first news.
+// Revision returns the revision up to which the view includes all changes, or zero before the first update.
 func (v *View) Revision() Revision { return v.revision }
 
-// Item returns what is known of a key, and whether it exists.
+// Item returns the known item of a key, and whether the key exists.
 func (v *View) Item(key string) (Item, bool) {
 	i, ok := v.items[key]
 	return i, ok
 }
 
-// HasChangesSince reports whether it is known what changed after the revision, so that Since does not tell everything.
+// HasChangesSince reports whether the changes after the revision are known. If so, Since returns changes and no full update.
 func (v *View) HasChangesSince(after Revision) bool {
 	return after >= min(v.history.start, v.tombstones.start)
 }
 
-// Since returns news that tell of all changes after the revision: of each change while they are kept, else of how the
-// changed keys stand now, or of everything that there is.
+// Since returns an update with the changes after the revision: every single change while the history holds them, else the
+// current items of the changed keys, or else a full update.
 func (v *View) Since(after Revision) Update {
 	out := Update{Snapshot: Snapshot{Revision: v.revision}}
 	items, kept := v.history.since(after)
@@ -166,9 +168,9 @@
 	return out
 }
 
-// changedSince returns the keys that changed after the revision, or false if it is not known which were removed. The
-// start of a large fleet changes more keys than the history keeps changes, and hosts that are behind would be sent
-// everything again and again.
+// changedSince returns the current items of the keys that changed after the revision, or false if not all removals since
+// then are known. The start of a large fleet makes more changes than the history keeps, and without this, hosts that lag
+// behind would receive full updates again and again.
 func (v *View) changedSince(after Revision) ([]Item, bool) {
 	if after < v.tombstones.start {
 		return nil, false
--- a/core/kv/view_model_test.go
+++ b/core/kv/view_model_test.go
@@ -9,22 +9,24 @@
 	"testing"
 )
 
-// storeModel is a store that may come back from an older copy, and hosts that learn from it and from each other.
+// storeModel is a store that may be restored from older backups, with hosts that receive updates from it and from each
+// other.
 type storeModel struct {
 	random   *rand.Rand
 	revision Revision
 	items    map[string]Item
 	changes  []Item
 	backups  []storeModel
-	// counted is the number of writes to the key whose values count them, also of those that were lost.
+	// counted is the number of writes to the key "counted", including writes that a restore has lost. The value of the
+	// key is that number.
 	counted byte
 	views   []*View
-	// delayed holds answers that are still under way.
+	// delayed holds updates that may still be delivered later.
 	delayed []delayedUpdate
 }
 
-// delayedUpdate is an answer to a host that asked for what changed after a revision. Changes come to no host that knows less
-// than the one which asked; lists may come to any.
+// delayedUpdate is an update sent to a host that requested the changes after a revision. Changes are only delivered to hosts
+// that know at least that revision; full updates may be delivered to any host.
 type delayedUpdate struct {
 	Update
 	after Revision
@@ -32,7 +34,7 @@
 
 const plainKeyCount = 4
 
-// write changes a key, or removes it. Values of "plain" keys repeat; those of "counted" never do.
+// write changes or removes a random key. Values of "plain" keys repeat; those of "counted" never do.
 func (m *storeModel) write() {
 	m.revision++
 	key := fmt.Sprint("plain-", m.random.IntN(plainKeyCount))
@@ -54,29 +56,30 @@
 	m.backups = append(m.backups, storeModel{revision: m.revision, items: maps.Clone(m.items), changes: slices.Clone(m.changes)})
 }
 
-// restore brings the store back from a copy.
+// restore restores the store from a random backup in a new epoch.
 func (m *storeModel) restore() {
 	if len(m.backups) == 0 {
 		return
 	}
 	from := m.backups[m.random.IntN(len(m.backups))]
 	epoch := m.revision.Epoch() + 1
-	again := func(i Item) Item { i.Revision = NewRevision(epoch, i.Revision.Number()); return i }
+	inEpoch := func(i Item) Item { i.Revision = NewRevision(epoch, i.Revision.Number()); return i }
 	m.revision, m.items, m.changes = NewRevision(epoch, from.revision.Number()), map[string]Item{}, nil
 	for key, i := range from.items {
-		m.items[key] = again(i)
+		m.items[key] = inEpoch(i)
 	}
 	for _, i := range from.changes {
-		m.changes = append(m.changes, again(i))
+		m.changes = append(m.changes, inEpoch(i))
 	}
 }
 
-// list is all that the store holds.
+// list returns a full update.
 func (m *storeModel) list() Update {
 	return Update{Snapshot{slices.Collect(maps.Values(m.items)), m.revision}, true}
 }
 
-// watch is what the store answers to a host that knows it up to a revision, by the number alone.
+// watch returns the changes after a revision, or false if the store has not reached it. Like the store, it compares only
+// the numbers, without the epochs.
 func (m *storeModel) watch(after Revision) (Update, bool) {
 	if after.Number() > m.revision.Number() {
 		return Update{}, false
@@ -90,40 +93,40 @@
 	return out, true
 }
 
-// deliver lets a host hear from the store, from another host, or a late answer.
+// deliver applies an update to a random host: from the store, from another host, or a delayed one.
 func (m *storeModel) deliver(t *testing.T) {
 	v := m.views[m.random.IntN(len(m.views))]
-	news := m.list()
+	update := m.list()
 	switch m.random.IntN(4) {
 	case 0:
-		if n, ok := m.watch(v.Revision()); ok {
-			news = n
+		if u, ok := m.watch(v.Revision()); ok {
+			update = u
 		}
 	case 1:
 		if other := m.views[m.random.IntN(len(m.views))]; other.Revision() != 0 {
-			if m.random.IntN(2) == 0 { // the changes themselves are not kept any more
+			if m.random.IntN(2) == 0 { // single changes are no longer kept
 				other.history = history{start: other.Revision()}
 			}
-			news = other.Since(v.Revision())
-			m.checkSince(t, other, v, news)
+			update = other.Since(v.Revision())
+			m.checkSince(t, other, v, update)
 		}
 	case 2:
 		if len(m.delayed) > 0 {
-			if late := m.delayed[m.random.IntN(len(m.delayed))]; late.Full || v.Revision() >= late.after {
-				news = late.Update
+			if d := m.delayed[m.random.IntN(len(m.delayed))]; d.Full || v.Revision() >= d.after {
+				update = d.Update
 			}
 		}
 	}
 	if m.random.IntN(3) == 0 {
-		m.delayed = append(m.delayed, delayedUpdate{news, v.Revision()})
+		m.delayed = append(m.delayed, delayedUpdate{update, v.Revision()})
 	}
-	m.apply(t, v, news)
+	m.apply(t, v, update)
 }
 
-// apply lets a host take over news. What it believes must not become older.
-func (m *storeModel) apply(t *testing.T, v *View, news Update) {
+// apply applies an update to a host, and checks that neither its revision nor its counted value decreases.
+func (m *storeModel) apply(t *testing.T, v *View, update Update) {
 	before, counted := v.Revision(), countedValue(v)
-	_, err := v.Apply(news)
+	_, err := v.Apply(update)
 	if errors.Is(err, ErrGap) {
 		_, err = v.Apply(m.list())
 	}
@@ -131,39 +134,40 @@
 		t.Fatal(err)
 	}
 	if v.Revision() < before {
-		t.Fatalf("a host went back from %v to %v", before, v.Revision())
+		t.Fatalf("the revision of a host decreased from %v to %v", before, v.Revision())
 	}
 	if countedValue(v) < counted {
-		t.Fatalf("a host went back from version %d to %d", counted, countedValue(v))
+		t.Fatalf("the counted value of a host decreased from %d to %d", counted, countedValue(v))
 	}
 }
 
-// checkSince checks that a host which takes over another one's changes knows all that the other one does.
-func (m *storeModel) checkSince(t *testing.T, from, to *View, news Update) {
-	if from.HasChangesSince(to.Revision()) == news.Full {
-		t.Fatalf("changes after %v are kept: %t, and all is told: %t", to.Revision(), from.HasChangesSince(to.Revision()), news.Full)
+// checkSince checks that a host that applies an update from another host then knows everything that the other host does.
+func (m *storeModel) checkSince(t *testing.T, from, to *View, update Update) {
+	if from.HasChangesSince(to.Revision()) == update.Full {
+		t.Fatalf("changes after %v are known: %t, and the update is full: %t", to.Revision(), from.HasChangesSince(to.Revision()), update.Full)
 	}
 	if from.Revision() < to.Revision() {
-		return // it has nothing to tell
+		return // from is behind to
 	}
 	copied := *to
 	copied.items, copied.history = maps.Clone(to.items), history{start: to.history.start, changes: slices.Clone(to.history.changes)}
 	copied.tombstones.revisions = maps.Clone(to.tombstones.revisions)
-	if _, err := copied.Apply(news); err != nil {
+	if _, err := copied.Apply(update); err != nil {
 		return
 	}
 	for key, want := range from.items {
 		if have, ok := copied.items[key]; !ok || have.Revision < want.Revision {
-			t.Fatalf("%s is %v after the changes since %v, want %v", key, have, to.Revision(), want)
+			t.Fatalf("%s is %v after the update since %v, want %v", key, have, to.Revision(), want)
 		}
 	}
 	for key, have := range copied.items {
 		if _, ok := from.items[key]; !ok && have.Revision <= from.Revision() {
-			t.Fatalf("%s is believed in still, and gone since %v", key, from.Revision())
+			t.Fatalf("%s is still known, but was removed by %v", key, from.Revision())
 		}
 	}
 }
 
+// countedValue returns the known value of the key "counted", or zero.
 func countedValue(v *View) byte {
 	i, ok := v.Item("counted")
 	if !ok {
@@ -172,7 +176,7 @@
 	return i.Value[0]
 }
 
-// checkConvergence checks that each host knows what the store holds, once all have listed it.
+// checkConvergence checks that every host knows the store's items after it has listed the store.
 func (m *storeModel) checkConvergence(t *testing.T) {
 	for n, v := range m.views {
 		m.apply(t, v, m.list())
@@ -181,15 +185,15 @@
 			have, ok := v.Item(key)
 			want, exists := m.items[key]
 			if ok != exists || string(have.Value) != string(want.Value) {
-				t.Fatalf("host %d believes %q of %s, the store holds %q", n, have.Value, key, want.Value)
+				t.Fatalf("host %d has %q for %s, the store holds %q", n, have.Value, key, want.Value)
 			}
 		}
 	}
 }
 
-// Hosts learn from the store and from each other while it comes back from older copies time and again, also when it
-// lists the same numbers for other contents, and answers come late. Once they have listed the store they know what it
-// holds, and meanwhile none of them goes back to an older revision or version.
+// The store is repeatedly restored from older backups and assigns the same numbers to other changes, while hosts receive
+// updates from the store and from each other, some of them delayed. The revision and the counted value of a host must never
+// decrease, and after listing the store every host must know its items.
 func TestViewsConvergeAfterStoreRestores(t *testing.T) {
 	for seed := range uint64(2000) {
 		m := storeModel{random: rand.New(rand.NewPCG(seed, 1)), items: map[string]Item{}}
@@ -198,7 +202,7 @@
 				return key == "counted" && first[0] > second[0]
 			}))
 		}
-		m.revision, m.counted = 1, 1 // a copy without the key tells nothing of its version
+		m.revision, m.counted = 1, 1 // a backup without the key has no version of it
 		m.items["counted"] = Item{Key: "counted", Value: []byte{1}, Revision: 1}
 		for range 60 {
 			switch m.random.IntN(8) {
--- a/core/kv/view_test.go
+++ b/core/kv/view_test.go
@@ -8,11 +8,12 @@
 	"testing"
 )
 
-// fullUpdate and part return news with items that were all written at their revisions.
+// fullUpdate returns an update with all items of the store at a revision.
 func fullUpdate(at Revision, items ...Item) Update {
 	return Update{Snapshot{items, at}, true}
 }
 
+// deltaUpdate returns an update with changes up to a revision.
 func deltaUpdate(at Revision, items ...Item) Update {
 	return Update{Snapshot{items, at}, false}
 }
@@ -21,7 +22,7 @@
 	return Item{Key: key, Value: []byte(value), Revision: at}
 }
 
-// newerByFirstByte compares values that count their writes with their first letter. Those of "plain" don't count.
+// newerByFirstByte compares values whose first byte is their version. Values of the key "plain" have no version.
 func newerByFirstByte(key string, first, second []byte) bool {
 	return key != "plain" && bytes.Compare(first[:1], second[:1]) > 0
 }
@@ -29,26 +30,26 @@
 func TestViewAfterRestore(t *testing.T) {
 	known := []Item{item("config", "3", 37), item("plain", "x", 35), item("gone", "1", 36), item("same", "1", 12)}
 	for _, c := range []struct {
-		name string
-		news Update
-		err  error
+		name   string
+		update Update
+		err    error
 		// want holds the values of config, plain and gone.
 		want     [3]string
 		restored bool
 	}{
 		{"a smaller number in the same epoch", fullUpdate(30, item("config", "2", 30)), ErrStale, [3]string{"3", "x", "1"}, false},
-		{"a later epoch with an older copy", fullUpdate(NewRevision(1, 30), item("config", "2", NewRevision(1, 20)), item("plain", "w", NewRevision(1, 21)), item("same", "1", NewRevision(1, 12))), nil, [3]string{"3", "w", ""}, true},
-		{"a later epoch in which the operator has written", fullUpdate(NewRevision(1, 33), item("config", "4", NewRevision(1, 33)), item("plain", "x", NewRevision(1, 21))), nil, [3]string{"4", "x", ""}, true},
-		{"late changes of an earlier epoch", deltaUpdate(NewRevision(-1, 50), item("config", "4", NewRevision(-1, 50))), ErrStale, [3]string{"3", "x", "1"}, false},
-		{"changes of a later epoch alone", deltaUpdate(NewRevision(1, 33), item("config", "4", NewRevision(1, 33))), ErrGap, [3]string{"3", "x", "1"}, false},
-		{"the number that is known, in a later epoch", fullUpdate(NewRevision(2, 37), item("config", "5", NewRevision(2, 37))), nil, [3]string{"5", "", ""}, true},
+		{"a later epoch restored from an older backup", fullUpdate(NewRevision(1, 30), item("config", "2", NewRevision(1, 20)), item("plain", "w", NewRevision(1, 21)), item("same", "1", NewRevision(1, 12))), nil, [3]string{"3", "w", ""}, true},
+		{"a later epoch with a new write of the operator", fullUpdate(NewRevision(1, 33), item("config", "4", NewRevision(1, 33)), item("plain", "x", NewRevision(1, 21))), nil, [3]string{"4", "x", ""}, true},
+		{"delayed changes of an earlier epoch", deltaUpdate(NewRevision(-1, 50), item("config", "4", NewRevision(-1, 50))), ErrStale, [3]string{"3", "x", "1"}, false},
+		{"only changes of a later epoch", deltaUpdate(NewRevision(1, 33), item("config", "4", NewRevision(1, 33))), ErrGap, [3]string{"3", "x", "1"}, false},
+		{"the known number in a later epoch", fullUpdate(NewRevision(2, 37), item("config", "5", NewRevision(2, 37))), nil, [3]string{"5", "", ""}, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			v := NewView(newerByFirstByte)
 			if _, err := v.Apply(fullUpdate(37, known...)); err != nil {
 				t.Fatal(err)
 			}
-			got, err := v.Apply(c.news)
+			got, err := v.Apply(c.update)
 			if !errors.Is(err, c.err) || got.Restored != c.restored {
 				t.Errorf("%v, restored %v", err, got.Restored)
 			}
@@ -61,28 +62,28 @@
 	}
 }
 
-// A host that missed the store's return asks another one for what changed after the revision that it knows. It must be
-// sent everything: changes of a later epoch don't follow on what it knows.
+// A host that missed a restore of the store requests from another host the changes after its revision. It must receive a
+// full update, since changes of a later epoch do not continue an earlier one.
 func TestDeltaDoesNotSpanEpochs(t *testing.T) {
 	v := NewView(nil)
 	apply(t, v, fullUpdate(37, item("a", "1", 37)))
 	apply(t, v, deltaUpdate(38, item("b", "1", 38)))
-	if n := v.Since(37); n.Full || len(n.Items) != 1 {
-		t.Errorf("%+v", n)
+	if u := v.Since(37); u.Full || len(u.Items) != 1 {
+		t.Errorf("%+v", u)
 	}
 	apply(t, v, fullUpdate(NewRevision(1, 20), item("a", "1", NewRevision(1, 20))))
-	if n := v.Since(38); !n.Full || len(n.Items) != 1 {
-		t.Errorf("%+v", n)
+	if u := v.Since(38); !u.Full || len(u.Items) != 1 {
+		t.Errorf("%+v", u)
 	}
 	apply(t, v, deltaUpdate(NewRevision(1, 21), item("c", "1", NewRevision(1, 21))))
-	if n := v.Since(NewRevision(1, 20)); n.Full || len(n.Items) != 1 {
-		t.Errorf("%+v", n)
+	if u := v.Since(NewRevision(1, 20)); u.Full || len(u.Items) != 1 {
+		t.Errorf("%+v", u)
 	}
 }
 
-// When a fleet of a thousand starts, six thousand keys are written within seconds. Hosts that were more than the kept
-// changes behind were sent the whole list at each look, by a host whose memory that filled. They are sent the keys that
-// changed since, each once.
+// When a fleet of a thousand hosts starts, six thousand keys are written within seconds. Hosts that lagged by more than the
+// kept changes received a full update for every request, which filled the memory of the sending host. They must receive each
+// key that changed since, once.
 func TestSinceReturnsChangedKeysAfterHistoryOverflow(t *testing.T) {
 	const old, fresh = 20 * minKeptChanges, 4 * minKeptChanges
 	v := NewView(nil)
@@ -100,31 +101,32 @@
 	}
 	at++
 	apply(t, v, deltaUpdate(at, Item{Key: "old-7", Revision: at, Removed: true}))
-	n := v.Since(old)
-	if n.Full || len(n.Items) != fresh+1 || !slices.IsSortedFunc(n.Items, compareRevisions) {
-		t.Errorf("whole %t, %d items, want %d", n.Full, len(n.Items), fresh+1)
+	u := v.Since(old)
+	if u.Full || len(u.Items) != fresh+1 || !slices.IsSortedFunc(u.Items, compareRevisions) {
+		t.Errorf("full %t, %d items, want %d", u.Full, len(u.Items), fresh+1)
 	}
-	if last := n.Items[len(n.Items)-1]; last.Key != "old-7" || !last.Removed {
-		t.Errorf("the last change is %+v", last)
+	if last := u.Items[len(u.Items)-1]; last.Key != "old-7" || !last.Removed {
+		t.Errorf("the last change is %+v, want the removal of old-7", last)
 	}
 }
 
-// A host lists the store, misses that a key comes and goes, and lists it again. Another one that saw the key come asks it
-// for what changed since: it must not go on to believe in the key.
+// A host lists the store, misses the creation and removal of a key, and lists the store again. Another host has seen only
+// the creation and requests the changes since then from the first one. It must not keep the key.
 func TestKeyCreatedAndRemovedBetweenListsIsGone(t *testing.T) {
-	feeder, follower := NewView(nil), NewView(nil)
-	for _, v := range []*View{feeder, follower} {
+	source, follower := NewView(nil), NewView(nil)
+	for _, v := range []*View{source, follower} {
 		apply(t, v, fullUpdate(5, item("a", "1", 5)))
 	}
 	apply(t, follower, deltaUpdate(6, item("short", "1", 6)))
-	apply(t, feeder, fullUpdate(7, item("a", "1", 5)))
-	apply(t, follower, feeder.Since(follower.Revision()))
+	apply(t, source, fullUpdate(7, item("a", "1", 5)))
+	apply(t, follower, source.Since(follower.Revision()))
 	if i, ok := follower.Item("short"); ok {
-		t.Errorf("%+v is believed in still", i)
+		t.Errorf("%+v is still known", i)
 	}
 }
 
-// The keys that were removed are not kept for ever: whoever may have missed one that is forgotten is sent everything.
+// Tombstones are not kept forever. A host that may have missed a removal whose tombstone was dropped must receive a full
+// update.
 func TestSinceReturnsFullUpdateAfterTombstonesAreDropped(t *testing.T) {
 	v := NewView(nil)
 	apply(t, v, fullUpdate(1, item("kept", "1", 1)))
@@ -135,15 +137,15 @@
 		apply(t, v, deltaUpdate(at+2, Item{Key: key, Revision: at + 2, Removed: true}))
 		at += 2
 	}
-	if n := v.Since(2); !n.Full || len(n.Items) != 1 {
-		t.Errorf("whole %t, %d items", n.Full, len(n.Items))
+	if u := v.Since(2); !u.Full || len(u.Items) != 1 {
+		t.Errorf("full %t, %d items", u.Full, len(u.Items))
 	}
 	if len(v.tombstones.revisions) > minKeptChanges {
-		t.Errorf("%d removals are kept", len(v.tombstones.revisions))
+		t.Errorf("%d tombstones are kept", len(v.tombstones.revisions))
 	}
 }
 
-// What the store has lost is told once, so that those who know it can write it again.
+// Apply must return the items that a restore has lost once, so that their writers can write them again.
 func TestApplyReportsReplacedItems(t *testing.T) {
 	v := NewView(newerByFirstByte)
 	apply(t, v, fullUpdate(37, item("plain", "y", 36), item("same", "1", 12), item("gone", "2", 37), item("config", "3", 30)))
@@ -154,16 +156,16 @@
 	}
 	slices.Sort(keys)
 	if !slices.Equal(keys, []string{"gone", "plain"}) {
-		t.Errorf("former items %v", keys)
+		t.Errorf("replaced items %v", keys)
 	}
 	if len(got.Rejected) != 1 || got.Rejected[0].Received.Key != "config" {
-		t.Errorf("passed over %v", got.Rejected)
+		t.Errorf("rejected items %v", got.Rejected)
 	}
 }
 
-func apply(t *testing.T, v *View, n Update) ApplyResult {
+func apply(t *testing.T, v *View, u Update) ApplyResult {
 	t.Helper()
-	out, err := v.Apply(n)
+	out, err := v.Apply(u)
 	if err != nil {
 		t.Fatal(err)
 	}
