--- a/core/config/bench_test.go
+++ b/core/config/bench_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// largeDocument returns a document of about a megabyte.
+// largeDocument returns a document of about 1 MB.
 func largeDocument(b *testing.B) []byte {
 	b.Helper()
 	doc, err := Parse(readTestdata(b, "valid.yaml"))
--- a/core/config/doc.go
+++ b/core/config/doc.go
@@ -1,3 +1,3 @@
-// Package config holds the document that operators write, its validation, its
-// YAML form and the rules by which revisions of it replace each other.
+// Package config holds the configuration document that operators write, its
+// validation, its YAML form and its revisions.
 package config
--- a/core/config/document.go
+++ b/core/config/document.go
@@ -7,63 +7,66 @@
 	"pearlatch/core/freshness"
 )
 
-// SchemaVersion is the version of the document's form that this program reads.
+// SchemaVersion is the version of the document format that Parse accepts.
 const SchemaVersion = 1
 
-// Document is the whole configuration that operators write.
+// Document is the complete configuration that operators write.
 type Document struct {
-	// Groups have distinct names.
+	// Groups holds the database groups. Their names are unique.
 	Groups []Group
-	// Routes have distinct names, and each names an existing group.
+	// Routes holds the routes. Their names are unique, and each refers to a group in
+	// Groups.
 	Routes []Route
 }
 
 // Group describes a database group.
 type Group struct {
-	// Name is not empty and is made of lower-case letters, digits, '-' and '_'.
+	// Name is not empty and consists of lower-case letters, digits, '-' and '_'.
 	Name string
-	// Members has an odd length of at least one; names and addresses differ.
+	// Members has an odd length of at least one. Names and addresses are unique.
 	Members []Member
-	// Slots is how many statements a member runs at once, at least one.
+	// Slots is the number of statements that a member runs at the same time, at least
+	// one.
 	Slots int
-	// Connections is the most connections that pearlatch opens to all members
-	// together, at least one for each member and one more for each slot of the
+	// Connections is the maximum number of connections that pearlatch opens to all
+	// members together, at least one for each member and one more for each slot of the
 	// primary.
 	Connections int
 	// Database is the database to connect to.
 	Database string
-	// Credential names an entry of each host's settings, where the user and the
-	// password stand; the document holds no secret.
+	// Credential names the entry in each host's settings that holds the user and the
+	// password. The document holds no secrets.
 	Credential string
-	// Timing bounds failover.
+	// Timing holds the intervals of failure detection and failover.
 	Timing Timing
 }
 
-// Member describes a member of a group.
+// Member describes a database server of a group.
 type Member struct {
 	Name string
 	Addr netip.AddrPort
 	// Zone is the availability zone that the member runs in.
 	Zone string
-	// Leaving is set by operators before an upgrade: the member gets no new
-	// work, and if it is primary another one is promoted first.
+	// Leaving is set by operators before an upgrade. The member then gets no new work,
+	// and if it is the primary, another member is promoted first.
 	Leaving bool
 }
 
-// Timing holds the intervals by which an owner watches its group.
+// Timing holds the intervals with which the owner of a group monitors its members.
 type Timing struct {
-	// ProbeInterval is the pause between probes of an idle member.
+	// ProbeInterval is the time between probes of an idle member.
 	ProbeInterval time.Duration
-	// Silence is how long a member may leave a probe unanswered before it counts
-	// as gone. It exceeds ProbeInterval.
+	// Silence is how long a member may leave a probe unanswered before it is considered
+	// failed. It is greater than ProbeInterval.
 	Silence time.Duration
-	// Lease is how long after a majority's word the owner may answer reads.
+	// Lease is how long the owner may answer reads after a majority has confirmed it.
 	Lease time.Duration
-	// SwitchoverHold is the longest pause that a planned switchover may cause.
+	// SwitchoverHold is the longest time for which a planned switchover may hold back
+	// statements.
 	SwitchoverHold time.Duration
 }
 
-// DefaultTiming returns the timing of a group that sets none.
+// DefaultTiming returns the timing of a group whose document sets none.
 func DefaultTiming() Timing {
 	return Timing{
 		ProbeInterval:  50 * time.Millisecond,
@@ -73,48 +76,48 @@
 	}
 }
 
-// Route describes a way that callers take to a group. The caller names it as
-// the database of its connection.
+// Route describes an access path of callers to a group. A caller selects a route by
+// connecting to the database of the same name.
 type Route struct {
 	Name string
-	// Group names the group that the route leads to.
+	// Group is the name of the group that serves the route.
 	Group string
-	// Credential names an entry of each host's settings: what callers present.
+	// Credential names the entry in each host's settings against which callers are
+	// authenticated.
 	Credential string
-	// Reads is the freshness that the route's reads accept.
+	// Reads is the freshness that the route's reads require.
 	Reads freshness.Class
-	// Deadline bounds a statement from its arrival, waiting included.
+	// Deadline is the maximum time from the arrival of a statement to its completion,
+	// including queueing.
 	Deadline time.Duration
-	// Patience is how long a read waits for a replica before it goes to the
-	// primary.
+	// Patience is how long a read waits for a replica before it is sent to the primary.
 	Patience time.Duration
-	// Priority ranks the route's requests in the queue of its group.
+	// Priority is the priority of the route's requests in the queue of the group.
 	Priority Priority
-	// MaxCallers bounds the callers of the route on one host.
+	// MaxCallers is the maximum number of callers of the route on one host.
 	MaxCallers int
-	// IdleInTransaction bounds the pause between two statements of a
-	// transaction.
+	// IdleInTransaction is the maximum time between two statements of a transaction.
 	IdleInTransaction time.Duration
-	// Idempotent declares that every statement of the route may be repeated.
+	// Idempotent is true if every statement of the route may safely be repeated.
 	Idempotent bool
 }
 
 //go:generate go tool stringer -type=Priority -linecomment -output=priority_string.go
 
-// Priority ranks requests. Its zero value is Normal.
+// Priority is the priority of a request. The zero value is Normal.
 type Priority int
 
 // The priorities.
 const (
 	// Normal is for ordinary work.
 	Normal Priority = iota // normal
-	// High goes before all other work.
+	// High is served before all other work.
 	High // high
-	// Low is served when nothing else waits, but for a small guaranteed share.
+	// Low is served when no other work is waiting, apart from a small guaranteed share.
 	Low // low
 )
 
-// Defaults of a route.
+// Defaults of the optional fields of a route.
 const (
 	DefaultDeadline          = 5 * time.Second
 	DefaultPatience          = 50 * time.Millisecond
@@ -122,7 +125,7 @@
 	DefaultIdleInTransaction = 30 * time.Second
 )
 
-// Route returns the route of the given name.
+// Route returns the route with the given name, and whether it exists.
 func (d *Document) Route(name string) (*Route, bool) {
 	for i := range d.Routes {
 		if d.Routes[i].Name == name {
@@ -132,7 +135,7 @@
 	return nil, false
 }
 
-// Group returns the group of the given name.
+// Group returns the group with the given name, and whether it exists.
 func (d *Document) Group(name string) (*Group, bool) {
 	for i := range d.Groups {
 		if d.Groups[i].Name == name {
@@ -142,8 +145,9 @@
 	return nil, false
 }
 
-// SameUpstreams reports whether g and o lead to the same members in the same
-// way, so that an owner of one can go on with the other.
+// SameUpstreams reports whether g and o have the same members and connection
+// settings, so that the owner of g can continue with o. The Leaving field of members
+// and the group names are not compared.
 func (g Group) SameUpstreams(o *Group) bool {
 	if g.Slots != o.Slots || g.Connections != o.Connections || g.Database != o.Database ||
 		g.Credential != o.Credential || g.Timing != o.Timing || len(g.Members) != len(o.Members) {
@@ -159,7 +163,7 @@
 	return true
 }
 
-// Member returns the member of the given name.
+// Member returns the member with the given name, and whether it exists.
 func (g *Group) Member(name string) (Member, bool) {
 	for _, m := range g.Members {
 		if m.Name == name {
--- a/core/config/revision.go
+++ b/core/config/revision.go
@@ -2,17 +2,17 @@
 
 import "time"
 
-// Revision is an accepted document. Its number only rises.
+// Revision is an accepted version of the document. Numbers increase with each revision.
 type Revision struct {
-	// Number is at least one. Zero stands for no revision.
+	// Number is at least one. Zero means that there is no revision.
 	Number uint64
 	// Author names the operator who submitted it.
 	Author string
-	// At is when it was submitted.
+	// At is the time of submission.
 	At time.Time
-	// Submission identifies the act of submitting, so that an answer that was
-	// lost can be settled by reading back.
+	// Submission identifies the submission. If its answer is lost, the submitter reads the
+	// revision back and compares the identifier.
 	Submission string
-	// Text is the YAML form of the document.
+	// Text is the document as YAML.
 	Text []byte
 }
--- a/core/config/validate.go
+++ b/core/config/validate.go
@@ -8,28 +8,31 @@
 	"pearlatch/internal/yamlmap"
 )
 
-// namePattern is what names of groups, members and routes look like: they
-// become database names, metric names and paths.
+// namePattern matches the names of groups, members and routes. They are used in
+// database names, metric names and paths.
 var namePattern = regexp.MustCompile(`^[a-z0-9][a-z0-9_-]{0,62}$`)
 
-// MaxMembers bounds the members of a group.
+// MaxMembers is the maximum number of members of a group.
 const MaxMembers = 9
 
-// validate records every mistake that single fields do not show.
-func validate(d *Document, p sections) {
+// validate records the mistakes that involve several fields or sections, and those in
+// the values of names and numbers.
+func validate(d *Document, s sections) {
 	names := map[string]bool{}
 	addrs := map[netip.AddrPort]bool{}
 	for i := range d.Groups {
-		checkName(p.groups[i], names, d.Groups[i].Name)
-		validateGroup(&d.Groups[i], p.groups[i], addrs)
+		checkName(s.groups[i], names, d.Groups[i].Name)
+		validateGroup(&d.Groups[i], s.groups[i], addrs)
 	}
 	names = map[string]bool{}
 	for i := range d.Routes {
-		checkName(p.routes[i], names, d.Routes[i].Name)
-		validateRoute(d, &d.Routes[i], p.routes[i])
+		checkName(s.routes[i], names, d.Routes[i].Name)
+		validateRoute(d, &d.Routes[i], s.routes[i])
 	}
 }
 
+// checkName records a mistake if name does not match namePattern or is in seen, and adds it
+// to seen. An empty name is ignored, since Parse has recorded it.
 func checkName(m *yamlmap.Map, seen map[string]bool, name string) {
 	if name == "" {
 		return
@@ -50,8 +53,8 @@
 	if g.Slots < 1 {
 		m.Wrong("slots", "must be at least 1")
 	}
-	if least := MinConnections(len(g.Members), g.Slots); g.Connections < least {
-		m.Wrong("connections", "must be at least %d: two control connections a member, one spare, and one for each slot; it is %d", least, g.Connections)
+	if minimum := MinConnections(len(g.Members), g.Slots); g.Connections < minimum {
+		m.Wrong("connections", "must be at least %d: two control connections a member, one spare, and one for each slot; it is %d", minimum, g.Connections)
 	}
 	if g.Timing.Silence <= g.Timing.ProbeInterval {
 		m.Wrong("timing", "silence (%s) must exceed probe_interval (%s)", g.Timing.Silence, g.Timing.ProbeInterval)
@@ -59,7 +62,7 @@
 	validateMembers(g, m, addrs)
 }
 
-// MinConnections returns the least connection budget of a group.
+// MinConnections returns the least number of connections that a group may be given.
 func MinConnections(members, slots int) int { return 2*members + 1 + members*max(1, slots) }
 
 func validateMembers(g *Group, m *yamlmap.Map, addrs map[netip.AddrPort]bool) {
--- a/core/config/yaml.go
+++ b/core/config/yaml.go
@@ -9,38 +9,39 @@
 	"pearlatch/internal/yamlmap"
 )
 
-// Parse reads and validates a document. The error is a yamlmap.Mistakes with
-// every mistake found.
+// Parse parses and validates a document. The error is a yamlmap.Mistakes with all
+// mistakes found.
 func Parse(text []byte) (*Document, error) {
-	var wrong yamlmap.Mistakes
-	top := yamlmap.Parse(text, &wrong)
+	var mistakes yamlmap.Mistakes
+	root := yamlmap.Parse(text, &mistakes)
 	doc := &Document{}
-	if v := top.Int("version", 0); len(wrong) == 0 && v != SchemaVersion {
-		top.Wrong("version", "must be %d", SchemaVersion)
+	if v := root.Int("version", 0); len(mistakes) == 0 && v != SchemaVersion {
+		root.Wrong("version", "must be %d", SchemaVersion)
 	}
-	places := sections{}
-	for _, m := range top.List("groups") {
-		places.groups = append(places.groups, m)
+	sections := sections{}
+	for _, m := range root.List("groups") {
+		sections.groups = append(sections.groups, m)
 		doc.Groups = append(doc.Groups, parseGroup(m))
 	}
-	for _, m := range top.List("routes") {
-		places.routes = append(places.routes, m)
+	for _, m := range root.List("routes") {
+		sections.routes = append(sections.routes, m)
 		doc.Routes = append(doc.Routes, parseRoute(m))
 	}
-	top.Done()
-	if len(wrong) == 0 || !places.empty() {
-		validate(doc, places)
+	root.Done()
+	if len(mistakes) == 0 || !sections.empty() {
+		validate(doc, sections)
 	}
-	if err := wrong.Err(); err != nil {
+	if err := mistakes.Err(); err != nil {
 		return nil, err
 	}
 	return doc, nil
 }
 
-// sections are where the parts of a document stand.
+// sections holds the YAML mappings of the groups and routes of a document, so that validate
+// can report mistakes at their lines.
 type sections struct{ groups, routes []*yamlmap.Map }
 
-func (p sections) empty() bool { return len(p.groups) == 0 && len(p.routes) == 0 }
+func (s sections) empty() bool { return len(s.groups) == 0 && len(s.routes) == 0 }
 
 func parseGroup(m *yamlmap.Map) Group {
 	g := Group{
@@ -104,28 +105,29 @@
 	return r
 }
 
-// Encode returns the YAML form of a document, defaults written out. Parse reads
-// it back to an equal document.
+// Encode returns a document as YAML, including default values. Parse returns an equal
+// document for it.
 func Encode(d *Document) []byte { return EncodeEdited(d, Edit{}) }
 
-// Edit replaces one section of a document by text that may be wrong, so that
-// Parse can say what is. The zero value replaces nothing.
+// Edit replaces one section of a document with unvalidated values, so that Parse can
+// report the mistakes in them. The zero value replaces nothing.
 type Edit struct {
-	// Group and Route name the section; at most one is set. A name that the
-	// document lacks adds a section.
+	// Group and Route name the section to replace. At most one of them is set. A name that
+	// is not in the document adds a section.
 	Group, Route string
-	// Fields are the section's fields as they were entered.
+	// Fields holds the section's fields as entered.
 	Fields []Field
 }
 
-// Field is a field of an edited section: a value, or a list of sections.
+// Field is a field of an edited section. It holds a value or, if Lists is not nil, a list of
+// sections.
 type Field struct {
 	Name  string
 	Value string
 	Lists [][]Field
 }
 
-// EncodeEdited returns the YAML form of a document with an edit applied.
+// EncodeEdited returns a document as YAML with an edit applied.
 func EncodeEdited(d *Document, edit Edit) []byte {
 	var e encoder
 	e.line(0, "version: %d", SchemaVersion)
@@ -157,8 +159,8 @@
 	return []byte(e.out.String())
 }
 
-// fields writes an edited section as an element of a list. A field whose name
-// holds a dot stands in a mapping of its own.
+// fields writes an edited section as an element of a list. A field named "outer.inner" is
+// written into the nested mapping outer; fields of one mapping must follow each other.
 func (e *encoder) fields(level int, list []Field) {
 	dash := "- "
 	mapping := ""
@@ -186,19 +188,20 @@
 	}
 }
 
-// encoder writes YAML by hand. Every string is quoted, so that none can be
-// taken for another type.
+// encoder writes YAML. Strings are quoted so that they are not parsed as other types.
 type encoder struct{ out strings.Builder }
 
-// indentWidth of one level, in spaces.
+// indentWidth is the number of spaces per level of indentation.
 const indentWidth = 2
 
+// line writes a line at a level of indentation.
 func (e *encoder) line(level int, format string, args ...any) {
 	e.out.WriteString(strings.Repeat(" ", level*indentWidth))
 	fmt.Fprintf(&e.out, format, args...)
 	e.out.WriteByte('\n')
 }
 
+// openList writes the key of a top-level list, as an empty list unless filled.
 func (e *encoder) openList(name string, filled bool) {
 	if !filled {
 		e.line(0, "%s: []", name)
