--- a/core/membership/membership_test.go
+++ b/core/membership/membership_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-func fleet(n int) []Host {
+func testHosts(n int) []Host {
 	out := make([]Host, n)
 	for i := range out {
 		out[i] = Host{ID: fmt.Sprintf("host-%d", i), Zone: fmt.Sprintf("zone-%d", i%3)}
@@ -16,7 +16,7 @@
 }
 
 func TestRankMovesOnlyTheLostHostsGroups(t *testing.T) {
-	hosts := fleet(8)
+	hosts := testHosts(8)
 	moved, owned := 0, 0
 	for i := range 1000 {
 		g := fmt.Sprintf("group-%d", i)
@@ -28,15 +28,15 @@
 		}
 	}
 	if moved > 0 {
-		t.Errorf("%d groups moved that the lost host did not own", moved)
+		t.Errorf("%d groups moved although the lost host did not own them", moved)
 	}
 	if owned < 80 || owned > 170 {
-		t.Errorf("one of 8 hosts owned %d of 1000 groups", owned)
+		t.Errorf("the lost host of 8 owned %d of 1000 groups, want about 125", owned)
 	}
 }
 
 func TestRankSpreadsZonesAndPutsLeavingLast(t *testing.T) {
-	hosts := fleet(9)
+	hosts := testHosts(9)
 	hosts[4].Leaving = true
 	for i := range 100 {
 		r := Rank(fmt.Sprintf("group-%d", i), hosts)
@@ -44,23 +44,23 @@
 			t.Fatalf("first three hosts share a zone: %v", r[:3])
 		}
 		if !r[8].Leaving {
-			t.Fatalf("the leaving host is not last: %v", r)
+			t.Fatalf("leaving host is not last: %v", r)
 		}
 	}
 }
 
-// Some host must probe every other one, however the hashes fall, or its death
-// would go unnoticed.
-func TestEveryHostIsSomeonesNeighbour(t *testing.T) {
+// Every host must be a neighbour of some other host for any hash values, or its
+// death would not be detected.
+func TestEveryHostIsANeighbour(t *testing.T) {
 	for _, n := range []int{2, 3, 8, 50, 300} {
-		hosts := fleet(n)
+		hosts := testHosts(n)
 		probed := map[string]int{}
 		for _, h := range hosts {
-			near := nearest(h, hosts)
-			if len(near) != min(n-1, successors+chosen) {
-				t.Fatalf("%d hosts: %d neighbours", n, len(near))
+			neighbours := selectNeighbours(h, hosts)
+			if len(neighbours) != min(n-1, ringSuccessors+randomNeighbours) {
+				t.Fatalf("%d hosts: %d neighbours", n, len(neighbours))
 			}
-			for _, other := range near {
+			for _, other := range neighbours {
 				if other.ID == h.ID {
 					t.Fatalf("%s is its own neighbour", h.ID)
 				}
@@ -73,77 +73,78 @@
 	}
 }
 
-// A host is slow once. It is suspected, hears of that, and refutes: nobody must
-// take its groups.
+// A slow host is suspected, receives the suspicion and refutes it. Other hosts must not
+// take over its groups.
 func TestRefutationEndsSuspicion(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		slow := NewTable(Host{ID: "slow"}, DefaultTiming(), nil)
 		other := NewTable(Host{ID: "other"}, DefaultTiming(), nil)
-		other.Seed([]Host{{ID: "slow"}}, time.Now())
-		other.Suspect("slow", time.Now())
-		time.Sleep(DefaultTiming().Suspicion / 2)
+		other.MergeHostList([]Host{{ID: "slow"}}, time.Now())
+		other.MarkSuspect("slow", time.Now())
+		time.Sleep(DefaultTiming().SuspicionTimeout / 2)
 		slow.Merge(other.Gossip(), time.Now())
 		other.Merge(slow.Gossip(), time.Now())
-		time.Sleep(DefaultTiming().Suspicion)
+		time.Sleep(DefaultTiming().SuspicionTimeout)
 		other.Tick(time.Now())
 		if _, live := other.Lookup("slow"); !live {
-			t.Error("a host that refuted is dead")
+			t.Error("the host is dead although it refuted the suspicion")
 		}
 	})
 }
 
-// A host is silent and never refutes. It counts until the suspicion has lasted,
-// then it is dead, and a late claim of its life does not bring it back.
-func TestUnrefutedSuspicionEndsInDeath(t *testing.T) {
+// A host that does not answer or refute is live until the suspicion times out, and then
+// dead. A delayed status or host list does not make it alive again, but a message from
+// the host itself does.
+func TestUnrefutedSuspicionMarksHostDead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		changes := 0
 		table := NewTable(Host{ID: "self"}, DefaultTiming(), func() { changes++ })
-		table.Seed([]Host{{ID: "gone"}}, time.Now())
-		table.Suspect("gone", time.Now())
+		table.MergeHostList([]Host{{ID: "gone"}}, time.Now())
+		table.MarkSuspect("gone", time.Now())
 		table.Tick(time.Now())
 		if len(table.Live()) != 2 {
-			t.Fatal("a suspect host is not live")
+			t.Fatal("the suspect host is not live")
 		}
-		time.Sleep(DefaultTiming().Suspicion)
+		time.Sleep(DefaultTiming().SuspicionTimeout)
 		table.Tick(time.Now())
-		table.Merge([]Claim{{Host: Host{ID: "gone"}, State: Alive}}, time.Now())
-		table.Seed([]Host{{ID: "gone"}}, time.Now())
+		table.Merge([]Status{{Host: Host{ID: "gone"}, State: Alive}}, time.Now())
+		table.MergeHostList([]Host{{ID: "gone"}}, time.Now())
 		if len(table.Live()) != 1 || changes != 2 {
 			t.Errorf("%d hosts live after %d changes", len(table.Live()), changes)
 		}
-		table.Revive(Host{ID: "gone", Incarnation: 7}, time.Now())
+		table.MarkAlive(Host{ID: "gone", Incarnation: 7}, time.Now())
 		if len(table.Live()) != 2 {
-			t.Error("a host that speaks for itself is dead")
+			t.Error("the host is dead although it sent a message")
 		}
 	})
 }
 
-// A host restarts under its old name. What was said of its earlier life must not
-// bury the new one.
-func TestRestartedHostOutlivesOldClaims(t *testing.T) {
+// A host restarts with its old ID and a higher incarnation. A status of the old
+// incarnation must not mark it dead.
+func TestRestartedHostOverridesOldStatus(t *testing.T) {
 	now := time.Now()
 	table := NewTable(Host{ID: "self"}, DefaultTiming(), nil)
-	table.Revive(Host{ID: "b", Incarnation: 10}, now)
-	table.Bury("b", now)
-	table.Revive(Host{ID: "b", Incarnation: 20}, now)
-	table.Merge([]Claim{{Host: Host{ID: "b", Incarnation: 10}, State: Dead}}, now)
+	table.MarkAlive(Host{ID: "b", Incarnation: 10}, now)
+	table.MarkDead("b", now)
+	table.MarkAlive(Host{ID: "b", Incarnation: 20}, now)
+	table.Merge([]Status{{Host: Host{ID: "b", Incarnation: 10}, State: Dead}}, now)
 	if _, live := table.Lookup("b"); !live {
-		t.Error("an old claim buried a restarted host")
+		t.Error("a status of the old incarnation marked the restarted host dead")
 	}
 }
 
-func TestNextCoversAllNeighbours(t *testing.T) {
+func TestProbeRoundCoversAllNeighbours(t *testing.T) {
 	table := NewTable(Host{ID: "host-0"}, DefaultTiming(), nil)
-	table.Seed(fleet(50), time.Now())
+	table.MergeHostList(testHosts(50), time.Now())
 	probed := map[string]bool{}
-	for range successors + chosen {
-		h, ok := table.Next(func(int, func(i, j int)) {})
+	for range ringSuccessors + randomNeighbours {
+		h, ok := table.NextProbe(func(int, func(i, j int)) {})
 		if !ok {
-			t.Fatal("nobody to probe")
+			t.Fatal("no host to probe")
 		}
 		probed[h.ID] = true
 	}
-	if len(probed) != successors+chosen {
-		t.Errorf("a round probed %d hosts", len(probed))
+	if len(probed) != ringSuccessors+randomNeighbours {
+		t.Errorf("a round probed %d hosts, want all neighbours", len(probed))
 	}
 }
--- a/core/serving/candidates.go
+++ b/core/serving/candidates.go
@@ -8,69 +8,71 @@
 	"pearlatch/core/membership"
 )
 
-// candidates keeps, for each group, how many hosts of one availability zone come before one host of it. A change of
-// the list costs a hash a group of the own zone's hosts alone, and none for hosts of other zones, so that a host can
-// tell which few groups concern it without ranking all hosts for all groups. The zero value is ready for use.
-type candidates struct {
+// candidateRanks keeps the rank of one host, self, among the hosts of its availability zone for each tracked group. It
+// tells which few groups may concern the host without ranking all hosts for all groups: adding or removing a host of the
+// same zone costs one hash per group, and a host of another zone costs none. The zero value is ready for use.
+type candidateRanks struct {
 	self   membership.Host
-	groups map[string]*candidacy
+	groups map[string]*selfRank
 }
 
-// candidacy is a host's claim to a group.
-type candidacy struct {
-	prefix xxhash.Digest
+// selfRank is the rank of a host for one group within its availability zone.
+type selfRank struct {
+	digest xxhash.Digest
 	score  float64
-	// before counts the staying hosts of the zone with a better claim.
-	before int
+	// ahead counts the active hosts of the zone that rank before this one.
+	ahead int
 }
 
-// Consider makes the table keep the candidacies of a host for just these groups.
-func (t *Table) Consider(self membership.Host, groups []string) {
-	old := t.candidates
-	t.candidates = candidates{self: self, groups: make(map[string]*candidacy, len(groups))}
+// TrackCandidates sets the host and the groups for which IsCandidate answers. It replaces the previous ones; ranks of
+// groups that are still tracked are reused.
+func (t *Table) TrackCandidates(self membership.Host, groups []string) {
+	old := t.selfRanks
+	t.selfRanks = candidateRanks{self: self, groups: make(map[string]*selfRank, len(groups))}
 	for _, name := range groups {
 		if known := old.groups[name]; known != nil && old.self == self {
-			t.candidates.groups[name] = known
+			t.selfRanks.groups[name] = known
 			continue
 		}
-		c := &candidacy{prefix: groupPrefix(name)}
-		c.score = scoreOf(c.prefix, self)
+		rank := &selfRank{digest: groupDigest(name)}
+		rank.score = rendezvousScore(rank.digest, self)
 		if z := t.zones[self.Zone]; z != nil {
-			for _, h := range z.staying {
-				c.count(h.Host, self.ID, 1)
+			for _, h := range z.active {
+				rank.adjust(h.Host, self.ID, 1)
 			}
 		}
-		t.candidates.groups[name] = c
+		t.selfRanks.groups[name] = rank
 	}
 }
 
-// Candidate reports whether the considered host is among those with the first claims to a group, so that it may serve
-// it, or hold its duty, now or after the loss of others.
-func (t *Table) Candidate(group string) bool {
-	c := t.candidates.groups[group]
-	return c != nil && c.before < keptPerZone
+// IsCandidate reports whether the host set by TrackCandidates is among the first hosts of its availability zone for the
+// group, so that it may serve the group or hold its duty, now or after the loss of other hosts. It returns false for a
+// group that is not tracked.
+func (t *Table) IsCandidate(group string) bool {
+	rank := t.selfRanks.groups[group]
+	return rank != nil && rank.ahead < rankedPerZone
 }
 
-// moved takes over that a host joined the staying ones (by is 1), or left them (by is -1).
-func (c *candidates) moved(h *listed, by int) {
+// update adds an active host of any zone to the ranks (delta is 1) or removes it from them (delta is -1).
+func (c *candidateRanks) update(h *listedHost, delta int) {
 	if h.Zone != c.self.Zone {
 		return
 	}
-	for _, each := range c.groups {
-		each.count(h.Host, c.self.ID, by)
+	for _, rank := range c.groups {
+		rank.adjust(h.Host, c.self.ID, delta)
 	}
 }
 
-// count adds by if the host comes before the one with this claim.
-func (c *candidacy) count(h membership.Host, self string, by int) {
-	score := scoreOf(c.prefix, h)
-	if score > c.score || score == c.score && h.ID < self {
-		c.before += by
+// adjust adds delta to the count of hosts ahead if h ranks before the host with the ID self.
+func (r *selfRank) adjust(h membership.Host, self string, delta int) {
+	score := rendezvousScore(r.digest, h)
+	if score > r.score || score == r.score && h.ID < self {
+		r.ahead += delta
 	}
 }
 
-// groupPrefix returns the hash of a group's name, to which hosts' names are added.
-func groupPrefix(group string) xxhash.Digest {
+// groupDigest returns the hash state after a group's name. rendezvousScore appends a host's ID to it.
+func groupDigest(group string) xxhash.Digest {
 	var d xxhash.Digest
 	d.Reset()
 	_, _ = d.WriteString(group)
@@ -78,20 +80,21 @@
 	return d
 }
 
-// scoreOf is a host's claim to a group by rendezvous hashing with weights: hosts have the best claim to as many groups as
-// their strengths say. Hosts of the same strength are in the order of their hashes.
+// rendezvousScore returns a host's score for a group in weighted rendezvous hashing. Higher scores rank first. The number
+// of groups for which a host ranks first is proportional to its CPU cores. Hosts with equal cores are ordered by hash.
 //
 // See Schindelhauer and Schomaker, "Weighted Distributed Hash Tables", SPAA 2005, the logarithmic method.
-func scoreOf(prefix xxhash.Digest, h membership.Host) float64 {
-	_, _ = prefix.WriteString(h.ID)
-	const bits = 53 // of a float64 without loss
-	u := (float64(prefix.Sum64()>>(64-bits)) + 0.5) / (1 << bits)
-	return math.Log(u) / strengthOf(h)
+func rendezvousScore(digest xxhash.Digest, h membership.Host) float64 {
+	_, _ = digest.WriteString(h.ID)
+	const bits = 53 // the bits of an integer that a float64 holds exactly
+	u := (float64(digest.Sum64()>>(64-bits)) + 0.5) / (1 << bits)
+	return math.Log(u) / effectiveCores(h)
 }
 
-func strengthOf(h membership.Host) float64 {
-	if h.Strength <= 0 {
+// effectiveCores returns the number of cores of a host, or 1 if it is not known.
+func effectiveCores(h membership.Host) float64 {
+	if h.Cores <= 0 {
 		return 1
 	}
-	return h.Strength
+	return h.Cores
 }
--- a/core/serving/table.go
+++ b/core/serving/table.go
@@ -9,86 +9,88 @@
 	"pearlatch/core/membership"
 )
 
-// keptPerZone is how many claims of each availability zone a Table keeps for a group: the three
-// hosts that serve where there is one zone, and as many that serve in their place.
-const keptPerZone = 2 * leastServers
+// rankedPerZone is how many hosts of each availability zone a Table ranks for a group: the three
+// that serve if there is only one zone, and as many replacements.
+const rankedPerZone = 2 * minServers
 
-// Table keeps, for each group that it was asked about, the hosts with the first claims to serve
-// it. Claims come from rendezvous hashing, so a host that joins or leaves moves its own claims
-// and no others: a change costs a hash a group, whatever the size of the fleet, and a group is
-// looked through anew only when one of its own hosts goes.
+// Table keeps, for each group that it was asked about, the highest-ranked hosts to serve it. Ranks
+// come from rendezvous hashing, so a host that joins or leaves does not change the order of the
+// others. Adding a host costs one hash per group, whatever the size of the fleet, and a zone is
+// ranked again only when one of its ranked hosts is removed.
 //
-// A host that leaves has no claims: it declines what is new.
+// A leaving host is not ranked, since it rejects new work.
 //
 // The zero value is an empty fleet and ready for use. A Table is not safe for concurrent use.
 type Table struct {
-	// hosts are those with an address for other hosts, by ID, and zones the same by
-	// availability zone.
-	hosts map[string]*listed
+	// hosts holds the hosts with a peer address by ID, and zones the same hosts by availability
+	// zone.
+	hosts map[string]*listedHost
 	zones map[string]*zone
-	// groups holds the claims to each group that was asked about.
-	groups map[string]*claims
-	// round counts the lists that were taken over.
-	round uint64
-	// candidates are the claims of one host.
-	candidates candidates
+	// rankings holds the ranked hosts of each group that was asked about.
+	rankings map[string]*groupRanking
+	// generation counts the calls of Update.
+	generation uint64
+	// selfRanks holds the ranks of the host set by TrackCandidates.
+	selfRanks candidateRanks
 }
 
-// listed is a host of the list.
-type listed struct {
+// listedHost is a host of the list given to Update.
+type listedHost struct {
 	membership.Host
-	// round is that of the last list that named the host.
-	round uint64
+	// generation is that of the last list with this host.
+	generation uint64
 }
 
 // zone is an availability zone.
 type zone struct {
 	name string
-	// staying are its hosts that don't leave, in no order, and all counts the others as well.
-	staying []*listed
-	all     int
+	// active holds the hosts that are not leaving, in no order. hostCount includes leaving hosts.
+	active    []*listedHost
+	hostCount int
 }
 
-// claims are the first claims to a group.
-type claims struct {
-	// prefix is the hash of the group's name, to which the hosts' names are added.
-	prefix xxhash.Digest
-	// zones holds the first claims of each availability zone, the first one first: all of a
-	// zone with fewer hosts than keptPerZone.
-	zones map[string][]claim
-	// order is what Ranked returns, and holders what Holders does, or nil after a change.
-	order, holders []membership.Host
+// groupRanking holds the highest-ranked hosts of a group.
+type groupRanking struct {
+	// digest is the hash state after the group's name.
+	digest xxhash.Digest
+	// zones holds the first rankedPerZone active hosts of each availability zone, or all of
+	// them if there are fewer, in order of rank.
+	zones map[string][]scoredHost
+	// ranked and dutyRanked cache the results of Ranked and RankedForDuty. They are nil after
+	// a change.
+	ranked, dutyRanked []membership.Host
 }
 
-// claim is a host's claim to a group. Higher scores come first.
-type claim struct {
-	host  *listed
+// scoredHost is a host with its score for a group. Higher scores rank first.
+type scoredHost struct {
+	host  *listedHost
 	score float64
 }
 
-// Update takes over a new list of hosts. It reports whether it differs from the one before.
+// Update replaces the list of hosts and reports whether it differs from the previous one. Hosts without a valid peer
+// address are ignored.
 func (t *Table) Update(hosts []membership.Host) (changed bool) {
 	if t.hosts == nil {
-		t.hosts, t.zones = map[string]*listed{}, map[string]*zone{}
+		t.hosts, t.zones = map[string]*listedHost{}, map[string]*zone{}
 	}
-	t.round++
+	t.generation++
 	for _, h := range hosts {
 		if !h.Peer.IsValid() {
 			continue
 		}
 		known := t.hosts[h.ID]
 		if known != nil && known.Host == h {
-			known.round = t.round
+			known.generation = t.generation
 			continue
 		}
 		changed = true
 		if known != nil {
 			t.remove(known)
 		}
-		t.add(&listed{h, t.round})
+		t.add(&listedHost{h, t.generation})
 	}
 	for _, h := range t.hosts {
-		if h.round != t.round {
+		if h.generation != t.generation {
 			changed = true
 			t.remove(h)
 		}
@@ -96,72 +98,72 @@
 	return changed
 }
 
-func (t *Table) add(h *listed) {
+func (t *Table) add(h *listedHost) {
 	t.hosts[h.ID] = h
 	z := t.zones[h.Zone]
 	if z == nil {
 		z = &zone{name: h.Zone}
 		t.zones[h.Zone] = z
 	}
-	z.all++
+	z.hostCount++
 	if h.Leaving {
 		return
 	}
-	z.staying = append(z.staying, h)
-	t.candidates.moved(h, 1)
-	for _, c := range t.groups {
-		c.add(h)
+	z.active = append(z.active, h)
+	t.selfRanks.update(h, 1)
+	for _, r := range t.rankings {
+		r.add(h)
 	}
 }
 
-func (t *Table) remove(h *listed) {
+func (t *Table) remove(h *listedHost) {
 	delete(t.hosts, h.ID)
 	z := t.zones[h.Zone]
-	if z.all--; z.all == 0 {
+	if z.hostCount--; z.hostCount == 0 {
 		delete(t.zones, h.Zone)
 	}
 	if h.Leaving {
 		return
 	}
-	z.staying = slices.DeleteFunc(z.staying, func(o *listed) bool { return o == h })
-	t.candidates.moved(h, -1)
-	for _, c := range t.groups {
-		c.remove(h, z)
+	z.active = slices.DeleteFunc(z.active, func(o *listedHost) bool { return o == h })
+	t.selfRanks.update(h, -1)
+	for _, r := range t.rankings {
+		r.remove(h, z)
 	}
 }
 
-// Forget drops the claims to a group that nobody asks about any more.
-func (t *Table) Forget(group string) { delete(t.groups, group) }
+// Forget drops the ranking of a group that is no longer needed.
+func (t *Table) Forget(group string) { delete(t.rankings, group) }
 
-// Ranked returns the hosts with the first claims to serve a group, in the order in which they do:
-// the n-th host of each availability zone comes before any zone's next one. Where hosts at the
-// beginning are out of reach, the next ones serve. The slice stays as it is, and is not to be
-// changed.
+// Ranked returns the highest-ranked hosts of a group in the order in which they serve it: the n-th
+// host of each availability zone comes before the next host of any zone. If hosts at the beginning
+// can't be reached, the following ones serve. Later calls do not modify the slice, and the caller
+// must not change it.
 func (t *Table) Ranked(group string) []membership.Host {
-	c := t.group(group)
-	if c.order == nil {
-		c.order = c.byTurns()
+	r := t.ranking(group)
+	if r.ranked == nil {
+		r.ranked = r.interleaveZones()
 	}
-	return c.order
+	return r.ranked
 }
 
-// Holders returns the same hosts in the order in which they take the group's duty: the strongest first, and those alike
-// in the order in which they serve. What a duty costs goes with the hosts that hold any, so that few hold many. The
-// slice stays as it is, and is not to be changed.
-func (t *Table) Holders(group string) []membership.Host {
+// RankedForDuty returns the hosts of Ranked in the order in which they take the group's duty: those with more cores first,
+// and those with equal cores in the order of Ranked. The cost of duties grows with the number of hosts that hold any, so
+// a few hosts hold many duties each. Later calls do not modify the slice, and the caller must not change it.
+func (t *Table) RankedForDuty(group string) []membership.Host {
 	ranked := t.Ranked(group)
-	c := t.group(group)
-	if c.holders == nil {
-		c.holders = slices.Clone(ranked)
-		slices.SortStableFunc(c.holders, func(a, b membership.Host) int { return cmp.Compare(strengthOf(b), strengthOf(a)) })
+	r := t.ranking(group)
+	if r.dutyRanked == nil {
+		r.dutyRanked = slices.Clone(ranked)
+		slices.SortStableFunc(r.dutyRanked, func(a, b membership.Host) int { return cmp.Compare(effectiveCores(b), effectiveCores(a)) })
 	}
-	return c.holders
+	return r.dutyRanked
 }
 
-// Len returns how many hosts are listed.
+// Len returns the number of listed hosts, leaving ones included.
 func (t *Table) Len() int { return len(t.hosts) }
 
-// Host returns the host of an ID, and whether it is listed.
+// Host returns the host with the given ID, and whether it is listed.
 func (t *Table) Host(id string) (membership.Host, bool) {
 	h := t.hosts[id]
 	if h == nil {
@@ -170,99 +172,99 @@
 	return h.Host, true
 }
 
-// byTurns merges the claims of the availability zones: first the first ones of each, by their
-// scores, then the second ones.
-func (c *claims) byTurns() []membership.Host {
-	out := make([]membership.Host, 0, len(c.zones)*keptPerZone)
-	turn := make([]claim, 0, len(c.zones))
-	for i := range keptPerZone {
-		turn = turn[:0]
-		for _, kept := range c.zones {
-			if i < len(kept) {
-				turn = append(turn, kept[i])
+// interleaveZones merges the ranked hosts of the availability zones: the first host of each zone,
+// ordered by score, then the second host of each, and so on.
+func (r *groupRanking) interleaveZones() []membership.Host {
+	out := make([]membership.Host, 0, len(r.zones)*rankedPerZone)
+	sameRank := make([]scoredHost, 0, len(r.zones))
+	for i := range rankedPerZone {
+		sameRank = sameRank[:0]
+		for _, ranked := range r.zones {
+			if i < len(ranked) {
+				sameRank = append(sameRank, ranked[i])
 			}
 		}
-		slices.SortFunc(turn, compareClaims)
-		for _, each := range turn {
-			out = append(out, each.host.Host)
+		slices.SortFunc(sameRank, compareScores)
+		for _, s := range sameRank {
+			out = append(out, s.host.Host)
 		}
 	}
 	return out
 }
 
-// group returns the claims to a group.
-func (t *Table) group(name string) *claims {
-	if c := t.groups[name]; c != nil {
-		return c
+// ranking returns the ranking of a group. It creates the ranking on first use.
+func (t *Table) ranking(group string) *groupRanking {
+	if r := t.rankings[group]; r != nil {
+		return r
 	}
-	c := &claims{prefix: groupPrefix(name), zones: map[string][]claim{}}
+	r := &groupRanking{digest: groupDigest(group), zones: map[string][]scoredHost{}}
 	for _, z := range t.zones {
-		c.fill(z)
+		r.rebuildZone(z)
 	}
-	if t.groups == nil {
-		t.groups = map[string]*claims{}
+	if t.rankings == nil {
+		t.rankings = map[string]*groupRanking{}
 	}
-	t.groups[name] = c
-	return c
+	t.rankings[group] = r
+	return r
 }
 
-// fill takes the first claims of an availability zone anew.
-func (c *claims) fill(z *zone) {
-	kept := c.zones[z.name][:0]
-	for _, h := range z.staying {
-		kept = insert(kept, claim{h, c.score(h)})
+// rebuildZone ranks the active hosts of an availability zone again.
+func (r *groupRanking) rebuildZone(z *zone) {
+	ranked := r.zones[z.name][:0]
+	for _, h := range z.active {
+		ranked = insertScored(ranked, scoredHost{h, r.score(h)})
 	}
-	c.zones[z.name] = kept
-	c.order, c.holders = nil, nil
+	r.zones[z.name] = ranked
+	r.ranked, r.dutyRanked = nil, nil
 }
 
-// add takes a host that joined into the claims of its availability zone, if it is one of the first.
-func (c *claims) add(h *listed) {
-	kept := c.zones[h.Zone]
-	joined := claim{h, c.score(h)}
-	if len(kept) == keptPerZone && compareClaims(joined, kept[len(kept)-1]) > 0 {
+// add ranks a new host if it is among the first rankedPerZone of its availability zone.
+func (r *groupRanking) add(h *listedHost) {
+	ranked := r.zones[h.Zone]
+	added := scoredHost{h, r.score(h)}
+	if len(ranked) == rankedPerZone && compareScores(added, ranked[len(ranked)-1]) > 0 {
 		return
 	}
-	c.zones[h.Zone] = insert(kept, joined)
-	c.order, c.holders = nil, nil
+	r.zones[h.Zone] = insertScored(ranked, added)
+	r.ranked, r.dutyRanked = nil, nil
 }
 
-// remove takes out a host that left its availability zone.
-func (c *claims) remove(h *listed, z *zone) {
-	kept := c.zones[h.Zone]
-	i := slices.IndexFunc(kept, func(o claim) bool { return o.host == h })
+// remove removes a host that is no longer among the active hosts of z.
+func (r *groupRanking) remove(h *listedHost, z *zone) {
+	ranked := r.zones[h.Zone]
+	i := slices.IndexFunc(ranked, func(o scoredHost) bool { return o.host == h })
 	switch {
 	case i < 0:
-	case len(z.staying) >= keptPerZone:
-		c.fill(z)
-	case len(z.staying) == 0:
-		delete(c.zones, h.Zone)
-		c.order, c.holders = nil, nil
+	case len(z.active) >= rankedPerZone:
+		r.rebuildZone(z)
+	case len(z.active) == 0:
+		delete(r.zones, h.Zone)
+		r.ranked, r.dutyRanked = nil, nil
 	default:
-		c.zones[h.Zone] = slices.Delete(kept, i, i+1)
-		c.order, c.holders = nil, nil
+		r.zones[h.Zone] = slices.Delete(ranked, i, i+1)
+		r.ranked, r.dutyRanked = nil, nil
 	}
 }
 
-// insert adds a claim to sorted ones, of which it keeps the first keptPerZone.
-func insert(kept []claim, each claim) []claim {
-	if len(kept) == keptPerZone {
-		if compareClaims(each, kept[len(kept)-1]) > 0 {
-			return kept
+// insertScored inserts a host into a sorted slice and keeps the first rankedPerZone elements.
+func insertScored(ranked []scoredHost, added scoredHost) []scoredHost {
+	if len(ranked) == rankedPerZone {
+		if compareScores(added, ranked[len(ranked)-1]) > 0 {
+			return ranked
 		}
-		kept = kept[:len(kept)-1]
+		ranked = ranked[:len(ranked)-1]
 	}
-	i, _ := slices.BinarySearchFunc(kept, each, compareClaims)
-	return slices.Insert(kept, i, each)
+	i, _ := slices.BinarySearchFunc(ranked, added, compareScores)
+	return slices.Insert(ranked, i, added)
 }
 
-// compareClaims orders claims, the first one first.
-func compareClaims(a, b claim) int {
+// compareScores orders hosts by descending score, and equal scores by ID.
+func compareScores(a, b scoredHost) int {
 	if c := cmp.Compare(b.score, a.score); c != 0 {
 		return c
 	}
 	return cmp.Compare(a.host.ID, b.host.ID)
 }
 
-// score is the host's claim to the group.
-func (c *claims) score(h *listed) float64 { return scoreOf(c.prefix, h.Host) }
+// score returns the host's score for the group.
+func (r *groupRanking) score(h *listedHost) float64 { return rendezvousScore(r.digest, h.Host) }
