--- a/core/joining/doc.go
+++ b/core/joining/doc.go
@@ -1,3 +1,4 @@
-// Package joining decides from whom a host that knows nothing of the store learns what is in it. It has no I/O and no
-// clock: a host carries one step out, tells what came of it, and asks for the next.
+// Package joining decides from which source a host that starts fetches the contents of the store: from the store
+// itself or from another host. The package has no I/O and no clock. The caller executes one step, reports its
+// result, and asks for the next.
 package joining
--- a/core/joining/joiner.go
+++ b/core/joining/joiner.go
@@ -9,44 +9,46 @@
 )
 
 const (
-	// initialReadProbability is the chance that a host reads the store in its first round while it can't tell how large the fleet
-	// is. It doubles with each round, so that the first readers come early in a large fleet and after seconds in a small
-	// one whose seeds are gone.
+	// initialReadProbability is the probability that a host reads the store in its first round while it does not
+	// know the size of the fleet. It doubles with each round, so that the first hosts read early in a large
+	// fleet, and after seconds in a small one whose seeds are gone.
 	initialReadProbability = 1.0 / 1024
-	// hostsPerRound is how many hosts are asked between two pauses.
+	// hostsPerRound is the number of hosts asked between two pauses.
 	hostsPerRound = 3
-	// maxDrawsPerAddress bounds the draws for each address to ask.
+	// maxDrawsPerAddress bounds the random draws for each address to ask.
 	maxDrawsPerAddress = 8
-	// initialBackoff and longestPause bound the pause between two rounds, which doubles; up to half as much is added or
-	// taken away, so that hosts that started together don't return together.
+	// initialBackoff and maxBackoff bound the pause between two rounds, which doubles with each round. Jitter of
+	// up to half the pause is added or subtracted, so that hosts that started together do not retry together.
 	initialBackoff = 200 * time.Millisecond
 	maxBackoff     = 800 * time.Millisecond
 )
 
-// Joiner chooses the steps of one host until it has learned everything. Use New. It is not safe for concurrent use.
+// Joiner chooses the steps of one host until it has the contents of the store. Use New to create one. It is not
+// safe for concurrent use.
 //
-// The load that it answers is the start of all hosts, or of half of them, at the same moment: whoever knows the list
-// passes it on, and those who have it grow many times over with each round.
+// It is designed for the start of all hosts, or of half of them, at once. Hosts that have the contents pass them
+// on, so the number of possible sources multiplies with each round.
 type Joiner struct {
 	self   netip.AddrPort
 	seeds  []netip.AddrPort
 	random func() float64
 
-	// listedHosts are those that are listed in the store. listed is true if an earlier process of this one is among them, so that
-	// the list is not the beginning of one.
+	// listedHosts are the hosts that the store lists. selfListed is true if an earlier process of this host is
+	// among them. The list is then not one that a starting fleet has just begun to fill, and its length tells
+	// the size of the fleet.
 	listedHosts []netip.AddrPort
 	selfListed  bool
-	// referrals are hosts that a busy one named: they have the list.
+	// referrals are hosts with the contents that a busy host named.
 	referrals []netip.AddrPort
-	// plan holds the further steps of the round.
+	// plan holds the remaining steps of the round.
 	plan  []Step
 	round int
 }
 
-// New returns the Joiner of the host with the address, which may be one of the seeds. draw returns random numbers from
-// 0 up to 1.
-func New(self netip.AddrPort, seeds []netip.AddrPort, draw func() float64) *Joiner {
-	return &Joiner{self: self, seeds: seeds, random: draw}
+// New returns a Joiner for the host at the address self, which may be one of the seeds. random returns numbers
+// in [0, 1).
+func New(self netip.AddrPort, seeds []netip.AddrPort, random func() float64) *Joiner {
+	return &Joiner{self: self, seeds: seeds, random: random}
 }
 
 // Next returns the next step.
@@ -59,23 +61,25 @@
 	return step
 }
 
-// SetListedHosts takes over the addresses of the listed hosts, and plans the rest of the round by them.
+// SetListedHosts records the result of a ListHosts step and plans the rest of the round from it.
 func (j *Joiner) SetListedHosts(hosts []netip.AddrPort) {
 	j.listedHosts, j.selfListed = hosts, slices.Contains(hosts, j.self)
 	switch {
 	case j.shouldReadStore():
 		j.plan = append([]Step{ReadStore{}}, j.askSteps()...)
 	case len(j.listedHosts) == 0 && j.round == 1:
-		j.plan = []Step{j.backoff()} // nobody has the list yet: the seeds need a moment
+		j.plan = []Step{j.backoff()} // no host has the contents yet: give the seeds time to read them
 	default:
 		j.plan = j.askSteps()
 	}
 }
 
-// Redirect takes over that a host which has the list is passing it on to many others, and named some that have it too.
-func (j *Joiner) Redirect(elsewhere []netip.AddrPort) { j.referrals = elsewhere }
+// Redirect records that the host asked by an AskHost step is busy passing the contents on, and named other hosts
+// that have them.
+func (j *Joiner) Redirect(referrals []netip.AddrPort) { j.referrals = referrals }
 
-// planRound returns the steps of the next round. Others learn from the seeds, which don't wait for each other.
+// planRound starts a round and returns its steps. Seeds read the store without waiting for each other; the other
+// hosts ask the seeds.
 func (j *Joiner) planRound() []Step {
 	j.round++
 	first := Step(ListHosts{})
@@ -85,11 +89,12 @@
 	return append([]Step{first}, j.askSteps()...)
 }
 
-// askSteps returns whom to askSteps in this round, those first that certainly have the list.
+// askSteps returns the steps that ask other hosts in this round, and the pause after them. Hosts known to have
+// the contents come first.
 func (j *Joiner) askSteps() []Step {
 	var out []Step
-	for _, from := range [][]netip.AddrPort{j.referrals, j.listedHosts, j.seeds} {
-		for _, a := range j.sample(from, hostsPerRound-len(out)) {
+	for _, addrs := range [][]netip.AddrPort{j.referrals, j.listedHosts, j.seeds} {
+		for _, a := range j.sample(addrs, hostsPerRound-len(out)) {
 			out = append(out, AskHost{a})
 		}
 	}
@@ -97,7 +102,7 @@
 	return append(out, j.backoff())
 }
 
-// shouldReadStore draws whether this host shouldReadStore the store in this round.
+// shouldReadStore draws at random whether this host reads the store in this round.
 func (j *Joiner) shouldReadStore() bool {
 	if j.selfListed {
 		return serving.AsksStore(len(j.listedHosts), j.random())
@@ -107,12 +112,12 @@
 
 func (j *Joiner) isSeed() bool { return slices.Contains(j.seeds, j.self) }
 
-// sample returns up to n of the addresses, drawn at random, without this host's own.
-func (j *Joiner) sample(from []netip.AddrPort, n int) []netip.AddrPort {
+// sample returns up to n of the addresses, drawn at random, without those of this host.
+func (j *Joiner) sample(addrs []netip.AddrPort, n int) []netip.AddrPort {
 	var out []netip.AddrPort
-	// Draws that hit an address twice are spent, so that of a few addresses one may be left out.
-	for tries := maxDrawsPerAddress * n; tries > 0 && len(out) < min(n, len(from)); tries-- {
-		a := from[int(j.random()*float64(len(from)))]
+	// A draw that hits an address again counts too, so that the result may lack one of a few addresses.
+	for tries := maxDrawsPerAddress * n; tries > 0 && len(out) < min(n, len(addrs)); tries-- {
+		a := addrs[int(j.random()*float64(len(addrs)))]
 		if a != j.self && a.IsValid() && !slices.Contains(out, a) {
 			out = append(out, a)
 		}
@@ -120,7 +125,7 @@
 	return out
 }
 
-// backoff returns the backoff after this round.
+// backoff returns the pause after this round, with jitter.
 func (j *Joiner) backoff() Pause {
 	pause := min(initialBackoff<<min(j.round-1, 4), maxBackoff)
 	return Pause{time.Duration((0.5 + j.random()) * float64(pause))}
--- a/core/joining/joiner_test.go
+++ b/core/joining/joiner_test.go
@@ -11,24 +11,26 @@
 	"pearlatch/core/serving"
 )
 
-// fleet is a fleet whose hosts start together, before a store that tells who is listed.
+// fleet simulates hosts that start together and a store that lists hosts.
 type fleet struct {
 	random *rand.Rand
 	hosts  []*simHost
-	// listed are those that the store lists, which need not run.
+	// listed are the hosts that the store lists. They need not be running.
 	listed []netip.AddrPort
-	// refusedShare is the share of hosts that the store turns refusedShare.
+	// refusedShare is the share of hosts whose requests the store refuses.
 	refusedShare float64
-	// reads are the moments at which a host read the whole store.
+	// reads are the times at which hosts read the whole store.
 	reads []time.Duration
 	now   time.Duration
 }
 
+// simHost is a simulated host.
 type simHost struct {
 	addr     netip.AddrPort
 	joiner   *Joiner
 	nextStep time.Duration
-	// informed hosts pass on from knows on, to so many at once; dead ones answer nothing.
+	// An informed host has the contents from informedAt on, and passes them on to at most maxTransfers hosts at
+	// once. A dead host does not respond. The store refuses the requests of a refused host.
 	informed, dead, refused bool
 	informedAt              time.Duration
 	transferEnds            []time.Duration
@@ -48,40 +50,41 @@
 }
 
 func newFleet(seed uint64, n, informed int, listed bool) *fleet {
-	w := &fleet{random: rand.New(rand.NewPCG(seed, 7))}
+	f := &fleet{random: rand.New(rand.NewPCG(seed, 7))}
 	seeds := []netip.AddrPort{hostAddr(0), hostAddr(1), hostAddr(2)}
 	for i := range n {
-		s := &simHost{addr: hostAddr(i), informed: i >= n-informed, nextStep: time.Duration(w.random.IntN(300)) * time.Millisecond}
-		s.joiner = New(s.addr, seeds, w.random.Float64)
-		w.hosts = append(w.hosts, s)
+		s := &simHost{addr: hostAddr(i), informed: i >= n-informed, nextStep: time.Duration(f.random.IntN(300)) * time.Millisecond}
+		s.joiner = New(s.addr, seeds, f.random.Float64)
+		f.hosts = append(f.hosts, s)
 		if listed {
-			w.listed = append(w.listed, s.addr)
+			f.listed = append(f.listed, s.addr)
 		}
 	}
-	return w
+	return f
 }
 
-// run runs until all are informed, and returns how long that took, or false if it took over half a minute.
-func (w *fleet) run() (time.Duration, bool) {
-	for _, s := range w.hosts {
-		s.refused = w.random.Float64() < w.refusedShare
+// run simulates until all hosts are informed. It returns the time that this took, and false if it exceeds 30 s.
+func (f *fleet) run() (time.Duration, bool) {
+	for _, s := range f.hosts {
+		s.refused = f.random.Float64() < f.refusedShare
 	}
-	waiting := slices.DeleteFunc(slices.Clone(w.hosts), func(s *simHost) bool { return s.informed || s.dead })
-	for w.now = 0; w.now < 30*time.Second; w.now += tick {
+	waiting := slices.DeleteFunc(slices.Clone(f.hosts), func(s *simHost) bool { return s.informed || s.dead })
+	for f.now = 0; f.now < 30*time.Second; f.now += tick {
 		for _, s := range waiting {
-			for s.nextStep <= w.now && !s.informed {
-				w.step(s)
+			for s.nextStep <= f.now && !s.informed {
+				f.step(s)
 			}
 		}
 		waiting = slices.DeleteFunc(waiting, func(s *simHost) bool { return s.informed })
 		if len(waiting) == 0 {
-			return w.now, true
+			return f.now, true
 		}
 	}
-	return w.now, false
+	return f.now, false
 }
 
-func (w *fleet) step(s *simHost) {
+// step executes the next step of a host.
+func (f *fleet) step(s *simHost) {
 	switch step := s.joiner.Next().(type) {
 	case Pause:
 		s.pauses++
@@ -89,56 +92,56 @@
 	case ListHosts:
 		s.nextStep += 2 * roundTrip
 		if !s.refused {
-			s.joiner.SetListedHosts(w.listed)
+			s.joiner.SetListedHosts(f.listed)
 		}
 	case ReadStore:
-		w.reads = append(w.reads, w.now)
+		f.reads = append(f.reads, f.now)
 		s.nextStep += readTime
 		if !s.refused {
-			w.markInformed(s)
+			f.markInformed(s)
 		}
 	case AskHost:
 		s.nextStep += roundTrip
-		from := w.hosts[int(step.Addr.Addr().As4()[2])<<8|int(step.Addr.Addr().As4()[3])]
-		from.transferEnds = slices.DeleteFunc(from.transferEnds, func(until time.Duration) bool { return until < w.now })
+		from := f.hosts[int(step.Addr.Addr().As4()[2])<<8|int(step.Addr.Addr().As4()[3])]
+		from.transferEnds = slices.DeleteFunc(from.transferEnds, func(until time.Duration) bool { return until < f.now })
 		switch {
 		case from.dead:
 			s.nextStep += 300 * time.Millisecond
-		case !from.informed || from.informedAt > w.now:
+		case !from.informed || from.informedAt > f.now:
 		case len(from.transferEnds) < maxTransfers:
-			from.transferEnds = append(from.transferEnds, w.now+transferTime)
+			from.transferEnds = append(from.transferEnds, f.now+transferTime)
 			s.nextStep += transferTime
-			w.markInformed(s)
+			f.markInformed(s)
 		default:
-			s.joiner.Redirect(w.sampleInformed())
+			s.joiner.Redirect(f.sampleInformed())
 		}
 	}
 }
 
-// sampleInformed returns informed hosts, as a busy one names them.
-func (w *fleet) sampleInformed() []netip.AddrPort {
+// sampleInformed returns some informed hosts, as a busy host names them.
+func (f *fleet) sampleInformed() []netip.AddrPort {
 	var out []netip.AddrPort
 	for range 20 {
-		if s := w.hosts[w.random.IntN(len(w.hosts))]; s.informed && len(out) < 4 {
+		if s := f.hosts[f.random.IntN(len(f.hosts))]; s.informed && len(out) < 4 {
 			out = append(out, s.addr)
 		}
 	}
 	return out
 }
 
-func (w *fleet) markInformed(s *simHost) {
+func (f *fleet) markInformed(s *simHost) {
 	s.informed, s.informedAt = true, s.nextStep
-	if !slices.Contains(w.listed, s.addr) {
-		w.listed = append(w.listed, s.addr)
+	if !slices.Contains(f.listed, s.addr) {
+		f.listed = append(f.listed, s.addr)
 	}
 }
 
-// maxReadsWithin returns the most reads of the store in a second.
-func (w *fleet) maxReadsWithin(span time.Duration) int {
+// maxReadsWithin returns the maximum number of store reads within any span of this length.
+func (f *fleet) maxReadsWithin(span time.Duration) int {
 	most := 0
-	for i, from := range w.reads {
+	for i, from := range f.reads {
 		n := 0
-		for _, at := range w.reads[i:] {
+		for _, at := range f.reads[i:] {
 			if at < from+span {
 				n++
 			}
@@ -148,9 +151,10 @@
 	return most
 }
 
-// All hosts of a fleet start, or half of them start again, or all do while their entries stand, or the seeds are gone, or
-// the store turns a third away. Each must learn what is in the store within seconds, and no more hosts must read all of it
-// at a time than the store carries, however large the fleet is.
+// All hosts of a fleet start, half of them restart, all restart while the store still lists them, the seeds are
+// gone, or the store refuses a third of the hosts. Each host must have the contents of the store within seconds.
+// The number of hosts that read the whole store within a second must not exceed what the store can serve,
+// whatever the size of the fleet.
 func TestFleetStartLimitsStoreReads(t *testing.T) {
 	for _, c := range []struct {
 		name     string
@@ -160,51 +164,52 @@
 		within   time.Duration
 	}{
 		{"first start", 0, false, nil, 5 * time.Second},
-		{"half start again", 0.45, true, nil, 4 * time.Second},
-		{"all start again", 0, true, nil, 5 * time.Second},
-		{"first start with dead seeds", 0, false, func(w *fleet) {
-			for _, s := range w.hosts[:3] {
+		{"half of the hosts restart", 0.45, true, nil, 4 * time.Second},
+		{"all hosts restart", 0, true, nil, 5 * time.Second},
+		{"first start with dead seeds", 0, false, func(f *fleet) {
+			for _, s := range f.hosts[:3] {
 				s.dead = true
 			}
 		}, 10 * time.Second},
-		{"the store turns a third away", 0, true, func(w *fleet) { w.refusedShare = 0.33 }, 8 * time.Second},
+		{"the store refuses a third of the hosts", 0, true, func(f *fleet) { f.refusedShare = 0.33 }, 8 * time.Second},
 	} {
 		for _, n := range []int{100, 1000, 2000} {
 			t.Run(fmt.Sprintf("%s/%d", c.name, n), func(t *testing.T) {
-				w := newFleet(uint64(n), n, int(c.informed*float64(n)), c.listed)
+				f := newFleet(uint64(n), n, int(c.informed*float64(n)), c.listed)
 				if c.change != nil {
-					c.change(w)
+					c.change(f)
 				}
-				took, ok := w.run()
+				took, ok := f.run()
 				if !ok || took > c.within {
-					t.Errorf("all know the list after %s, want %s", took, c.within)
+					t.Errorf("all hosts informed after %s, want at most %s", took, c.within)
 				}
-				if most := w.maxReadsWithin(time.Second); most > 5*serving.StoreReaders {
+				if most := f.maxReadsWithin(time.Second); most > 5*serving.StoreReaders {
 					t.Errorf("%d hosts read the store within a second, want at most %d", most, 5*serving.StoreReaders)
 				}
-				t.Logf("%s, %d reads, %d in a second", took, len(w.reads), w.maxReadsWithin(time.Second))
+				t.Logf("informed after %s, %d reads, at most %d within a second", took, len(f.reads), f.maxReadsWithin(time.Second))
 			})
 		}
 	}
 }
 
-// A few hosts that start again read the store at once: it is nearer than another host that may be starting as well.
+// In a small fleet, hosts that restart read the store at once: it is nearer than another host, which may be
+// starting as well.
 func TestSmallFleetReadsStore(t *testing.T) {
-	w := newFleet(1, 8, 0, true)
-	for _, s := range w.hosts[3:] {
+	f := newFleet(1, 8, 0, true)
+	for _, s := range f.hosts[3:] {
 		s.joiner.Next()
-		s.joiner.SetListedHosts(w.listed)
+		s.joiner.SetListedHosts(f.listed)
 		if _, ok := s.joiner.Next().(ReadStore); !ok {
-			t.Errorf("%s does not read the store at once", s.addr)
+			t.Errorf("%s does not read the store first", s.addr)
 		}
 	}
 }
 
-// A host without seeds and one that is a seed ask the store before all else, and others when it fails.
+// A host without seeds and a host that is a seed read the store first, and ask other hosts if that fails.
 func TestSeedsReadStore(t *testing.T) {
 	for _, j := range []*Joiner{New(hostAddr(1), []netip.AddrPort{hostAddr(0), hostAddr(1)}, rand.Float64), New(hostAddr(1), nil, rand.Float64)} {
 		if _, ok := j.Next().(ReadStore); !ok {
-			t.Error("the store is not asked first")
+			t.Error("the first step does not read the store")
 		}
 		for {
 			if _, ok := j.Next().(Pause); ok {
--- a/core/joining/step.go
+++ b/core/joining/step.go
@@ -5,17 +5,18 @@
 	"time"
 )
 
-// Step is what a host does next. Its implementations are ReadStore, CountHosts, AskHost and Pause.
+// Step is an action for the host to execute. Its implementations are ReadStore, ListHosts, AskHost and Pause.
 type Step interface{ isStep() }
 
 type (
-	// ReadStore reads everything from the store.
+	// ReadStore reads the whole contents from the store.
 	ReadStore struct{}
-	// ListHosts reads from the store which hosts are listed. The list may be some seconds old.
+	// ListHosts reads the list of hosts from the store, which may be some seconds old. Its result goes to
+	// Joiner.SetListedHosts.
 	ListHosts struct{}
-	// AskHost asks another host to pass on what it knows.
+	// AskHost fetches the contents from another host.
 	AskHost struct{ Addr netip.AddrPort }
-	// Pause waits.
+	// Pause waits for the duration For.
 	Pause struct{ For time.Duration }
 )
 
--- a/core/outage/doc.go
+++ b/core/outage/doc.go
@@ -1,3 +1,3 @@
-// Package outage predicts how long something that is away will stay away, so that whoever
-// can't live to see its return is refused at once and told when to come back.
+// Package outage estimates how long an unavailable component stays unavailable, so that a caller whose deadline
+// ends before its return is refused at once and told when to retry.
 package outage
--- a/core/placement/doc.go
+++ b/core/placement/doc.go
@@ -1,3 +1,3 @@
-// Package placement chooses the member of a database group that runs a
-// statement, and predicts how long it takes there.
+// Package placement estimates the cost of running a statement on each member of a database group, by which a
+// host chooses the member.
 package placement
--- a/core/placement/member.go
+++ b/core/placement/member.go
@@ -2,40 +2,37 @@
 
 import "time"
 
-// Member is what is known of a member that may run a statement.
+// Member is the state of a member that may run a statement, as known to this host.
 type Member struct {
-	// Latency is the average time that statements took there lately, waiting
-	// included. Zero stands for unknown.
+	// Latency is the moving average of statement times on the member, queueing included. Zero means unknown.
 	Latency time.Duration
-	// Running is how many statements of this host run there.
+	// Running is the number of statements of this host that run on the member.
 	Running int
-	// SameZone is true when the member is in the host's availability zone.
-	SameZone bool
-	// IsPrimary is true for the primary.
+	// SameZone is true if the member is in the host's availability zone.
+	SameZone  bool
 	IsPrimary bool
-	// Suspect members failed to answer lately.
+	// Suspect is true if the member failed to answer lately.
 	Suspect bool
 }
 
 const (
-	// crossZoneCost is what a member in another availability zone costs: the two ways of
-	// about 1 ms that the users' sites have, and its price in bytes.
+	// crossZoneCost is the cost of a member in another availability zone: two network hops of about 1 ms each at
+	// the users' sites, and the price of the traffic.
 	crossZoneCost = 3 * time.Millisecond
-	// primaryCost keeps reads off the primary, which alone takes writes,
-	// while a replica is no more than about one statement slower.
+	// primaryCost keeps reads off the primary, the only member that takes writes, while a replica is slower by
+	// no more than about one statement.
 	primaryCost = 12 * time.Millisecond
-	// suspectCost puts a member that did not answer behind all others.
+	// suspectCost ranks a member that failed to answer behind all others.
 	suspectCost = time.Second
-	// defaultLatency stands for a member without a sample: low, so that a new
-	// member is tried.
+	// defaultLatency is assumed for a member without a sample. It is low, so that a new member gets statements.
 	defaultLatency = 5 * time.Millisecond
-	// latencyWeight of a new sample in the moving average: about ten statements
-	// decide, half a second of an ordinary load.
+	// latencyWeight is the weight of a new sample in the moving average: the average spans about ten statements,
+	// half a second of ordinary load.
 	latencyWeight = 0.15
 )
 
-// Cost predicts how long a read takes on the member, with what keeps reads off
-// it added.
+// Cost estimates how long a read takes on the member, and adds the penalties that keep reads off it. The member
+// with the lowest cost is the best.
 func (m Member) Cost() time.Duration {
 	latency := m.Latency
 	if latency == 0 {
@@ -54,7 +51,8 @@
 	return cost
 }
 
-// UpdateLatency returns the average latency after another sample.
+// UpdateLatency returns the moving average of the latency after another sample. A zero average means that there
+// was no sample yet.
 func UpdateLatency(average, sample time.Duration) time.Duration {
 	if average == 0 {
 		return sample
--- a/core/recall/doc.go
+++ b/core/recall/doc.go
@@ -1,4 +1,4 @@
-// Package recall remembers which requests a host got lately, and what became of them, so that a sender whose
-// connection broke, or went silent, can find out: a write whose answer got lost between two hosts need not stay in
-// doubt, and one that never arrived may be sent again elsewhere.
+// Package recall keeps a log of the requests that a host received lately and of their outcomes. A sender that
+// lost its connection, or got no reply, asks the receiver for the outcome: a write whose reply was lost between
+// two hosts need not stay in doubt, and a request that never arrived may be sent again to another host.
 package recall
--- a/core/recall/log.go
+++ b/core/recall/log.go
@@ -5,36 +5,37 @@
 	"time"
 )
 
-// Key names a request: the process that sent it, and its number there.
+// Key identifies a request by the process that sent it and its serial number there.
 type Key struct {
 	Sender string
 	Serial uint64
 }
 
-// Log holds the requests that came lately, with answers of type R. The zero value is ready for use, also by several
-// goroutines.
+// Log records requests received lately, with replies of type R. The zero value is ready for use. It is safe for
+// concurrent use.
 type Log[R any] struct {
 	mu      sync.Mutex
 	entries map[Key]*entry[R]
-	// order holds the keys, the oldest first.
+	// order holds the keys by age, the oldest first.
 	order []Key
 }
 
 type entry[R any] struct {
-	// recorded is when the request came, or was recalled before it came.
+	// recorded is when the request arrived, or when Resolve rejected it before it arrived.
 	recorded time.Time
-	// rejected is true for a request that was recalled before it came.
+	// rejected is true if Resolve was called for the request before it arrived.
 	rejected bool
-	// done is true once the request has its answer.
+	// done is true once the request has a reply.
 	done  bool
 	reply R
 }
 
-// Retention is how long a request is remembered: the longest timeout of the users'
-// statements, 2 s, and as long again for the questions after it.
+// Retention is how long a request is kept: the longest statement timeout of the users, 2 s, and as long again
+// for calls of Resolve after it.
 const Retention = 4 * time.Second
 
-// Admit records a request and reports whether it may run.
+// Admit records a request and reports whether it may run. It returns false for a request that was admitted
+// before or that Resolve rejected.
 func (l *Log[R]) Admit(k Key, now time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -45,7 +46,7 @@
 	return true
 }
 
-// Complete records the answer to a request.
+// Complete records the reply to a request. It does nothing if the log does not hold the request.
 func (l *Log[R]) Complete(k Key, reply R) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -54,38 +55,39 @@
 	}
 }
 
-// Outcome is what became of a request.
+// Outcome is the state of a request.
 type Outcome uint8
 
 // The outcomes.
 const (
-	// NotReceived means that the request has not come, and will be refused if it does.
+	// NotReceived means that the request has not arrived and is rejected if it does.
 	NotReceived Outcome = iota
-	// Running means that it is being worked on.
+	// Running means that the request has no reply yet.
 	Running
-	// Answered means that it has its answer.
+	// Answered means that the request has its reply.
 	Answered
 )
 
-// Resolve says what became of a request, with its answer. One that is not known is refused from then on,
-// so that it can't run after its sender was told.
+// Resolve returns the outcome of a request, and its reply if it is Answered. A request that has not arrived is
+// rejected from then on, so that it can't run after its sender was told that it has not.
 func (l *Log[R]) Resolve(k Key, now time.Time) (Outcome, R) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	var none R
+	var zero R
 	e := l.entries[k]
 	switch {
 	case e == nil:
 		l.add(k, &entry[R]{recorded: now, rejected: true})
-		return NotReceived, none
+		return NotReceived, zero
 	case e.rejected:
-		return NotReceived, none
+		return NotReceived, zero
 	case !e.done:
-		return Running, none
+		return Running, zero
 	}
 	return Answered, e.reply
 }
 
+// add adds an entry and removes those older than Retention. The caller must hold l.mu.
 func (l *Log[R]) add(k Key, e *entry[R]) {
 	if l.entries == nil {
 		l.entries = map[Key]*entry[R]{}
--- a/core/recall/log_test.go
+++ b/core/recall/log_test.go
@@ -10,32 +10,32 @@
 	at := func(d time.Duration) time.Time { return time.Unix(0, 0).Add(d) }
 	k := Key{"h1", 7}
 	if !l.Admit(k, at(0)) || l.Admit(k, at(1)) {
-		t.Error("a request is admitted once")
+		t.Error("a request must be admitted exactly once")
 	}
 	if o, _ := l.Resolve(k, at(2)); o != Running {
 		t.Errorf("%v, want Running", o)
 	}
 	l.Complete(k, "yes")
 	if o, reply := l.Resolve(k, at(3)); o != Answered || reply != "yes" {
-		t.Errorf("%v, %q, want the answer", o, reply)
+		t.Errorf("%v, %q, want the reply", o, reply)
 	}
 	if !l.Admit(Key{"h1", 8}, at(Retention)) || len(l.entries) != 1 {
-		t.Errorf("%d requests are kept after their time", len(l.entries))
+		t.Errorf("%d entries after Retention, want 1", len(l.entries))
 	}
 }
 
-// A sender asks about a request that is still under way to the host, and is told that it has not run. If it ran when it
-// arrives, what the sender does next would do it twice.
+// A sender asks for the outcome of a request that is still in transit, and is told that it has not run. If it
+// ran on arrival, the retry of the sender would execute it twice.
 func TestResolvedRequestIsNotAdmitted(t *testing.T) {
 	var l Log[int]
 	k, now := Key{"h1", 7}, time.Unix(0, 0)
 	for range 2 {
 		if o, _ := l.Resolve(k, now); o != NotReceived {
-			t.Errorf("%v, want Unknown", o)
+			t.Errorf("%v, want NotReceived", o)
 		}
 	}
 	if l.Admit(k, now) {
-		t.Error("it may run though its sender was told that it has not")
+		t.Error("a request was admitted after its sender was told that it has not run")
 	}
-	l.Complete(Key{"h2", 1}, 1) // nobody sent it: nothing happens
+	l.Complete(Key{"h2", 1}, 1) // not in the log: no effect
 }
