--- a/core/joining/joiner.go
+++ b/core/joining/joiner.go
@@ -105,7 +105,7 @@
 // shouldReadStore draws at random whether this host reads the store in this round.
 func (j *Joiner) shouldReadStore() bool {
 	if j.selfListed {
-		return serving.AsksStore(len(j.listedHosts), j.random())
+		return serving.ShouldReadStore(len(j.listedHosts), j.random())
 	}
 	return j.random() < initialReadProbability*float64(uint64(1)<<min(j.round, 10))
 }
--- a/core/joining/joiner_test.go
+++ b/core/joining/joiner_test.go
@@ -183,8 +183,8 @@
 				if !ok || took > c.within {
 					t.Errorf("all hosts informed after %s, want at most %s", took, c.within)
 				}
-				if most := f.maxReadsWithin(time.Second); most > 5*serving.StoreReaders {
-					t.Errorf("%d hosts read the store within a second, want at most %d", most, 5*serving.StoreReaders)
+				if most := f.maxReadsWithin(time.Second); most > 5*serving.TargetStoreReaders {
+					t.Errorf("%d hosts read the store within a second, want at most %d", most, 5*serving.TargetStoreReaders)
 				}
 				t.Logf("informed after %s, %d reads, at most %d within a second", took, len(f.reads), f.maxReadsWithin(time.Second))
 			})
--- a/core/leadership/inherit.go
+++ b/core/leadership/inherit.go
@@ -16,7 +16,7 @@
 
 // NewStoredRecord returns the record r that the store returned at the given revision.
 func NewStoredRecord(r Record, revision kv.Revision) StoredRecord {
-	return StoredRecord{r, kv.At(r.Epoch, revision.Number())}
+	return StoredRecord{r, kv.NewRevision(r.Epoch, revision.Number())}
 }
 
 // Inherit returns the record from which a holder continues that claimed the duty in the epoch taken. It chooses
