--- a/core/leadership/inherit.go
+++ b/core/leadership/inherit.go
@@ -6,39 +6,39 @@
 	"pearlatch/core/kv"
 )
 
-// Found is a record as a host found it in the store.
-type Found struct {
+// StoredRecord is a record as a host read it from the store.
+type StoredRecord struct {
 	Record
-	// At is the revision at which its holder wrote it, or zero if there is no record. A copy of the store keeps that
-	// revision's number, so its epoch is the record's own.
-	At kv.Revision
+	// Revision is the revision at which the holder wrote the record, or zero if there is no record. A restored
+	// copy of the store keeps the number of that revision, so the epoch is that of the record.
+	Revision kv.Revision
 }
 
-// NewFound returns a record that a store shows at a revision.
-func NewFound(r Record, shown kv.Revision) Found {
-	return Found{r, kv.NewRevision(r.Epoch, shown.Number())}
+// NewStoredRecord returns the record r that the store returned at the given revision.
+func NewStoredRecord(r Record, revision kv.Revision) StoredRecord {
+	return StoredRecord{r, kv.NewRevision(r.Epoch, revision.Number())}
 }
 
-// Inherit returns the record on which a holder goes on that has taken the duty in an epoch, out of the one in the store
-// and the one that its host remembers from before the store last came back. The copy may lack the newest record: the
-// order that stands there would be carried out though nobody knew of it.
+// Inherit returns the record from which a holder continues that claimed the duty in the epoch taken. It chooses
+// between the record in the store and the one that the host remembers from before the last restore of the store.
+// The restored copy may lack the newest record, and with it a promotion order that may still be executed.
 //
-// certain is false if another host may have held the duty since the record was written, and wrote nothing that has
-// outlasted the store's return. Then it was not handed back, whatever the record says.
-func Inherit(stored, remembered Found, taken kv.Epoch) (out Found, certain bool) {
+// certain is false if another host may have held the duty after the record was written, and its writes were lost
+// in the restore. HandedBack is then false, whatever the record says.
+func Inherit(stored, remembered StoredRecord, taken kv.Epoch) (out StoredRecord, certain bool) {
 	out = stored
-	if stored.At.Epoch() < taken && remembered.At > stored.At {
+	if stored.Revision.Epoch() < taken && remembered.Revision > stored.Revision {
 		out = remembered
 		out.Grantees = Union(stored.Grantees, remembered.Grantees...)
 		out.Granters = Union(stored.Granters, remembered.Granters...)
 	}
-	if certain = out.At.Epoch() == taken; !certain {
+	if certain = out.Revision.Epoch() == taken; !certain {
 		out.HandedBack = false
 	}
 	return out, certain
 }
 
-// Union returns hosts and some more, in order and each once.
+// Union returns the sorted union of two lists of hosts.
 func Union(hosts []string, more ...string) []string {
 	out := slices.Concat(hosts, more)
 	slices.Sort(out)
