--- a/core/freshness/class.go
+++ b/core/freshness/class.go
@@ -8,21 +8,22 @@
 	"github.com/pkg/errors"
 )
 
-// Class is the freshness that a route accepts for its reads. Its
+// Class is the freshness that a route requires of its reads. Its
 // implementations are Latest, OwnWrites and MaxAge.
 type Class interface {
 	fmt.Stringer
 	isClass()
 }
 
-// Latest asks for what a majority of the members holds when the read arrives.
+// Latest requires everything that a majority of the members holds when the read
+// arrives.
 type Latest struct{}
 
-// OwnWrites asks for every write that the session has had acknowledged.
+// OwnWrites requires every acknowledged write of the session.
 type OwnWrites struct{}
 
-// MaxAge asks for every write that the session has had acknowledged, and for
-// every other write that was acknowledged longer ago than Age.
+// MaxAge requires every acknowledged write of the session, and every other
+// write that was acknowledged longer ago than Age.
 type MaxAge struct {
 	// Age is positive.
 	Age time.Duration
--- a/core/freshness/doc.go
+++ b/core/freshness/doc.go
@@ -1,3 +1,4 @@
-// Package freshness decides which member of a database group may answer a read
-// without breaking what its session and its route were promised.
+// Package freshness decides which members of a database group may answer a
+// read, given the writes that the read's session must see and the freshness
+// class of its route.
 package freshness
--- a/core/freshness/marks.go
+++ b/core/freshness/marks.go
@@ -8,13 +8,16 @@
 	"pearlatch/core/group"
 )
 
-// markShards is the number of shards of Marks. A power of two, so that the
-// shard is taken from the low bits of the hash.
+// markShards is the number of shards of SessionMarks. It is a power of two, so
+// that the shard is taken from the low bits of the hash.
 const markShards = 64
 
-// SessionMarks holds, for each session that wrote recently, the position that its
-// reads must reach. A session without an entry wrote nothing that some replica
-// may still lack. The zero value is empty and ready for use.
+// SessionMarks holds a mark for each session that wrote recently: the position
+// that its reads must reach. A session without a mark has written nothing that
+// some replica may still lack.
+//
+// The zero value is empty and ready for use. The methods may be called from
+// several goroutines.
 type SessionMarks struct {
 	shards [markShards]markShard
 }
@@ -28,8 +31,8 @@
 	return &m.shards[xxhash.Sum64String(session)%markShards]
 }
 
-// Raise records that session has had the write at p acknowledged. A mark never
-// falls.
+// Raise records that a write of the session at position p was acknowledged. A
+// mark never moves back.
 func (m *SessionMarks) Raise(session string, p group.Position) {
 	s := m.shard(session)
 	s.mu.Lock()
@@ -50,7 +53,7 @@
 	return s.marks[session]
 }
 
-// Prune drops the marks that every member has reached.
+// Prune removes the marks up to the position that every member has reached.
 func (m *SessionMarks) Prune(reached group.Position) {
 	for i := range m.shards {
 		s := &m.shards[i]
--- a/core/freshness/need.go
+++ b/core/freshness/need.go
@@ -6,26 +6,28 @@
 	"pearlatch/core/group"
 )
 
-// Requirement is what a read asks of the member that answers it.
+// Requirement is what a read requires of the member that answers it.
 type Requirement struct {
-	// Class is the route's class.
+	// Class is the freshness class of the route.
 	Class Class
-	// Position is what the member must have replayed: the higher of the
-	// session's mark and the owner's floor, or zero for a session that is known
-	// never to have written.
+	// Position is the position that the member must have replayed: the higher of
+	// the session's mark and the owner's floor, or zero for a session that is
+	// known never to have written.
 	Position group.Position
 }
 
-// EstimateWait predicts how long the replica takes until it may answer the read, from how
-// far it is behind. reached is what Ages.Reached returns for n.Position. It returns
-// false when no wait helps, as far as that tells: the replica's lag alone exceeds
-// the age that the class accepts, or is not known.
-func (n Requirement) EstimateWait(r Replica, reached, now time.Time) (time.Duration, bool) {
+// EstimateWait estimates from the replica's lag how long the replica takes to
+// meet the requirement. reachedAt is the result of PositionHistory.ReachedAt
+// for the required position; if it is zero, the estimate is zero. EstimateWait
+// returns false if waiting is not expected to help: the class is Latest, the
+// replica's lag is unknown, or the lag alone exceeds the age that the class
+// accepts.
+func (req Requirement) EstimateWait(r Replica, reachedAt, now time.Time) (time.Duration, bool) {
 	if r.AsOf.IsZero() {
 		return 0, false
 	}
 	lag := now.Sub(r.AsOf)
-	switch c := n.Class.(type) {
+	switch c := req.Class.(type) {
 	case Latest:
 		return 0, false
 	case MaxAge:
@@ -33,26 +35,28 @@
 			return 0, false
 		}
 	}
-	if reached.IsZero() || n.Position.Compare(r.Position) <= 0 {
+	if reachedAt.IsZero() || req.Position.Compare(r.Position) <= 0 {
 		return 0, true
 	}
-	return max(0, reached.Add(lag).Sub(now)), true
+	return max(0, reachedAt.Add(lag).Sub(now)), true
 }
 
-// Replica is what is known of a replica.
+// Replica is the known state of a replica.
 type Replica struct {
-	// Position is what the replica has replayed, in the primary's term.
+	// Position is the position that the replica has replayed, in the primary's
+	// term.
 	Position group.Position
-	// AsOf is what Ages.AsOf returns for Position.
+	// AsOf is the result of PositionHistory.AsOf for Position.
 	AsOf time.Time
 }
 
-// SatisfiedBy reports whether the replica may answer a read at the given time.
-func (n Requirement) SatisfiedBy(r Replica, now time.Time) bool {
-	if n.Position.Compare(r.Position) > 0 {
+// SatisfiedBy reports whether the replica may answer the read at the given
+// time.
+func (req Requirement) SatisfiedBy(r Replica, now time.Time) bool {
+	if req.Position.Compare(r.Position) > 0 {
 		return false
 	}
-	switch c := n.Class.(type) {
+	switch c := req.Class.(type) {
 	case Latest:
 		return false
 	case OwnWrites:
--- a/core/group/assess.go
+++ b/core/group/assess.go
@@ -3,35 +3,39 @@
 // NoMember is the index that stands for "no member".
 const NoMember = -1
 
-// Majority returns how many of n members make a majority.
+// Majority returns the number of members that form a majority of n.
 func Majority(n int) int { return n/2 + 1 }
 
-// Leadership says who leads a group, as far as the samples tell. Its
-// implementations are Led and Leaderless.
+// Leadership tells which member is the primary of a group, as far as the
+// samples show. Its implementations are Led and Leaderless.
 type Leadership interface{ isLeadership() }
 
-// Led means that one member takes writes in the highest term seen.
+// Led means that exactly one member takes writes in the highest term seen.
 type Led struct {
 	// Primary is the index of the member.
 	Primary int
-	// Term is its term, and the highest of all samples.
+	// Term is the primary's term, which is the highest term of all samples.
 	Term Term
 }
 
-// Leaderless means that no sampled member takes writes in the highest term.
+// Leaderless means that no single sampled member takes writes in the highest
+// term.
 type Leaderless struct {
-	// Highest is the highest term seen; a promotion must exceed it.
+	// Highest is the highest term seen. The term of the next promotion must
+	// exceed it.
 	Highest Term
 }
 
 func (Led) isLeadership()        {}
 func (Leaderless) isLeadership() {}
 
-// FindPrimary returns who leads the group whose members' latest answers are given.
+// FindPrimary returns the leadership of a group, given the latest sample of
+// each member.
 //
-// The primary of a term is the member out of recovery that has written the
-// term's record. A replaced primary is out of recovery too: it stores an older
-// fence, or it accepted the new one without ever writing under it.
+// The primary of a term is the member that is out of recovery and has written
+// the term's record. Being out of recovery is not enough, since a replaced
+// primary is out of recovery too: it stores an older fence, or it has accepted
+// the new fence without writing the new term's record.
 func FindPrimary(samples []Sample) Leadership {
 	var highest Term
 	for _, s := range samples {
@@ -45,7 +49,7 @@
 			continue
 		}
 		if primary != NoMember {
-			// Two primaries in one term: neither may be trusted.
+			// With two primaries in one term, neither can be trusted.
 			return Leaderless{Highest: highest}
 		}
 		primary = i
@@ -57,8 +61,8 @@
 }
 
 // Follows reports whether a replica with status s receives the log of a primary
-// with status p. Position alone does not show that: the tail of an older term
-// can be longer than the log of the new one.
+// with status p. Comparing log positions is not enough, since the tail of an
+// older term can be longer than the log of the new one.
 func Follows(s, p Status) bool {
 	return s.InRecovery && s.Streaming && s.Fence.Term == p.Fence.Term && s.Timeline == p.Timeline
 }
--- a/core/group/confirm.go
+++ b/core/group/confirm.go
@@ -5,51 +5,52 @@
 	"time"
 )
 
-// Confirmation is what a majority of the members, the primary among them, was
-// seen to hold.
+// Confirmation is the part of the log that a majority of the members, including
+// the primary, was seen to hold.
 type Confirmation struct {
 	// LSN is the highest log sequence number held by a majority.
 	LSN LSN
-	// AsOf is the oldest question among the answers that make the majority:
-	// at that moment the term still stood.
+	// AsOf is the earliest send time among the probes whose answers form the
+	// majority. The term was still current at that time.
 	AsOf time.Time
 }
 
-// Confirm returns what the majority of samples holds under the given primary,
-// considering only answers to questions asked at or after since. It returns
-// false when no majority has answered that.
+// Confirm returns what a majority of the members holds under the given primary,
+// which is an index into samples. It considers only answers to probes sent at
+// or after since, and returns false if they include no majority.
 func Confirm(samples []Sample, primary int, since time.Time) (Confirmation, bool) {
 	p := samples[primary]
 	if !p.Answered() || !p.Status.Leads() || p.SentAt.Before(since) {
 		return Confirmation{}, false
 	}
 	held := []LSN{p.Status.Received}
-	asked := []time.Time{p.SentAt}
+	sentAt := []time.Time{p.SentAt}
 	for i, s := range samples {
 		if i == primary || !s.Answered() || s.SentAt.Before(since) || !Follows(s.Status, p.Status) {
 			continue
 		}
 		held = append(held, s.Status.Received)
-		asked = append(asked, s.SentAt)
+		sentAt = append(sentAt, s.SentAt)
 	}
-	need := Majority(len(samples))
-	if len(held) < need {
+	majority := Majority(len(samples))
+	if len(held) < majority {
 		return Confirmation{}, false
 	}
 	slices.SortFunc(held, func(a, b LSN) int { return -compareLSN(a, b) })
-	return Confirmation{LSN: held[need-1], AsOf: majorityAsked(asked, need)}, true
+	return Confirmation{LSN: held[majority-1], AsOf: majorityAsked(sentAt, majority)}, true
 }
 
-// majorityAsked returns the latest moment at or after which a majority was
-// asked. The first entry is the primary's, without which there is no majority.
-func majorityAsked(asked []time.Time, need int) time.Time {
-	primary := asked[0]
-	rest := slices.Clone(asked[1:])
+// majorityAsked returns the latest time such that a majority, given as its
+// number of members, was probed at or after it. The first entry of sentAt is
+// the primary's send time: there is no majority without the primary.
+func majorityAsked(sentAt []time.Time, majority int) time.Time {
+	primary := sentAt[0]
+	rest := slices.Clone(sentAt[1:])
 	slices.SortFunc(rest, func(a, b time.Time) int { return b.Compare(a) })
-	if need == 1 {
+	if majority == 1 {
 		return primary
 	}
-	if slowest := rest[need-2]; slowest.Before(primary) {
+	if slowest := rest[majority-2]; slowest.Before(primary) {
 		return slowest
 	}
 	return primary
--- a/core/group/position.go
+++ b/core/group/position.go
@@ -9,20 +9,21 @@
 	"github.com/pkg/errors"
 )
 
-// Term numbers the reign of one primary. A promotion always takes a term
-// higher than any the majority of the members has seen. The zero term is that
-// of a group which was never promoted by pearlatch.
+// Term numbers the period in which one primary leads. Each promotion takes a
+// term higher than any that a majority of the members has seen. Term zero means
+// that pearlatch has not yet promoted a member of the group.
 type Term uint64
 
-// LSN is a log sequence number in bytes, as PostgreSQL counts it.
+// LSN is a log sequence number, the byte offset that PostgreSQL uses as a log
+// position.
 type LSN uint64
 
 // lsnHalf is the width in bits of each half of the text form of an LSN.
 const lsnHalf = 32
 
-// ParseLSN reads the text form "X/Y" of a log sequence number, both halves in
-// hexadecimal. The empty string is the zero LSN: PostgreSQL reports NULL for a
-// member that has received nothing yet.
+// ParseLSN parses the text form "X/Y" of a log sequence number, with both
+// halves in hexadecimal. The empty string is the zero LSN, since PostgreSQL
+// reports NULL for a member that has received nothing yet.
 func ParseLSN(s string) (LSN, error) {
 	if s == "" {
 		return 0, nil
@@ -47,7 +48,7 @@
 	return fmt.Sprintf("%X/%X", uint64(l)>>lsnHalf, uint64(l)&(1<<lsnHalf-1))
 }
 
-// Position is a place in the log of a group.
+// Position is a position in the log of a group.
 type Position struct {
 	// Term is the term of the primary that wrote the log up to LSN.
 	Term Term
@@ -56,7 +57,7 @@
 }
 
 // Compare orders positions by term, then by LSN. It returns a negative number
-// when p is before q, zero when they are equal and a positive number otherwise.
+// if p is before q, zero if they are equal and a positive number otherwise.
 func (p Position) Compare(q Position) int {
 	if c := cmp.Compare(p.Term, q.Term); c != 0 {
 		return c
--- a/core/group/promote.go
+++ b/core/group/promote.go
@@ -1,35 +1,37 @@
 package group
 
-// FenceAck is a member's answer to an accepted fence: its log can no longer grow
-// under an older term.
+// FenceAck is the answer of a member that has accepted a fence. From then on
+// its log can't grow under an older term.
 type FenceAck struct {
 	// Member is the index of the member.
 	Member int
-	// LogTerm is the term of the last record that it holds.
+	// LogTerm is the term of the last record that the member holds.
 	LogTerm Term
-	// Received is the end of its log.
+	// Received is the end of the member's log.
 	Received LSN
-	// InRecovery is false when the member was a primary.
+	// InRecovery is false if the member was a primary.
 	InRecovery bool
 }
 
 // position returns the end of the member's log.
 func (f FenceAck) position() Position { return Position{Term: f.LogTerm, LSN: f.Received} }
 
-// Candidate returns the member to promote out of those that accepted a fence,
-// of a group of n members, or false when a majority has not accepted. The
-// member with the highest position is chosen: any majority that confirmed an
-// acknowledged write overlaps the fenced one, so the highest position includes
-// every acknowledged write. Members for which barred returns true are passed
-// over only if another member holds as much.
-func Candidate(fenced []FenceAck, n int, barred func(member int) bool) (FenceAck, bool) {
+// Candidate returns the member to promote in a group of n members, given the
+// acknowledgments of a fence, or false if no majority has accepted the fence.
+//
+// It chooses the member with the highest position. Any majority that confirmed
+// an acknowledged write overlaps the fenced majority, so the highest position
+// includes every acknowledged write. A member for which avoid returns true is
+// chosen only if its position is higher than that of every other member, or all
+// members at that position are avoided too.
+func Candidate(fenced []FenceAck, n int, avoid func(member int) bool) (FenceAck, bool) {
 	if len(fenced) < Majority(n) {
 		return FenceAck{}, false
 	}
 	best := fenced[0]
 	for _, f := range fenced[1:] {
 		c := f.position().Compare(best.position())
-		if c > 0 || c == 0 && barred(best.Member) && !barred(f.Member) {
+		if c > 0 || c == 0 && avoid(best.Member) && !avoid(f.Member) {
 			best = f
 		}
 	}
--- a/core/group/relief.go
+++ b/core/group/relief.go
@@ -3,52 +3,62 @@
 import "time"
 
 const (
-	// minOverloadedRounds is how many rounds in a row a primary must be at its limit while no replica is fresh, until another
-	// member takes over.
+	// minOverloadedRounds is how many rounds in a row must show an overloaded
+	// primary without fresh replicas before another member takes over.
 	minOverloadedRounds = 2
-	// minSwitchoverInterval is the least time between two changes of primary for relief: each aborts the transactions that are
-	// open.
+	// minSwitchoverInterval is the minimum time between two switchovers because
+	// of overload. Each one aborts the open transactions.
 	minSwitchoverInterval = 8 * time.Second
-	// minOverloadWaits is how many statements must have had to wait within a round. Fewer are a burst.
+	// minOverloadWaits is how many statements must have waited within a round
+	// for the primary to count as saturated. Fewer are taken for a burst.
 	minOverloadWaits = 8
 )
 
-// PrimaryLoad is what one round showed of a primary's load.
+// PrimaryLoad describes the load of a primary in one round of probes.
 type PrimaryLoad struct {
-	// ReplicasLagging is true if every replica is further behind than the group's routes accept, so that the primary serves all
-	// reads.
+	// ReplicasLagging is true if every replica lags by more than the group's
+	// routes accept, so that the primary serves all reads.
 	ReplicasLagging bool
-	// Running is how many statements the primary ran at the moment of the question, and Slots how many it runs at once.
+	// Running is how many statements the primary was running when it was
+	// probed, and Slots how many it can run at once.
 	Running, Slots int
-	// Waits is how many statements of the asking host had to wait since the round before.
+	// Waits is how many statements of the probing host have had to wait since
+	// the previous round.
 	Waits int
 }
 
-// saturated reports whether the primary can't serve what comes to it. The moment of the question alone does not tell: a
-// primary with short statements is idle between two of them while others wait.
+// saturated reports whether the primary can't keep up with its statements. The
+// number of running statements alone does not show it, since a primary with
+// short statements may be probed in the idle moment between two of them while
+// others wait.
 func (l PrimaryLoad) saturated() bool { return l.Running >= l.Slots || l.Waits >= minOverloadWaits }
 
-// OverloadDetector decides when a group is better off with another primary: the present one is at its limit, since no replica is
-// fresh enough. A promoted replica is up to date at once, however far it was behind, and the old primary goes on as a
-// replica that is not behind, so two members serve reads. The zero value is ready for use.
+// OverloadDetector decides when an overloaded primary is to be replaced because
+// no replica is fresh enough to take reads off it. A promoted replica is up to
+// date at once, however far it lagged, and the old primary continues as a
+// replica that does not lag, so that two members serve reads afterwards.
+//
+// The zero value is ready for use. An OverloadDetector is not safe for
+// concurrent use.
 type OverloadDetector struct {
 	overloadedRounds int
 	switchedAt       time.Time
 }
 
-// Observe takes over a round and reports whether the primary is to be relieved now.
-func (r *OverloadDetector) Observe(l PrimaryLoad, now time.Time) bool {
+// Observe records the load of one round and reports whether the primary is to
+// be replaced now.
+func (d *OverloadDetector) Observe(l PrimaryLoad, now time.Time) bool {
 	if !l.ReplicasLagging || !l.saturated() {
-		r.overloadedRounds = 0
+		d.overloadedRounds = 0
 		return false
 	}
-	r.overloadedRounds++
-	if r.overloadedRounds < minOverloadedRounds || now.Sub(r.switchedAt) < minSwitchoverInterval {
+	d.overloadedRounds++
+	if d.overloadedRounds < minOverloadedRounds || now.Sub(d.switchedAt) < minSwitchoverInterval {
 		return false
 	}
-	r.overloadedRounds, r.switchedAt = 0, now
+	d.overloadedRounds, d.switchedAt = 0, now
 	return true
 }
 
-// Overloaded reports whether the last round showed a primary at its limit.
-func (r *OverloadDetector) Overloaded() bool { return r.overloadedRounds > 0 }
+// Overloaded reports whether the last round showed an overloaded primary.
+func (d *OverloadDetector) Overloaded() bool { return d.overloadedRounds > 0 }
--- a/core/group/successor.go
+++ b/core/group/successor.go
@@ -1,38 +1,41 @@
 package group
 
-// Standby is a replica of a group whose members acknowledge a write once the
+// Standby is a replica of a group in which a write is acknowledged once the
 // primary and at least one replica hold it.
 type Standby struct {
 	// Member is the member's identifier.
 	Member string
-	// Answered is true when the member answered the question whose outcome the
-	// other fields hold.
+	// Answered is true if the member answered the probe from which the other
+	// fields are set.
 	Answered bool
-	// Fenced replicas receive nothing more under the present primary.
+	// Fenced is true if the replica receives nothing more from the current
+	// primary.
 	Fenced bool
-	// Received is the end of the replica's log. It can't shrink, and can't grow
-	// while the replica is fenced.
+	// Received is the end of the replica's log. It never shrinks, and does not
+	// grow while the replica is fenced.
 	Received Position
-	// Complete is true when the replica holds what the primary held at some time
-	// after the last member had left the group.
+	// Complete is true if the replica holds everything that the primary held at
+	// some time after the last departed member had left the group.
 	Complete bool
-	// Leaving replicas take their log with them and are not promoted.
+	// Leaving is true if the replica is about to leave the group together with
+	// its log. It is not promoted.
 	Leaving bool
 }
 
-// Successor returns the replica to promote, or false when none is certain to hold
+// Successor returns the replica to promote, or false if none is certain to hold
 // every acknowledged write.
 //
-// A write is acknowledged by the primary together with at least one replica. When
-// all replicas but one are fenced, that one has acknowledged, or received, all that
-// came later; so if its log reaches as far as theirs it lacks nothing that replicas
-// still in the group acknowledged, and if it is complete, nothing that others had
-// acknowledged before they left with their logs. When the
-// primary itself was demoted at a position, a replica that holds that position lacks
-// nothing either, whatever the others do.
+// A write is acknowledged by the primary together with at least one replica. If
+// all replicas but one are fenced, the unfenced one has received every write
+// that was acknowledged later. So a replica whose log reaches as far as the
+// logs of all others lacks nothing that a replica still in the group has
+// acknowledged. If it is also complete, it lacks nothing that departed members
+// had acknowledged. A replica whose log reaches the end of a demoted primary's
+// log lacks nothing either, whatever the other replicas hold.
 //
-// demoted is the end of the primary's log after it was demoted, or nil. Of equals the one with the lowest identifier is chosen, so that two
-// hosts that decide on the same answers order the same promotion.
+// demoted is the end of the primary's log after its demotion, or nil. Among
+// replicas with equal positions the one with the lowest identifier is chosen,
+// so that two hosts that see the same answers promote the same replica.
 func Successor(demoted *Position, replicas []Standby) (Standby, bool) {
 	best := -1
 	for i, r := range replicas {
@@ -49,7 +52,8 @@
 	return replicas[best], true
 }
 
-// preferred orders candidates.
+// preferred reports whether a is chosen over b: it has the higher position, or
+// an equal one and the lower identifier.
 func preferred(a, b Standby) bool {
 	if c := a.Received.Compare(b.Received); c != 0 {
 		return c > 0
@@ -57,7 +61,8 @@
 	return a.Member < b.Member
 }
 
-// holdsEveryWrite reports whether replica i certainly holds every acknowledged write.
+// holdsEveryWrite reports whether replica i is certain to hold every
+// acknowledged write.
 func holdsEveryWrite(i int, demoted *Position, replicas []Standby) bool {
 	if demoted != nil && replicas[i].Received.Compare(*demoted) >= 0 {
 		return true
--- a/core/pool/burst.go
+++ b/core/pool/burst.go
@@ -2,22 +2,26 @@
 
 import "time"
 
-// burst is how many connections above its equal share a host may open to a
-// member. It grows slowly while statements wait, and is lost when the member has
-// none left, so that hosts with few callers lend to hosts with many.
+// burst is the number of connections that a host may open to a member above its
+// equal share. It grows slowly while statements wait, and is reset when the
+// member has no connection left, so that hosts with few clients lend
+// connections to hosts with many.
 type burst struct {
 	extra      int
 	nextGrowth time.Time
 }
 
 const (
-	// burstGrowthInterval is the pause between two steps of growth.
+	// burstGrowthInterval is the minimum time between two increments.
 	burstGrowthInterval = 40 * time.Millisecond
 	// burstCooldown is how long a host keeps to its share after the member had
-	// no connection left: others' extra connections are closed by then.
+	// no connection left. Within this time the other hosts close the
+	// connections above their shares.
 	burstCooldown = 1500 * time.Millisecond
 )
 
+// grow adds a connection if one is wanted and the last change is long enough
+// ago.
 func (a *burst) grow(now time.Time, wanted bool) {
 	if !wanted || now.Before(a.nextGrowth) {
 		return
@@ -26,6 +30,8 @@
 	a.nextGrowth = now.Add(burstGrowthInterval)
 }
 
+// reset returns the host to its share because the member had no connection
+// left.
 func (a *burst) reset(now time.Time) {
 	a.extra = 0
 	a.nextGrowth = now.Add(burstCooldown)
--- a/core/pool/doc.go
+++ b/core/pool/doc.go
@@ -1,11 +1,14 @@
-// Package pool decides which connection to a member of a database group a statement gets: which of those
-// that are open, which is opened or closed for it, and in which order statements wait.
+// Package pool decides which connection to a member of a database group a
+// statement gets, which connections are opened and closed, and in which order
+// statements wait.
 //
-// A connection belongs to the client account that it was opened for. Members take few connections, far
-// fewer than there are accounts times hosts, and opening one takes as long as a statement and one of the
-// member's slots. So the connections of a host are a cache: statements keep to members to which their
-// account has a connection, and the one that was not used for longest makes room.
+// A connection belongs to the client account for which it was opened. Members
+// accept few connections, far fewer than the number of accounts times the
+// number of hosts, and opening a connection takes as long as a statement and
+// occupies one of the member's slots. The connections of a host are therefore a
+// cache: statements prefer members to which their account has a connection, and
+// the least recently used connection is closed to make room.
 //
-// The package does no I/O and keeps no time. Its callers tell what happened and when, and carry out the
-// orders that they get.
+// The package does no I/O and does not read the clock. Its callers report what
+// happened and when, and carry out the actions that they get in return.
 package pool
--- a/core/pool/member.go
+++ b/core/pool/member.go
@@ -9,55 +9,61 @@
 
 // Conn is a connection to a member.
 type Conn struct {
-	// Account is whose statements run on it.
+	// Account is the client account whose statements run on the connection.
 	Account string
 	member  *Member
-	// lastUsed is when it was last taken or given back.
+	// lastUsed is when the connection was last taken or released.
 	lastUsed time.Time
-	// running is true while a statement runs on it, or is about to.
+	// running is true while a statement runs on the connection or is about to.
 	running bool
 }
 
-// Member returns the member that the connection leads to.
+// Member returns the member to which the connection leads.
 func (c *Conn) Member() *Member { return c.member }
 
-// LastUsed returns when the connection was last taken or given back.
+// LastUsed returns when the connection was last taken or released.
 func (c *Conn) LastUsed() time.Time { return c.lastUsed }
 
-// Member is what a Pool knows of its connections to one member.
+// Member is the state of a Pool's connections to one member.
 type Member struct {
 	id    string
 	slots int
-	// idle are the connections that nobody uses, the one used last at the end.
+	// idle holds the connections that are not in use, the most recently used
+	// last.
 	idle []*Conn
-	// open counts connections, idle ones and those in use.
+	// open is the number of connections, idle and in use.
 	open int
-	// dials counts connections that are being opened, by account.
+	// dials is the number of connections that are being opened, by account.
 	dials map[string]int
-	// inUse counts connections in use, running those of them on which a statement runs or is about to.
+	// inUse is the number of connections in use, and running how many of them
+	// run a statement or are about to.
 	inUse, running int
-	// latency is how long statements took lately.
+	// latency is the moving average of statement durations, or zero if there is
+	// none yet.
 	latency time.Duration
-	// dialBlockedUntil is when the member may be asked again for a connection after it had none left, or could
-	// not be reached.
+	// dialBlockedUntil is when the next connection may be opened after the
+	// member had none left or could not be reached.
 	dialBlockedUntil time.Time
 	window           Window
 	burst            burst
-	// removed is true once the member was dropped. Its connections are closed as they are given back.
+	// removed is true once the member was removed from the pool. Its
+	// connections are closed when they are released.
 	removed bool
 }
 
-// Load is how busy a host's connections to a member are.
+// Load is the load of a host's connections to a member.
 type Load struct {
-	// Open counts connections: InUse ones, of which statements run on Running, and Idle ones.
+	// Open is the number of connections: InUse of them are in use, of which
+	// Running run statements, and Idle are not in use.
 	Open, InUse, Running, Idle int
-	// Window is how many statements of the host may run at once.
+	// Window is how many statements of the host may run on the member at once.
 	Window int
-	// Latency is how long statements took lately, or zero.
+	// Latency is the moving average of statement durations, or zero if there is
+	// none yet.
 	Latency time.Duration
 }
 
-// Load returns how busy the connections are.
+// Load returns the current load of the connections.
 func (m *Member) Load() Load {
 	return Load{Open: m.open, InUse: m.inUse, Running: m.running, Idle: len(m.idle), Window: m.window.Limit(), Latency: m.latency}
 }
@@ -65,23 +71,26 @@
 // ID returns the member's identifier.
 func (m *Member) ID() string { return m.id }
 
-// ObserveLatency records how long a statement took.
+// ObserveLatency records the duration of a statement.
 func (m *Member) ObserveLatency(d time.Duration) { m.latency = placement.Observe(m.latency, d) }
 
-// Latency returns how long statements took lately, or zero.
+// Latency returns the moving average of statement durations, or zero if there
+// is none yet.
 func (m *Member) Latency() time.Duration { return m.latency }
 
-// RecordSuccess records that the member ran a statement, and Shed that it had no room for one, while so many hosts
-// shared it.
+// RecordSuccess records that the member ran a statement, which grows the
+// window.
 func (m *Member) RecordSuccess() { m.window.Grow() }
 
-// RecordOverload is described with Ran.
+// RecordOverload records that the member had no room for a statement, which
+// shrinks the window. hosts is the number of hosts that share the member.
 func (m *Member) RecordOverload(now time.Time, hosts int) { m.window.Shrink(now, hosts) }
 
-// UnblockDials lets the member be asked for connections at once: it has just answered.
+// UnblockDials lets connections to the member be opened at once, since it has
+// just answered.
 func (m *Member) UnblockDials() { m.dialBlockedUntil = time.Time{} }
 
-// dialCount counts the connections that are being opened.
+// dialCount returns the number of connections that are being opened.
 func (m *Member) dialCount() int {
 	n := 0
 	for _, each := range m.dials {
@@ -90,7 +99,8 @@
 	return n
 }
 
-// idleIndex returns the index of the account's idle connection that was used last, or -1.
+// idleIndex returns the index of the account's most recently used idle
+// connection, or -1.
 func (m *Member) idleIndex(account string) int {
 	for i := len(m.idle) - 1; i >= 0; i-- {
 		if m.idle[i].Account == account {
@@ -100,7 +110,7 @@
 	return -1
 }
 
-// removeIdle takes an idle connection out.
+// removeIdle removes the idle connection at index i and returns it.
 func (m *Member) removeIdle(i int) *Conn {
 	c := m.idle[i]
 	m.idle = slices.Delete(m.idle, i, i+1)
--- a/core/pool/pool.go
+++ b/core/pool/pool.go
@@ -9,49 +9,55 @@
 )
 
 const (
-	// fullBackoff is how long a member without a free connection is left alone: a
-	// few statements' time.
+	// fullBackoff is how long no connection is opened after the member had none
+	// left: the duration of a few statements.
 	fullBackoff = 60 * time.Millisecond
-	// dialBackoff is how long a member that could not be reached is left alone.
+	// dialBackoff is how long no connection is opened after the member could
+	// not be reached.
 	dialBackoff = 200 * time.Millisecond
-	// avoidPenalty is what a member that just failed the statement costs: as long as it stays suspect.
+	// avoidPenalty is added to the cost of a member that has just failed the
+	// statement. It is as long as a member stays suspect.
 	avoidPenalty = 500 * time.Millisecond
-	// burstIdleTimeout is how long a connection above the host's share is kept unused, so
-	// that other hosts find room.
+	// burstIdleTimeout is how long an unused connection above the host's share
+	// is kept. It is short, so that other hosts find room.
 	burstIdleTimeout = 300 * time.Millisecond
-	// shareIdleTimeout is how long a connection of the share is kept unused: a busier host may
-	// then borrow it. At the users' sites of 7 and 8 hosts that serves more than it
-	// costs to open connections again; crowdIdle holds for a crowd, whose hosts send a
-	// member about one statement a second each.
+	// shareIdleTimeout is how long an unused connection within the share is kept,
+	// after which a busier host may open one in its place. For the users' sites
+	// of 7 and 8 hosts, lending connections gains more than reopening them costs.
+	// manyHostsIdleTimeout applies to more than ManyHosts hosts, each of which
+	// sends a member about one statement per second.
 	shareIdleTimeout     = time.Second
 	manyHostsIdleTimeout = 20 * time.Second
 )
 
-// Pool is a host's connections to the members of a group. Use New. It is not safe for concurrent use.
+// Pool holds a host's connections to the members of a group. Use New to create
+// one. A Pool is not safe for concurrent use.
 type Pool struct {
 	view View
-	// members holds the members by ID, and order the same in order of their IDs.
+	// members holds the members by ID, and sorted holds them in order of their
+	// IDs.
 	members map[string]*Member
 	sorted  []*Member
-	// waiters are in order of priority, then arrival.
+	// waiters are ordered by priority, then by arrival.
 	waiters []*Waiter
-	// actions are those that the owner has not taken yet.
+	// actions are those that the owner has not fetched yet.
 	actions []Action
 }
 
 // New returns a pool without members.
-func New(b View) *Pool { return &Pool{view: b, members: map[string]*Member{}} }
+func New(v View) *Pool { return &Pool{view: v, members: map[string]*Member{}} }
 
-// DrainActions returns what is to be done since the last call.
+// DrainActions returns the actions decided since the last call.
 func (p *Pool) DrainActions() []Action {
 	out := p.actions
 	p.actions = nil
 	return out
 }
 
+// closeConn instructs the owner to close a connection.
 func (p *Pool) closeConn(c *Conn) { p.actions = append(p.actions, Close{c}) }
 
-// Add adds a member that runs so many statements at once.
+// Add adds a member that runs at most slots statements at once.
 func (p *Pool) Add(id string, slots int) *Member {
 	m := &Member{id: id, slots: slots, dials: map[string]int{}}
 	p.members[id] = m
@@ -60,7 +66,8 @@
 	return m
 }
 
-// Remove forgets a member. Its connections are closed, those in use once they are given back.
+// Remove removes a member. Its idle connections are closed now, and those in
+// use when they are released.
 func (p *Pool) Remove(m *Member) {
 	m.removed = true
 	p.CloseIdle(m)
@@ -70,7 +77,7 @@
 	p.sorted = slices.DeleteFunc(p.sorted, func(o *Member) bool { return o == m })
 }
 
-// CloseIdle closes the connections to a member that nobody uses.
+// CloseIdle closes the idle connections to a member.
 func (p *Pool) CloseIdle(m *Member) {
 	for _, c := range m.idle {
 		m.open--
@@ -79,23 +86,26 @@
 	m.idle = nil
 }
 
-// Take takes the connection that serves the need soonest, or nil if none is free. Where another member would be
-// better, if the account had a connection to it, one is opened there for the next statement.
-func (p *Pool) Take(n Request, now time.Time) *Conn {
-	c := p.takeIdle(n, now)
+// Take takes the connection that serves the request soonest, or returns nil if
+// none is idle. If another member would be preferred but the account has no
+// connection to it, Take opens one there for the next statement.
+func (p *Pool) Take(r Request, now time.Time) *Conn {
+	c := p.takeIdle(r, now)
 	if c != nil {
-		p.openPreferred(n, c.member, now)
+		p.openPreferred(r, c.member, now)
 	}
 	return c
 }
 
-func (p *Pool) takeIdle(n Request, now time.Time) *Conn {
+// takeIdle takes the idle connection that serves the request soonest, or
+// returns nil. Connections that the member has closed are removed.
+func (p *Pool) takeIdle(r Request, now time.Time) *Conn {
 	for {
-		best := p.cheapest(n, now, func(m *Member) bool { return m.window.Allows(m.running, now) && m.idleIndex(n.Account) >= 0 })
+		best := p.cheapest(r, now, func(m *Member) bool { return m.window.Allows(m.running, now) && m.idleIndex(r.Account) >= 0 })
 		if best == nil {
 			return nil
 		}
-		c := best.removeIdle(best.idleIndex(n.Account))
+		c := best.removeIdle(best.idleIndex(r.Account))
 		if p.view.Alive(c) {
 			best.inUse++
 			best.running++
@@ -107,7 +117,8 @@
 	}
 }
 
-// TakeAnyIdle takes any idle connection to the member for a question of the host's own, or nil.
+// TakeAnyIdle takes an idle connection to the member of any account, for a
+// query of the host's own. It returns nil if there is none.
 func (p *Pool) TakeAnyIdle(m *Member) *Conn {
 	if len(m.idle) == 0 {
 		return nil
@@ -116,19 +127,21 @@
 	return m.removeIdle(len(m.idle) - 1)
 }
 
-// Unconnected reports whether there is no connection to the member, nor one that is being opened.
+// Unconnected reports whether no connection to the member exists or is being
+// opened.
 func (m *Member) Unconnected() bool { return m.open+m.dialCount() == 0 }
 
-// cheapest returns the member that serves the need soonest, of those that have something.
-func (p *Pool) cheapest(n Request, now time.Time, has func(*Member) bool) *Member {
+// cheapest returns the member with the lowest cost among those that may serve
+// the request and for which eligible returns true, or nil.
+func (p *Pool) cheapest(r Request, now time.Time, eligible func(*Member) bool) *Member {
 	var best *Member
 	var bestCost time.Duration
 	for _, m := range p.sorted {
-		if !p.view.CanServe(m.id, n, now) || !has(m) {
+		if !p.view.CanServe(m.id, r, now) || !eligible(m) {
 			continue
 		}
 		cost := p.cost(m, now)
-		if m.id == n.Avoid {
+		if m.id == r.Avoid {
 			cost += avoidPenalty
 		}
 		if best == nil || cost < bestCost {
@@ -146,7 +159,7 @@
 	}.Cost()
 }
 
-// Release gives a connection back after a statement or a transaction.
+// Release returns a connection to the pool after a statement or a transaction.
 func (p *Pool) Release(c *Conn, now time.Time) {
 	m := c.member
 	m.inUse--
@@ -160,10 +173,11 @@
 	m.idle = append(m.idle, c)
 }
 
-// MarkIdleInTransaction records that the connection is held by a transaction between statements.
+// MarkIdleInTransaction records that a transaction holds the connection between
+// two statements.
 func (p *Pool) MarkIdleInTransaction(c *Conn) { c.clearRunning() }
 
-// Discard closes a connection in place of giving it back.
+// Discard closes a connection that is in use, instead of releasing it.
 func (p *Pool) Discard(c *Conn) {
 	c.member.inUse--
 	c.clearRunning()
@@ -171,20 +185,21 @@
 	p.closeConn(c)
 }
 
-// Dispatch gives idle connections to statements that wait, and opens more where it may. If the primary is
-// lost, statements that may go by way of another host are sent on.
-func (p *Pool) Dispatch(now time.Time, lost bool) {
-	var left []*Waiter
+// Dispatch assigns idle connections to waiting statements and opens more
+// connections where it may. If primaryLost is true, forwardable statements are
+// forwarded to another host.
+func (p *Pool) Dispatch(now time.Time, primaryLost bool) {
+	var unserved []*Waiter
 	for _, w := range p.servingOrder(now) {
 		c := (*Conn)(nil)
-		if !lost || !w.Request.Forwardable {
+		if !primaryLost || !w.Request.Forwardable {
 			if c = p.takeIdle(w.Request, now); c == nil {
-				left = append(left, w)
+				unserved = append(unserved, w)
 				continue
 			}
 		}
 		p.actions = append(p.actions, Assign{w, c})
 		p.CancelWait(w)
 	}
-	p.openForWaiters(left, now)
+	p.openForWaiters(unserved, now)
 }
--- a/core/pool/queue.go
+++ b/core/pool/queue.go
@@ -6,36 +6,39 @@
 	"time"
 )
 
-// Enqueue queues a statement. It is given a connection by an order of a later call.
-func (p *Pool) Enqueue(n Request) *Waiter {
-	w := &Waiter{n}
+// Enqueue adds a statement to the queue. An Assign action of a later call hands
+// it a connection.
+func (p *Pool) Enqueue(r Request) *Waiter {
+	w := &Waiter{r}
 	i := sort.Search(len(p.waiters), func(i int) bool {
 		o := p.waiters[i].Request
-		if o.Priority != n.Priority {
-			return o.Priority > n.Priority
+		if o.Priority != r.Priority {
+			return o.Priority > r.Priority
 		}
-		return o.ArrivedAt.After(n.ArrivedAt)
+		return o.ArrivedAt.After(r.ArrivedAt)
 	})
 	p.waiters = slices.Insert(p.waiters, i, w)
 	return w
 }
 
-// CancelWait takes a statement out of the queue that waits no longer.
+// CancelWait removes a statement from the queue.
 func (p *Pool) CancelWait(w *Waiter) {
 	p.waiters = slices.DeleteFunc(p.waiters, func(o *Waiter) bool { return o == w })
 }
 
-// Waiting returns how many statements wait.
+// Waiting returns the number of waiting statements.
 func (p *Pool) Waiting() int { return len(p.waiters) }
 
-// lifoThreshold is how long the oldest statement may have waited until newer ones of
-// its priority go first. While work comes faster than it is done, all would wait
-// until most are too late; newest first, those that are served are served in time.
-// The users' shortest latency objective is twice as long.
+// lifoThreshold is how long the oldest statement of a priority may have waited
+// before newer ones are served first. While statements arrive faster than they
+// are served, serving the oldest first would make all of them wait until most
+// miss their deadlines. Serving the newest first keeps those that are served in
+// time. The threshold is half the users' shortest latency objective.
 const lifoThreshold = 50 * time.Millisecond
 
 // servingOrder returns the waiters in the order in which they are served: by
-// priority, then by arrival, or the other way round while a queue stands.
+// priority, then by arrival. Within a priority whose oldest statement has
+// waited longer than lifoThreshold, the order of arrival is reversed.
 func (p *Pool) servingOrder(now time.Time) []*Waiter {
 	out := slices.Clone(p.waiters)
 	for from := 0; from < len(out); {
--- a/core/pool/request.go
+++ b/core/pool/request.go
@@ -6,19 +6,24 @@
 	"pearlatch/core/group"
 )
 
-// Request is what a statement asks of a connection.
+// Request describes the connection that a statement needs.
 type Request struct {
-	// Account is whose statement it is, or empty where callers have no accounts.
+	// Account is the client account of the statement, or empty where clients
+	// have no accounts.
 	Account string
-	// PrimaryOnly is true when only the primary will do, and Forwardable when the statement may go by way of
-	// another host if this one can't reach it.
+	// PrimaryOnly is true if the statement must run on the primary. Forwardable
+	// is true if another host may run the statement if this one can't reach the
+	// primary.
 	PrimaryOnly, Forwardable bool
-	// MinPosition is what a member must hold, or zero.
+	// MinPosition is the position that the member must hold, or zero.
 	MinPosition group.Position
-	// Avoid names a member that just failed the statement.
+	// Avoid is the identifier of a member that has just failed the statement,
+	// or empty.
 	Avoid string
-	// Priority is 0 for the most important.
-	Priority  int
+	// Priority is the rank of the statement in the queue. The most important
+	// statements have 0.
+	Priority int
+	// ArrivedAt is when the statement arrived.
 	ArrivedAt time.Time
 	// Deadline is until when the statement may wait.
 	Deadline time.Time
@@ -27,44 +32,50 @@
 // Waiter is a statement that waits for a connection.
 type Waiter struct{ Request Request }
 
-// MemberInfo says where a member stands, as this host sees it.
+// MemberInfo is what the host knows of a member's location, role and health.
 type MemberInfo struct {
-	// SameZone is true for a member of the host's availability zone.
+	// SameZone is true if the member is in the host's availability zone.
 	SameZone bool
 	// Leads is true for the primary.
 	Leads bool
-	// Suspect members failed to answer lately.
+	// Suspect is true if the member recently failed to answer.
 	Suspect bool
 }
 
-// View are what a host believes of the members, beside its own connections to them.
+// View is the host's view of the members, apart from its own connections to
+// them.
 type View interface {
-	// CanServe reports whether the member may serve the need now.
-	CanServe(member string, n Request, now time.Time) bool
-	// Info says where the member stands.
+	// CanServe reports whether the member may serve the request now.
+	CanServe(member string, r Request, now time.Time) bool
+	// Info returns what the host knows of the member.
 	Info(member string, now time.Time) MemberInfo
-	// KeepsIdle reports whether connections to the member are kept though nobody uses them.
+	// KeepsIdle reports whether unused connections to the member are kept open.
 	KeepsIdle(member string, now time.Time) bool
-	// Share is how many connections to the member are this host's own.
+	// Share returns the host's share of the member's connections.
 	Share(member string) int
-	// MayExceedShare reports whether this host may open more than its share, as long as the member has any left.
+	// MayExceedShare reports whether the host may open more connections than
+	// its share while the member has any left.
 	MayExceedShare() bool
-	// Alive reports whether the member has not closed the connection, as far as is known.
+	// Alive reports whether the member is not known to have closed the
+	// connection.
 	Alive(c *Conn) bool
 }
 
-// Action is what the owner of a Pool is to do. Its implementations are Give, Open and Close.
+// Action is an instruction to the owner of a Pool. Its implementations are
+// Assign, Open and Close.
 type Action interface{ isAction() }
 
 type (
-	// Assign hands a connection to a statement that waits, or sends it on to another host if Conn is nil.
+	// Assign hands Conn to a waiting statement, or has the statement forwarded
+	// to another host if Conn is nil.
 	Assign struct {
 		Waiter *Waiter
 		Conn   *Conn
 	}
-	// Open opens a connection to a member for an account. The owner answers with Opened or Failed.
+	// Open opens a connection to a member for an account. The owner answers
+	// with Pool.Opened, Pool.OpenFailed or Pool.OpenAbandoned.
 	Open struct{ Member, Account string }
-	// Close closes a connection that the pool has forgotten.
+	// Close closes a connection that the pool no longer holds.
 	Close struct{ Conn *Conn }
 )
 
--- a/core/pool/trim.go
+++ b/core/pool/trim.go
@@ -2,8 +2,9 @@
 
 import "time"
 
-// Trim closes connections that were not used for long. hosts is how many share the members, and warm how
-// many connections to a member are kept all the same.
+// Trim closes connections that have been idle for too long, and opens spare
+// ones. hosts is the number of hosts that share the members, and warm returns
+// how many connections to a member are kept open regardless of use.
 func (p *Pool) Trim(now time.Time, hosts int, warm func(*Member) int) {
 	for _, m := range p.sorted {
 		p.trimMember(m, now, hosts, warm(m))
@@ -11,18 +12,19 @@
 	}
 }
 
+// trimMember closes the member's connections that have been idle for too long.
 func (p *Pool) trimMember(m *Member, now time.Time, hosts, warm int) {
 	share := p.view.Share(m.id)
 	kept := m.idle[:0]
 	for _, c := range m.idle {
-		bound := shareIdleTimeout
+		timeout := shareIdleTimeout
 		if hosts > ManyHosts {
-			bound = manyHostsIdleTimeout
+			timeout = manyHostsIdleTimeout
 		}
 		if m.open > share {
-			bound = burstIdleTimeout
+			timeout = burstIdleTimeout
 		}
-		if p.view.KeepsIdle(m.id, now) && (now.Sub(c.lastUsed) < bound || m.open <= warm) {
+		if p.view.KeepsIdle(m.id, now) && (now.Sub(c.lastUsed) < timeout || m.open <= warm) {
 			kept = append(kept, c)
 			continue
 		}
@@ -33,8 +35,9 @@
 	m.idle = kept
 }
 
-// openSpare opens a connection ahead of need while nobody waits: opening takes one of the
-// member's slots for as long as two or three statements, which nobody misses then.
+// openSpare opens a connection ahead of demand while no statement waits.
+// Opening one occupies a slot of the member for as long as two or three
+// statements, which does no harm then.
 func (p *Pool) openSpare(m *Member, now time.Time, warm int) {
 	if len(p.waiters) > 0 || m.dialCount() > 0 || m.open >= warm || !p.view.CanServe(m.id, Request{}, now) || now.Before(m.dialBlockedUntil) {
 		return
--- a/core/pool/window.go
+++ b/core/pool/window.go
@@ -5,16 +5,17 @@
 	"time"
 )
 
-// Window is how many statements a host runs on a member at once. It halves when
-// the member has no room and grows with statements that went well. All hosts
-// share the member, and none knows what the others send: without it, statements
-// that are refused and sent again fill the queue of an overloaded member, and
-// keep it from answering status questions too.
+// Window is the number of statements that a host may run on a member at once.
+// It is halved when the member has no room and grows with each successful
+// statement. All hosts share the member, and none knows what the others send.
+// Without the window, statements that are refused and sent again fill the queue
+// of an overloaded member, and keep it from answering probes too.
 //
-// With many hosts even one statement of each is more than the member takes. Below a
-// window of one, a host leaves the member alone for a while after each refusal.
+// With many hosts, even one statement of each exceeds what the member can take.
+// At a window of one, a host therefore also backs off from the member after
+// each refusal.
 //
-// The zero Window is ready for use.
+// The zero Window is ready for use. A Window is not safe for concurrent use.
 type Window struct {
 	size       float64
 	lastShrink time.Time
@@ -25,26 +26,29 @@
 }
 
 const (
-	// initialWindow is a host's window at first: the slots of the users' members are
-	// two and three, which a few hosts share.
+	// initialWindow is a host's first window. The users' members have two or
+	// three slots, which a few hosts share.
 	initialWindow = 3
-	// maxWindow lets a single host fill a member's queue of 16 halfway.
+	// maxWindow lets a single host fill half of a member's queue of 16.
 	maxWindow = 8
-	// minShrinkInterval is the least time between two halvings: statements that were
-	// under way together tell the same news.
+	// minShrinkInterval is the minimum time between two halvings, since the
+	// refusals of statements that ran at the same time carry the same
+	// information.
 	minShrinkInterval = 30 * time.Millisecond
-	// minBackoff and longestPause bound the pause after a refusal at a window of one: a
-	// short statement's time, and about what a queue of 16 takes.
+	// minBackoff and maxBackoff bound the backoff after a refusal at a window
+	// of one. They are the duration of a short statement and about the time
+	// that a queue of 16 takes.
 	minBackoff = 8 * time.Millisecond
 	maxBackoff = 128 * time.Millisecond
 )
 
-// Allows reports whether a statement may be sent now beside those that run.
+// Allows reports whether a statement may be sent now, in addition to those that
+// run.
 func (w *Window) Allows(running int, now time.Time) bool {
 	return running < w.Limit() && !now.Before(w.closedUntil)
 }
 
-// Limit returns how many statements may run.
+// Limit returns how many statements may run at once.
 func (w *Window) Limit() int {
 	if w.size == 0 {
 		return initialWindow
@@ -52,16 +56,18 @@
 	return max(1, int(w.size))
 }
 
-// ManyHosts is how many hosts make a crowd: with one statement each they fill the shortest
-// queue of the users' members. Fewer hosts have no need to pause, and lose by it: after a
-// restart of all, members refuse for a moment only.
+// ManyHosts is the number of hosts above which refusals at a window of one
+// cause a backoff. With one statement each, this many hosts fill the shortest
+// queue of the users' members. Fewer hosts do not need the backoff and lose by
+// it: after all hosts restart, members refuse statements only for a moment.
 const ManyHosts = 16
 
-// Shrink takes a refusal into account. hosts is how many share the member.
+// Shrink records a refusal. hosts is the number of hosts that share the member.
 func (w *Window) Shrink(now time.Time, hosts int) {
 	if hosts > ManyHosts && w.Limit() == 1 && !now.Before(w.closedUntil) {
 		w.backoff = min(maxBackoff, max(minBackoff, 2*w.backoff))
-		// Hosts that were refused at the same moment must not come back together.
+		// The random part keeps hosts that were refused at the same time from
+		// retrying together.
 		w.closedUntil = now.Add(w.backoff/2 + rand.N(w.backoff))
 	}
 	if now.Sub(w.lastShrink) < minShrinkInterval {
@@ -71,7 +77,7 @@
 	w.size = max(1, float64(w.Limit())/2)
 }
 
-// Grow takes a statement into account that went well.
+// Grow records a successful statement.
 func (w *Window) Grow() {
 	if w.size == 0 {
 		w.size = initialWindow
--- a/core/statement/classify.go
+++ b/core/statement/classify.go
@@ -5,28 +5,31 @@
 	"strings"
 )
 
-// Traits is what the text of a statement tells.
+// Traits are the properties of a statement that its text shows.
 type Traits struct {
-	// Kind is Read only for statements that start like a read.
+	// Kind is Read only if the statement starts like a read.
 	Kind Kind
-	// ControlsTransaction is true for statements that open or end a transaction.
+	// ControlsTransaction is true if the statement opens or ends a transaction.
 	ControlsTransaction bool
-	// Pins is true for statements whose effect on the session outlives their
+	// Pins is true if the statement changes session state that outlives its
 	// transaction.
 	Pins bool
-	// RequestID is the identifier in a leading or trailing comment of the form
-	// /* pearlatch.request='ID' */.
+	// RequestID is the request identifier from a leading or trailing comment of
+	// the form /* pearlatch.request='ID' */.
 	RequestID string
 }
 
-// requestIDComment finds the request identifier.
+// requestIDComment matches a comment that holds a request identifier.
 var requestIDComment = regexp.MustCompile(`/\*\s*pearlatch\.request\s*=\s*'([^']{1,200})'\s*\*/`)
 
+// requestIDKey occurs in every text that requestIDComment matches. Searching
+// for it first avoids running the regular expression on most statements.
 const requestIDKey = "pearlatch.request"
 
-// Classify looks at the leading keyword of an SQL text. It is no parser: what
-// it does not know is a write, and a read that writes after all is refused by
-// the replica (25006) before it runs.
+// Classify derives the traits of an SQL text from its leading keywords. It does
+// not parse SQL. A statement that it does not recognize is a write. If a
+// statement that it takes for a read writes after all, the replica refuses it
+// with SQLSTATE 25006 before it runs.
 func Classify(sql string) Traits {
 	var t Traits
 	if strings.Contains(sql, requestIDKey) {
@@ -44,7 +47,8 @@
 	return t
 }
 
-// skipComments drops leading white space and comments.
+// skipComments removes leading comments, white space, semicolons and opening
+// parentheses.
 func skipComments(sql string) string {
 	for {
 		sql = strings.TrimLeft(sql, " \t\r\n;(")
@@ -61,6 +65,7 @@
 	}
 }
 
+// kindOf returns the kind of the statement from its leading keyword.
 func kindOf(sql string) Kind {
 	switch word, rest := leadingKeyword(sql); word {
 	case "SELECT":
@@ -78,7 +83,8 @@
 	return Write
 }
 
-// controlsTransaction reports whether sql opens or ends a transaction.
+// controlsTransaction reports whether the statement opens or ends a
+// transaction.
 func controlsTransaction(sql string) bool {
 	switch word, _ := leadingKeyword(sql); word {
 	case "BEGIN", "START", "COMMIT", "END", "ROLLBACK", "ABORT", "PREPARE":
@@ -87,20 +93,23 @@
 	return false
 }
 
-// hasMultipleStatements reports whether text follows a semicolon. A semicolon within a literal
-// counts too: such a statement goes to the primary, which is always right.
+// hasMultipleStatements reports whether text follows a semicolon. A semicolon
+// within a literal counts too: such a statement goes to the primary, which is
+// always correct.
 func hasMultipleStatements(sql string) bool {
 	_, rest, found := strings.Cut(sql, ";")
 	return found && strings.Trim(rest, " \t\r\n;") != ""
 }
 
-// takesLocks reports whether a SELECT takes row locks, which replicas refuse, or
-// advisory locks, which are no use on a replica.
+// takesLocks reports whether a SELECT takes row locks, which replicas refuse,
+// or advisory locks, which serve no purpose on a replica.
 func takesLocks(sql string) bool {
 	return containsFold(sql, " FOR UPDATE") || containsFold(sql, " FOR SHARE") ||
 		containsFold(sql, " FOR NO KEY") || containsFold(sql, " FOR KEY") || containsFold(sql, "ADVISORY")
 }
 
+// pinsSession reports whether the statement changes session state that outlives
+// its transaction.
 func pinsSession(sql string) bool {
 	switch word, rest := leadingKeyword(sql); word {
 	case "SET":
@@ -130,7 +139,7 @@
 
 func isLetter(c byte) bool { return c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c == '_' }
 
-// containsFold reports whether s contains the ASCII text sub in any case.
+// containsFold reports whether s contains the ASCII text sub, ignoring case.
 func containsFold(s, sub string) bool {
 	for i := 0; i+len(sub) <= len(s); i++ {
 		if strings.EqualFold(s[i:i+len(sub)], sub) {
--- a/core/statement/doc.go
+++ b/core/statement/doc.go
@@ -1,3 +1,4 @@
-// Package statement describes what a caller asks of a database group: a request
-// that opens an exchange, and the units of protocol messages that follow.
+// Package statement describes what a client asks of a database group: a
+// request, which opens an exchange, and the units of protocol messages that the
+// exchange consists of.
 package statement
--- a/core/statement/refusal.go
+++ b/core/statement/refusal.go
@@ -5,19 +5,19 @@
 	"time"
 )
 
-// Refusal is the answer to a unit that pearlatch itself gives.
+// Refusal is an error with which pearlatch itself answers a unit.
 type Refusal struct {
-	// Code is the SQLSTATE sent to the caller.
+	// Code is the SQLSTATE sent to the client.
 	Code string
 	// Reason says what happened, as a sentence without its full stop.
 	Reason string
-	// NotRun is true when the unit has certainly not run.
+	// NotRun is true if it is certain that the unit has not run.
 	NotRun bool
-	// RetryAfter is when the caller may try again, or zero when that is not
-	// known.
+	// RetryAfter is how long the client should wait before it tries again, or
+	// zero if that is not known.
 	RetryAfter time.Duration
-	// RetryElsewhere is true when another host may take the unit at once: this one
-	// does not own the group. Owner is that host, if it is known.
+	// RetryElsewhere is true if another host may run the unit at once, since
+	// this one does not own the group. Owner is that host, if it is known.
 	RetryElsewhere bool
 	Owner          string
 }
@@ -30,7 +30,7 @@
 	return r.Reason
 }
 
-// Hint returns the text of the HINT field, or the empty string.
+// Hint returns the text of the error's HINT field, or the empty string.
 func (r *Refusal) Hint() string {
 	if r.RetryAfter <= 0 {
 		return ""
--- a/core/statement/unit.go
+++ b/core/statement/unit.go
@@ -7,39 +7,41 @@
 	"pearlatch/core/freshness"
 )
 
-// CancelKey names a caller's connection across the fleet.
+// CancelKey identifies a client connection across all hosts.
 type CancelKey struct {
-	// Process and Secret are what the caller received as its cancel key. The
-	// upper half of Process identifies the host.
+	// Process and Secret are the process ID and secret key that the client
+	// received in BackendKeyData. The upper half of Process identifies the
+	// host.
 	Process, Secret uint32
 }
 
-// Request opens an exchange: the units from the first statement of a
+// Request opens an exchange, which runs the units from the first statement of a
 // transaction to its end.
 type Request struct {
-	// Route and Group name the caller's route and the group it leads to.
+	// Route and Group are the names of the client's route and of its group.
 	Route, Group string
-	// Session identifies the caller whose writes its reads must see.
+	// Session identifies the session whose writes the reads must see.
 	Session string
-	// NeverWrote is true when the session has certainly sent no write: it belongs to
-	// one connection, and that has sent none. Its reads need no mark.
+	// NeverWrote is true if the session is certain to have sent no write: it
+	// consists of a single connection, which has sent none. Its reads need no
+	// mark.
 	NeverWrote bool
-	// Class is the freshness that reads accept.
+	// Class is the freshness that the reads require.
 	Class freshness.Class
-	// Priority ranks the request in the group's queue.
+	// Priority is the priority of the request in the group's queue.
 	Priority config.Priority
-	// Idempotent is true when every unit may be repeated.
+	// Idempotent is true if every unit may be run more than once.
 	Idempotent bool
-	// ReplicaWait is how long a read waits for a replica before it goes to the
-	// primary.
+	// ReplicaWait is how long a read waits for a replica before it is sent to
+	// the primary.
 	ReplicaWait time.Duration
-	// CancelKey names the caller's connection for cancel requests.
+	// CancelKey identifies the client's connection in cancel requests.
 	CancelKey CancelKey
 }
 
-// Prepared is a named statement that a unit refers to.
+// Prepared is a named prepared statement that a unit refers to.
 type Prepared struct {
-	// Name is derived from the text, so that callers share it.
+	// Name is derived from the text, so that clients share the statement.
 	Name string
 	// Parse is the whole Parse message.
 	Parse []byte
@@ -47,67 +49,71 @@
 
 //go:generate go tool stringer -type=Kind,Expect -linecomment -output=unit_string.go
 
-// Kind says where a unit may run. The zero value is the safe one.
+// Kind tells where a unit may run. The zero value is Write, which is always
+// correct.
 type Kind int
 
 // The kinds.
 const (
-	// Write must run on the primary.
+	// Write units must run on the primary.
 	Write Kind = iota // write
-	// Read may run on a replica.
+	// Read units may run on a replica.
 	Read // read
 )
 
-// Expect says what ends the answer to a unit.
+// Expect tells how the end of the answer to a unit is recognized.
 type Expect int
 
 // The ends of an answer.
 const (
-	// ExpectReady means ReadyForQuery, or CopyInResponse.
+	// ExpectReady means that the answer ends with ReadyForQuery or
+	// CopyInResponse.
 	ExpectReady Expect = iota // ready
-	// ExpectNothing means that no answer is due, as in the middle of COPY.
+	// ExpectNothing means that no answer follows, as in the middle of COPY.
 	ExpectNothing // nothing
-	// ExpectReplies means that Unit.Replies messages are due, as after Flush.
+	// ExpectReplies means that the answer ends after Unit.Replies replies, as
+	// after Flush.
 	ExpectReplies // counted
 )
 
-// Unit is a run of protocol messages that is answered as a whole.
+// Unit is a sequence of protocol messages that is answered as a whole.
 type Unit struct {
-	// Kind says where the unit may run.
+	// Kind tells where the unit may run.
 	Kind Kind
-	// Data holds the messages as they go to the member.
+	// Data holds the messages as they are sent to the member.
 	Data []byte
-	// Expect says what ends the answer.
+	// Expect tells how the end of the answer is recognized.
 	Expect Expect
-	// Replies is the number of messages due when Expect is Counted.
+	// Replies is the number of replies due if Expect is ExpectReplies.
 	Replies int
 	// Prepared lists the named statements that Data refers to, each once.
 	Prepared []Prepared
-	// ControlsTransaction is true when the unit opens a transaction or ends one.
+	// ControlsTransaction is true if the unit opens or ends a transaction.
 	ControlsTransaction bool
-	// Pins is true when the unit may leave state in the session that outlives
-	// its transaction.
+	// Pins is true if the unit may leave session state that outlives its
+	// transaction.
 	Pins bool
 	// RequestID is the identifier under which the unit runs at most once, or
 	// empty.
 	RequestID string
-	// Deadline is when the caller stops waiting.
+	// Deadline is when the client stops waiting.
 	Deadline time.Time
 }
 
-// Outcome says how the exchange stands after a unit.
+// Outcome is the state of an exchange after a unit.
 type Outcome struct {
-	// Status is the transaction status of ReadyForQuery, or zero when the answer
-	// ended otherwise.
+	// Status is the transaction status of ReadyForQuery, or zero if the answer
+	// did not end with that message.
 	Status byte
-	// CopyIn is true when the member waits for COPY data.
+	// CopyIn is true if the member waits for COPY data.
 	CopyIn bool
-	// Wrote is true when the unit ran as a write although it looked like a read.
+	// Wrote is true if the unit ran as a write although it was classified as a
+	// read.
 	Wrote bool
-	// Pinned is true when the exchange must go on although no transaction is
+	// Pinned is true if the exchange must continue although no transaction is
 	// open.
 	Pinned bool
 }
 
-// Continues reports whether the exchange goes on.
+// Continues reports whether the exchange continues.
 func (o Outcome) Continues() bool { return o.Status != 'I' || o.Pinned }
