--- a/core/group/confirm.go
+++ b/core/group/confirm.go
@@ -37,13 +37,13 @@
 		return Confirmation{}, false
 	}
 	slices.SortFunc(held, func(a, b LSN) int { return -compareLSN(a, b) })
-	return Confirmation{LSN: held[majority-1], AsOf: majorityAsked(sentAt, majority)}, true
+	return Confirmation{LSN: held[majority-1], AsOf: majorityAsOf(sentAt, majority)}, true
 }
 
-// majorityAsked returns the latest time such that a majority, given as its
+// majorityAsOf returns the latest time such that a majority, given as its
 // number of members, was probed at or after it. The first entry of sentAt is
 // the primary's send time: there is no majority without the primary.
-func majorityAsked(sentAt []time.Time, majority int) time.Time {
+func majorityAsOf(sentAt []time.Time, majority int) time.Time {
 	primary := sentAt[0]
 	rest := slices.Clone(sentAt[1:])
 	slices.SortFunc(rest, func(a, b time.Time) int { return b.Compare(a) })
