--- a/core/freshness/freshness_test.go
+++ b/core/freshness/freshness_test.go
@@ -39,16 +39,16 @@
 		{"latest", Requirement{Class: Latest{}}, fresh, false},
 		{"no mark", Requirement{Class: OwnWrites{}}, fresh, true},
 		{"mark reached", Requirement{Class: OwnWrites{}, Position: pos(2, 100)}, fresh, true},
-		{"mark ahead", Requirement{Class: OwnWrites{}, Position: pos(2, 101)}, fresh, false},
+		{"mark beyond the replica", Requirement{Class: OwnWrites{}, Position: pos(2, 101)}, fresh, false},
 		{"mark of a later term", Requirement{Class: OwnWrites{}, Position: pos(3, 1)}, fresh, false},
 		{"mark of an earlier term", Requirement{Class: OwnWrites{}, Position: pos(1, 900)}, fresh, true},
-		{"young enough", Requirement{Class: MaxAge{time.Second}}, fresh, true},
-		{"too old", Requirement{Class: MaxAge{400 * time.Millisecond}}, fresh, false},
+		{"within the age", Requirement{Class: MaxAge{time.Second}}, fresh, true},
+		{"beyond the age", Requirement{Class: MaxAge{400 * time.Millisecond}}, fresh, false},
 		{"age unknown", Requirement{Class: MaxAge{time.Hour}}, Replica{Position: pos(2, 100)}, false},
-		{"young but without the own write", Requirement{Class: MaxAge{time.Second}, Position: pos(2, 101)}, fresh, false},
+		{"within the age but mark beyond the replica", Requirement{Class: MaxAge{time.Second}, Position: pos(2, 101)}, fresh, false},
 	} {
 		if got := c.need.SatisfiedBy(c.replica, now); got != c.want {
-			t.Errorf("%s: Serves = %v, want %v", c.name, got, c.want)
+			t.Errorf("%s: SatisfiedBy = %v, want %v", c.name, got, c.want)
 		}
 	}
 }
@@ -56,33 +56,33 @@
 func TestPositionHistoryAsOf(t *testing.T) {
 	var a PositionHistory
 	if !a.AsOf(pos(1, 5)).IsZero() {
-		t.Error("an age without a sample")
+		t.Error("AsOf is set without a sample")
 	}
-	for i := range 2000 { // more than are kept
+	for i := range 2000 { // more than maxSamples
 		a.Observe(at(i*30), pos(1, i*10))
 	}
 	if got := a.AsOf(pos(1, 19_990)); !got.Equal(at(1999 * 30)) {
-		t.Errorf("newest: %v", got)
+		t.Errorf("AsOf(newest position) = %v", got)
 	}
 	if got := a.AsOf(pos(1, 19_985)); !got.Equal(at(1998 * 30)) {
-		t.Errorf("between two samples the older one counts: %v", got)
+		t.Errorf("AsOf(position between two samples) = %v, want the older sample's time", got)
 	}
 	if !a.AsOf(pos(1, 10)).IsZero() {
-		t.Error("a position older than all samples has an age")
+		t.Error("AsOf is set for a position older than all samples")
 	}
 	a.Observe(at(90_000), pos(1, 19_990))
 	if got := a.AsOf(pos(1, 19_990)); !got.Equal(at(90_000)) {
-		t.Errorf("no write since: the data is as fresh as the last question, got %v", got)
+		t.Errorf("AsOf = %v without a write since, want the time of the last probe", got)
 	}
 	a.Observe(at(90_001), pos(2, 1))
 	if got := a.AsOf(pos(1, 99_999)); got.After(at(90_000)) {
-		t.Errorf("the tail of an older term includes a later term's position: %v", got)
+		t.Errorf("AsOf(tail of an older term) = %v, as if it included a later term's position", got)
 	}
 }
 
 func TestEstimateWait(t *testing.T) {
 	now := at(10_000)
-	behind := Replica{Position: pos(1, 50), AsOf: at(9_700)} // 300 ms behind
+	lagging := Replica{Position: pos(1, 50), AsOf: at(9_700)} // lags by 300 ms
 	for _, c := range []struct {
 		name    string
 		need    Requirement
@@ -91,16 +91,16 @@
 		want    time.Duration
 		ok      bool
 	}{
-		{"written just now", Requirement{OwnWrites{}, pos(1, 60)}, behind, at(10_000), 300 * time.Millisecond, true},
-		{"written a while ago", Requirement{OwnWrites{}, pos(1, 60)}, behind, at(9_750), 50 * time.Millisecond, true},
-		{"already there", Requirement{OwnWrites{}, pos(1, 50)}, behind, at(9_000), 0, true},
-		{"too old for the class", Requirement{MaxAge{200 * time.Millisecond}, pos(1, 60)}, behind, at(9_750), 0, false},
-		{"young enough for the class", Requirement{MaxAge{time.Second}, pos(1, 60)}, behind, at(9_750), 50 * time.Millisecond, true},
+		{"primary reached it just now", Requirement{OwnWrites{}, pos(1, 60)}, lagging, at(10_000), 300 * time.Millisecond, true},
+		{"primary reached it 250 ms ago", Requirement{OwnWrites{}, pos(1, 60)}, lagging, at(9_750), 50 * time.Millisecond, true},
+		{"replica has reached it", Requirement{OwnWrites{}, pos(1, 50)}, lagging, at(9_000), 0, true},
+		{"lag beyond the age", Requirement{MaxAge{200 * time.Millisecond}, pos(1, 60)}, lagging, at(9_750), 0, false},
+		{"lag within the age", Requirement{MaxAge{time.Second}, pos(1, 60)}, lagging, at(9_750), 50 * time.Millisecond, true},
 		{"lag unknown", Requirement{OwnWrites{}, pos(1, 60)}, Replica{}, at(9_750), 0, false},
-		{"latest", Requirement{Latest{}, pos(1, 1)}, behind, at(9_750), 0, false},
+		{"latest", Requirement{Latest{}, pos(1, 1)}, lagging, at(9_750), 0, false},
 	} {
 		if got, ok := c.need.EstimateWait(c.replica, c.reached, now); got != c.want || ok != c.ok {
-			t.Errorf("%s: Wait = %s, %v; want %s, %v", c.name, got, ok, c.want, c.ok)
+			t.Errorf("%s: EstimateWait = %s, %v; want %s, %v", c.name, got, ok, c.want, c.ok)
 		}
 	}
 }
@@ -111,10 +111,10 @@
 		a.Observe(at(100*i), pos(1, 10*i))
 	}
 	if got := a.ReachedAt(pos(1, 15)); !got.Equal(at(200)) {
-		t.Errorf("Reached = %v, want the first sample at or beyond", got)
+		t.Errorf("ReachedAt = %v, want the time of the first sample at or beyond", got)
 	}
 	if !a.ReachedAt(pos(1, 99)).IsZero() {
-		t.Error("a position that was not seen was reached")
+		t.Error("ReachedAt is set for a position beyond all samples")
 	}
 }
 
@@ -124,10 +124,10 @@
 	m.Raise("a", pos(1, 40))
 	m.Raise("b", pos(2, 1))
 	if got := m.Get("a"); got != pos(1, 50) {
-		t.Errorf("a mark fell to %v", got)
+		t.Errorf("mark moved to %v", got)
 	}
 	m.Prune(pos(1, 60))
 	if m.Len() != 1 || m.Get("a") != (group.Position{}) || m.Get("b") != pos(2, 1) {
-		t.Errorf("after Forget: %d marks, a %v, b %v", m.Len(), m.Get("a"), m.Get("b"))
+		t.Errorf("after Prune: %d marks, a %v, b %v", m.Len(), m.Get("a"), m.Get("b"))
 	}
 }
--- a/core/group/group_test.go
+++ b/core/group/group_test.go
@@ -22,7 +22,7 @@
 	}
 }
 
-// sample returns an answer that was asked at the given millisecond.
+// sample returns an answer to a probe that was sent at the given millisecond.
 func sample(ms int, s Status) Sample {
 	at := time.UnixMilli(int64(ms))
 	return Sample{Status: s, SentAt: at, ReceivedAt: at.Add(time.Millisecond)}
@@ -38,32 +38,32 @@
 	return s
 }
 
-// A caller sees an acknowledged write vanish: the old primary comes back from a
-// partition still out of recovery and, were it believed, would take writes that
-// no replica receives. It stores an older fence, which gives it away.
+// Guards against an old primary being taken for the current one, so that it
+// accepts writes that no replica receives. After a partition it comes back
+// still out of recovery, and only its older fence shows that it was replaced.
 func TestFindPrimaryIgnoresReplacedPrimary(t *testing.T) {
-	old, promoted := sample(2, primaryStatus(3, 900)), sample(1, primaryStatus(4, 800))
-	got := FindPrimary([]Sample{old, promoted, sample(1, replicaStatus(4, 800))})
+	replaced, promoted := sample(2, primaryStatus(3, 900)), sample(1, primaryStatus(4, 800))
+	got := FindPrimary([]Sample{replaced, promoted, sample(1, replicaStatus(4, 800))})
 	if got != (Led{Primary: 1, Term: 4}) {
-		t.Errorf("Assess = %v, want member 1 in term 4", got)
+		t.Errorf("FindPrimary = %v, want member 1 in term 4", got)
 	}
 }
 
-// During a planned promotion the leaving primary has accepted the new term's
-// fence and is still out of recovery. It has no record of the term, so it must
-// not count as the term's primary.
+// During a planned promotion the old primary has accepted the new term's fence
+// and is still out of recovery. It holds no record of the new term, so it must
+// not count as that term's primary.
 func TestFindPrimaryIgnoresFencedPrimary(t *testing.T) {
-	leaving := primaryStatus(3, 900)
-	leaving.Fence.Term = 4
-	got := FindPrimary([]Sample{sample(1, leaving), sample(1, replicaStatus(4, 900))})
+	fenced := primaryStatus(3, 900)
+	fenced.Fence.Term = 4
+	got := FindPrimary([]Sample{sample(1, fenced), sample(1, replicaStatus(4, 900))})
 	if got != (Leaderless{Highest: 4}) {
-		t.Errorf("Assess = %v, want none in term 4", got)
+		t.Errorf("FindPrimary = %v, want no primary in term 4", got)
 	}
 }
 
-// A caller's write is acknowledged although only the primary holds it: the
-// replica's log is longer, but its tail is of an older term, which the primary
-// never wrote.
+// Guards against acknowledging a write that only the primary holds. The log of
+// the replica is longer than the primary's, but its tail belongs to an older
+// term and was never written by the primary.
 func TestConfirmIgnoresTailOfOlderTerm(t *testing.T) {
 	diverged := replicaStatus(3, 5000)
 	diverged.Fence.Term = 4
@@ -81,11 +81,11 @@
 func TestConfirmIgnoresEarlierSamples(t *testing.T) {
 	samples := []Sample{sample(10, primaryStatus(1, 100)), sample(9, replicaStatus(1, 100)), sample(4, replicaStatus(1, 100))}
 	if _, ok := Confirm(samples, 0, time.UnixMilli(10)); ok {
-		t.Error("confirmed by an answer to an earlier question")
+		t.Error("confirmed by an answer to an earlier probe")
 	}
 	c, ok := Confirm(samples, 0, time.UnixMilli(9))
 	if !ok || !c.AsOf.Equal(time.UnixMilli(9)) {
-		t.Errorf("Confirm = %v, %v, want the moment 9", c, ok)
+		t.Errorf("Confirm = %v, %v, want probes sent at 9 ms", c, ok)
 	}
 }
 
@@ -106,7 +106,7 @@
 func TestCandidate(t *testing.T) {
 	none := func(int) bool { return false }
 	if _, ok := Candidate([]FenceAck{{Member: 1}}, 3, none); ok {
-		t.Error("a candidate without a majority")
+		t.Error("Candidate returned a member without a majority")
 	}
 	fenced := []FenceAck{{Member: 0, LogTerm: 2, Received: 900}, {Member: 2, LogTerm: 3, Received: 100}}
 	if best, ok := Candidate(fenced, 3, none); !ok || best.Member != 2 {
@@ -114,10 +114,10 @@
 	}
 	equal := []FenceAck{{Member: 0, Received: 9}, {Member: 1, Received: 9}}
 	if best, _ := Candidate(equal, 3, func(i int) bool { return i == 0 }); best.Member != 1 {
-		t.Errorf("Candidate = %v, want the member that is not barred", best)
+		t.Errorf("Candidate = %v, want the member that is not avoided", best)
 	}
 	longer := []FenceAck{{Member: 0, Received: 10}, {Member: 1, Received: 9}}
 	if best, _ := Candidate(longer, 3, func(i int) bool { return i == 0 }); best.Member != 0 {
-		t.Errorf("Candidate = %v: a barred member with more must not be passed over", best)
+		t.Errorf("Candidate = %v, want the avoided member, whose position is higher", best)
 	}
 }
--- a/core/group/race_test.go
+++ b/core/group/race_test.go
@@ -5,26 +5,26 @@
 	"testing"
 )
 
-// The model below explores every interleaving of two hosts that promote members
-// of a group of three, while a primary writes and replicas receive. It drives
+// The model explores every interleaving of two hosts that promote members of a
+// group of three while a primary writes and replicas receive. It calls
 // Fence.Accepts, Candidate and Confirm as the owner does.
 
 const modelMembers = 3
 
-// modelMember is a member. Its log is a string with a letter for each record:
-// digits are term records, letters are writes.
+// modelMember is a member. Its log is a string with one character per record:
+// digits are term records and letters are writes.
 type modelMember struct {
 	fence   Fence
 	log     string
 	primary bool
-	source  int // member that it receives from, or -1
+	source  int // index of the member from which it receives, or -1
 }
 
-// modelHost is a host that may be in the middle of a promotion.
+// modelHost is a host that may be running a promotion.
 type modelHost struct {
-	term     Term // that it fences for, or zero
+	term     Term // term of its promotion, or zero
 	accepted [modelMembers]bool
-	logs     [modelMembers]string // the member's log when it accepted
+	logs     [modelMembers]string // log of each member when it accepted the fence
 	promoted bool
 }
 
@@ -32,8 +32,8 @@
 	members         [modelMembers]modelMember
 	hosts           [2]modelHost
 	writes          int
-	acked           string // writes that were confirmed
-	fencingDisabled bool   // fences accept everything: the broken variant
+	acked           string // confirmed writes
+	fencingDisabled bool   // members ignore fences; this variant must lose writes
 }
 
 // term returns the term of the last term record in a log.
@@ -47,17 +47,17 @@
 }
 
 func (m *model) status(i int) Status {
-	b := m.members[i]
-	t := term(b.log)
+	member := m.members[i]
+	t := term(member.log)
 	return Status{
-		Fence: b.fence, InRecovery: !b.primary, LogTerm: t, Timeline: uint32(t) + 1,
-		Streaming: !b.primary && b.source >= 0 && m.members[b.source].primary && strings.HasPrefix(m.members[b.source].log, b.log),
-		Received:  LSN(len(b.log)), Replayed: LSN(len(b.log)),
+		Fence: member.fence, InRecovery: !member.primary, LogTerm: t, Timeline: uint32(t) + 1,
+		Streaming: !member.primary && member.source >= 0 && m.members[member.source].primary && strings.HasPrefix(m.members[member.source].log, member.log),
+		Received:  LSN(len(member.log)), Replayed: LSN(len(member.log)),
 	}
 }
 
-// confirm acknowledges what a majority holds under primary p, as the owner does
-// on the samples of one moment.
+// confirm acknowledges what a majority holds under primary p, based on samples
+// taken at the same time, as the owner does.
 func (m *model) confirm(p int) {
 	samples := m.samples()
 	c, ok := Confirm(samples, p, samples[p].SentAt)
@@ -71,7 +71,7 @@
 	}
 }
 
-// successors returns every state that one step leads to.
+// successors returns every state that is one step away.
 func (m *model) successors() []model {
 	var out []model
 	add := func(change func(*model) bool) {
@@ -120,19 +120,19 @@
 	return true
 }
 
-// rebuild makes a member whose log has diverged a replica of the primary that
-// leads, as the platform does.
+// rebuild turns a member whose log has diverged into a replica of the current
+// primary, as the platform does.
 func (m *model) rebuild(i int) bool {
 	led, ok := FindPrimary(m.samples()).(Led)
 	if !ok || led.Primary == i || strings.HasPrefix(m.members[led.Primary].log, m.members[i].log) {
 		return false
 	}
-	b := &m.members[i]
-	b.log, b.primary, b.source = m.members[led.Primary].log, false, led.Primary
+	member := &m.members[i]
+	member.log, member.primary, member.source = m.members[led.Primary].log, false, led.Primary
 	return true
 }
 
-// samples returns the members' statuses at one moment.
+// samples returns samples of all members, taken at the same time.
 func (m *model) samples() []Sample {
 	var out []Sample
 	for i := range m.members {
@@ -152,29 +152,30 @@
 		return false
 	}
 	highest := Term(0)
-	for _, b := range m.members {
-		highest = max(highest, b.fence.Term)
+	for _, member := range m.members {
+		highest = max(highest, member.fence.Term)
 	}
 	m.hosts[h].term = highest + 1
 	return true
 }
 
 func (m *model) fence(h, i int) bool {
-	host, b := &m.hosts[h], &m.members[i]
+	host, member := &m.hosts[h], &m.members[i]
 	f := Fence{Term: host.term, Host: string(rune('A' + h))}
-	if host.term == 0 || host.promoted || host.accepted[i] || !b.fence.Accepts(f) {
+	if host.term == 0 || host.promoted || host.accepted[i] || !member.fence.Accepts(f) {
 		return false
 	}
-	host.accepted[i], host.logs[i] = true, b.log
+	host.accepted[i], host.logs[i] = true, member.log
 	if m.fencingDisabled {
 		return true
 	}
-	b.fence, b.source = f, -1
+	member.fence, member.source = f, -1
 	return true
 }
 
-// promote promotes the candidate. Its fence may have been replaced meanwhile: it
-// is promoted all the same, and then does not lead.
+// promote promotes the candidate. If the host's fence has been replaced in the
+// meantime, the candidate is promoted all the same and does not become the
+// primary of the group.
 func (m *model) promote(h int) bool {
 	host := &m.hosts[h]
 	if host.term == 0 || host.promoted {
@@ -182,7 +183,7 @@
 	}
 	var fenced []FenceAck
 	for i := range m.members {
-		// The old primary stands for one that is out of reach.
+		// The old primary represents a primary that can't be reached.
 		if host.accepted[i] && !m.members[i].primary {
 			fenced = append(fenced, FenceAck{Member: i, LogTerm: term(host.logs[i]), Received: LSN(len(host.logs[i])), InRecovery: true})
 		}
@@ -192,33 +193,33 @@
 		return false
 	}
 	host.promoted = true
-	b := &m.members[best.Member]
-	b.primary, b.source = true, -1
-	b.log += string(rune('0' + host.term))
+	member := &m.members[best.Member]
+	member.primary, member.source = true, -1
+	member.log += string(rune('0' + host.term))
 	if m.fencingDisabled {
-		b.fence = Fence{Term: host.term, Host: string(rune('A' + h))}
+		member.fence = Fence{Term: host.term, Host: string(rune('A' + h))}
 	}
 	return true
 }
 
 // attach makes a replica follow the member that the host promoted.
 func (m *model) attach(h, i int) bool {
-	host, b := &m.hosts[h], &m.members[i]
+	host, member := &m.hosts[h], &m.members[i]
 	f := Fence{Term: host.term, Host: string(rune('A' + h))}
-	if !host.promoted || b.primary || b.source >= 0 && m.members[b.source].fence == f || !b.fence.Accepts(f) {
+	if !host.promoted || member.primary || member.source >= 0 && m.members[member.source].fence == f || !member.fence.Accepts(f) {
 		return false
 	}
 	for p := range m.members {
 		if m.members[p].primary && m.members[p].fence == f && m.status(p).Leads() {
-			b.fence, b.source = f, p
+			member.fence, member.source = f, p
 			return true
 		}
 	}
 	return false
 }
 
-// lostWrite returns an acknowledged write that a primary lacks which a majority still
-// follows, or zero. Only such a primary is given reads or writes.
+// lostWrite returns an acknowledged write that is missing from a primary that a
+// majority follows, or zero. Only such a primary receives reads and writes.
 func (m *model) lostWrite() rune {
 	samples := m.samples()
 	for i := range m.members {
@@ -234,9 +235,9 @@
 	return 0
 }
 
-// explore visits every state reachable from the first one, up to a limit, and
-// returns one in which an acknowledged write was lost.
-func explore(t *testing.T, first model) (bad *model, visited int) {
+// explore visits every state reachable from first, up to a limit, and returns a
+// state in which an acknowledged write was lost, or nil.
+func explore(t *testing.T, first model) (losing *model, visited int) {
 	t.Helper()
 	const limit = 2_000_000
 	seen := map[model]bool{first: true}
@@ -266,20 +267,21 @@
 	return m
 }
 
-// Two hosts promote at once while the primary writes. Whatever the order of
-// their steps, no acknowledged write is missing from the primary that results.
+// Two hosts promote members at the same time while the primary writes. In every
+// order of their steps, the resulting primary holds every acknowledged write.
 func TestConcurrentPromotionsLoseNoWrite(t *testing.T) {
-	bad, visited := explore(t, initialModel())
-	if bad != nil {
-		t.Errorf("an acknowledged write was lost: %+v", *bad)
+	losing, visited := explore(t, initialModel())
+	if losing != nil {
+		t.Errorf("an acknowledged write was lost: %+v", *losing)
 	}
 	t.Logf("%d states", visited)
 }
 
+// Without fencing, the exploration must find a lost write.
 func TestModelDetectsMissingFencing(t *testing.T) {
 	m := initialModel()
 	m.fencingDisabled = true
-	if bad, visited := explore(t, m); bad == nil {
-		t.Errorf("no loss found in %d states although members are not fenced", visited)
+	if losing, visited := explore(t, m); losing == nil {
+		t.Errorf("no lost write found in %d states although fencing is disabled", visited)
 	}
 }
--- a/core/group/relief_test.go
+++ b/core/group/relief_test.go
@@ -5,48 +5,51 @@
 	"time"
 )
 
-// Eight callers read from a primary of two slots without a pause, while both replicas lag. Its statements take 5 ms, and
-// at the moments of the questions it ran 1, 0, 0, 1, 1, 1, 0, 0, 1, 0, 0, 3 and 0 of them: it was never relieved, since only
-// that moment counted, and a round without a full primary began the count anew. What settled it was a line of each round
-// from a run on one processor, beside the callers that waited all the while.
+// Guards against an overloaded primary that is never replaced because probes
+// find it idle. Eight clients read without a pause from a primary with two
+// slots while both replicas lag. Statements take 5 ms, and the probes found 1,
+// 0, 0, 1, 1, 1, 0, 0, 1, 0, 0, 3 and 0 of them running. When only these
+// numbers counted, each round below the limit reset the count of overloaded
+// rounds, although statements were waiting all
+// the time. The fault was seen on a machine with one processor.
 func TestOverloadDetectedByQueuedStatements(t *testing.T) {
-	var r OverloadDetector
+	var d OverloadDetector
 	at := time.Unix(100, 0)
 	for round, running := range []int{1, 0, 0, 1, 1, 1, 0, 0, 1, 0, 0, 3, 0} {
-		if r.Observe(PrimaryLoad{ReplicasLagging: true, Running: running, Slots: 2, Waits: 60}, at) {
+		if d.Observe(PrimaryLoad{ReplicasLagging: true, Running: running, Slots: 2, Waits: 60}, at) {
 			if round != 1 {
-				t.Errorf("relieved in round %d", round)
+				t.Errorf("overload reported in round %d, want round 1", round)
 			}
 			return
 		}
 		at = at.Add(350 * time.Millisecond)
 	}
-	t.Error("never relieved")
+	t.Error("overload never reported")
 }
 
 func TestOverloadDetector(t *testing.T) {
-	full := PrimaryLoad{ReplicasLagging: true, Running: 2, Slots: 2}
+	saturated := PrimaryLoad{ReplicasLagging: true, Running: 2, Slots: 2}
 	for _, c := range []struct {
 		name   string
 		rounds []PrimaryLoad
 		want   int
 	}{
-		{"full in two rounds", []PrimaryLoad{full, full}, 1},
-		{"full once", []PrimaryLoad{full, {ReplicasLagging: true, Slots: 2}, full}, 0},
-		{"replicas are fresh", []PrimaryLoad{{Running: 2, Slots: 2}, {Running: 2, Slots: 2}, {Running: 2, Slots: 2}}, 0},
-		{"a burst", []PrimaryLoad{{ReplicasLagging: true, Slots: 2, Waits: 3}, {ReplicasLagging: true, Slots: 2, Waits: 5}}, 0},
-		{"not again at once", []PrimaryLoad{full, full, full, full, full}, 1},
+		{"saturated in two rounds", []PrimaryLoad{saturated, saturated}, 1},
+		{"saturated in rounds that do not follow each other", []PrimaryLoad{saturated, {ReplicasLagging: true, Slots: 2}, saturated}, 0},
+		{"replicas do not lag", []PrimaryLoad{{Running: 2, Slots: 2}, {Running: 2, Slots: 2}, {Running: 2, Slots: 2}}, 0},
+		{"too few waits", []PrimaryLoad{{ReplicasLagging: true, Slots: 2, Waits: 3}, {ReplicasLagging: true, Slots: 2, Waits: 5}}, 0},
+		{"not again within the interval", []PrimaryLoad{saturated, saturated, saturated, saturated, saturated}, 1},
 	} {
-		var r OverloadDetector
+		var d OverloadDetector
 		at, got := time.Unix(100, 0), 0
 		for _, l := range c.rounds {
-			if r.Observe(l, at) {
+			if d.Observe(l, at) {
 				got++
 			}
 			at = at.Add(350 * time.Millisecond)
 		}
 		if got != c.want {
-			t.Errorf("%s: relieved %d times, want %d", c.name, got, c.want)
+			t.Errorf("%s: overload reported %d times, want %d", c.name, got, c.want)
 		}
 	}
 }
--- a/core/group/successor_test.go
+++ b/core/group/successor_test.go
@@ -7,7 +7,7 @@
 }
 
 func TestSuccessor(t *testing.T) {
-	silent := Standby{Member: "c"}
+	unanswered := Standby{Member: "c"}
 	unfenced := standby("b", 5)
 	unfenced.Fenced = false
 	ahead := standby("b", 9)
@@ -23,17 +23,17 @@
 		replicas []Standby
 		want     string
 	}{
-		{"the one that received most", nil, []Standby{standby("a", 7), standby("b", 9)}, "b"},
-		{"equals by identifier", nil, []Standby{standby("b", 7), standby("a", 7)}, "a"},
-		{"a later term holds more", nil, []Standby{standby("a", 7), newTerm}, "b"},
-		{"a silent replica may have acknowledged", nil, []Standby{standby("a", 7), silent}, ""},
-		{"a demoted primary's position settles it", at(7), []Standby{standby("a", 7), silent}, "a"},
-		{"a demoted primary held more", at(8), []Standby{standby("a", 7), silent}, ""},
-		{"a fenced replica with less than an unfenced heir", nil, []Standby{standby("a", 7), ahead}, "b"},
-		{"an unfenced replica may still acknowledge", nil, []Standby{standby("a", 7), unfenced}, ""},
-		{"a leaving replica that holds more bars the rest", nil, []Standby{leaving, standby("b", 7)}, ""},
-		{"a leaving replica that holds no more", nil, []Standby{leaving, standby("b", 9)}, "b"},
-		{"nobody", nil, nil, ""},
+		{"highest position", nil, []Standby{standby("a", 7), standby("b", 9)}, "b"},
+		{"lowest identifier among equal positions", nil, []Standby{standby("b", 7), standby("a", 7)}, "a"},
+		{"later term with a lower LSN", nil, []Standby{standby("a", 7), newTerm}, "b"},
+		{"unanswered replica may have acknowledged more", nil, []Standby{standby("a", 7), unanswered}, ""},
+		{"replica holds all of the demoted primary's log", at(7), []Standby{standby("a", 7), unanswered}, "a"},
+		{"demoted primary held more", at(8), []Standby{standby("a", 7), unanswered}, ""},
+		{"unfenced replica ahead of a fenced one", nil, []Standby{standby("a", 7), ahead}, "b"},
+		{"unfenced replica may still acknowledge", nil, []Standby{standby("a", 7), unfenced}, ""},
+		{"leaving replica holds more", nil, []Standby{leaving, standby("b", 7)}, ""},
+		{"leaving replica holds no more", nil, []Standby{leaving, standby("b", 9)}, "b"},
+		{"no replicas", nil, nil, ""},
 	} {
 		got, ok := Successor(c.demoted, c.replicas)
 		if got.Member != c.want || ok != (c.want != "") {
@@ -42,16 +42,17 @@
 	}
 }
 
-// A caller's booking is gone after a failover. A draining replica had acknowledged it
-// for the primary while the other replica received nothing, and then ended with its
-// log; the other one answers alone, and its log is the longest of all that are left.
+// Guards against losing an acknowledged write in a failover. A draining replica
+// acknowledged it while the other replica received nothing, and then left the
+// group with its log. The other replica is the only one left to answer, so its
+// log is the longest of those that remain.
 func TestSuccessorConsidersDepartedMembers(t *testing.T) {
-	deaf := standby("a", 7)
-	deaf.Complete = false
-	if got, ok := Successor(nil, []Standby{deaf}); ok {
-		t.Errorf("%q was named although a departed member may have acknowledged more", got.Member)
+	incomplete := standby("a", 7)
+	incomplete.Complete = false
+	if got, ok := Successor(nil, []Standby{incomplete}); ok {
+		t.Errorf("Successor = %q although a departed member may have acknowledged more", got.Member)
 	}
-	if _, ok := Successor(&Position{Term: 1, LSN: 7}, []Standby{deaf}); !ok {
-		t.Error("the demoted primary's own log says that nothing is missing")
+	if _, ok := Successor(&Position{Term: 1, LSN: 7}, []Standby{incomplete}); !ok {
+		t.Error("no successor although the replica holds all of the demoted primary's log")
 	}
 }
--- a/core/pool/burst.go
+++ b/core/pool/burst.go
@@ -22,17 +22,17 @@
 
 // grow adds a connection if one is wanted and the last change is long enough
 // ago.
-func (a *burst) grow(now time.Time, wanted bool) {
-	if !wanted || now.Before(a.nextGrowth) {
+func (b *burst) grow(now time.Time, wanted bool) {
+	if !wanted || now.Before(b.nextGrowth) {
 		return
 	}
-	a.extra++
-	a.nextGrowth = now.Add(burstGrowthInterval)
+	b.extra++
+	b.nextGrowth = now.Add(burstGrowthInterval)
 }
 
 // reset returns the host to its share because the member had no connection
 // left.
-func (a *burst) reset(now time.Time) {
-	a.extra = 0
-	a.nextGrowth = now.Add(burstCooldown)
+func (b *burst) reset(now time.Time) {
+	b.extra = 0
+	b.nextGrowth = now.Add(burstCooldown)
 }
--- a/core/pool/pool_test.go
+++ b/core/pool/pool_test.go
@@ -7,7 +7,8 @@
 	"time"
 )
 
-// fakeView is what a host believes in these tests: a primary p and replicas, all well.
+// fakeView is a host's view of a primary p and of replicas, all of them
+// healthy.
 type fakeView struct {
 	share          int
 	mayExceedShare bool
@@ -17,18 +18,18 @@
 
 var _ View = (*fakeView)(nil)
 
-func (s *fakeView) CanServe(id string, n Request, _ time.Time) bool {
-	return n.PrimaryOnly && id == "p" || !n.PrimaryOnly && !s.lagging[id]
+func (v *fakeView) CanServe(id string, r Request, _ time.Time) bool {
+	return r.PrimaryOnly && id == "p" || !r.PrimaryOnly && !v.lagging[id]
 }
-func (s *fakeView) Info(id string, _ time.Time) MemberInfo {
+func (v *fakeView) Info(id string, _ time.Time) MemberInfo {
 	return MemberInfo{SameZone: true, Leads: id == "p"}
 }
-func (s *fakeView) KeepsIdle(string, time.Time) bool { return true }
-func (s *fakeView) Share(string) int                 { return s.share }
-func (s *fakeView) MayExceedShare() bool             { return s.mayExceedShare }
-func (s *fakeView) Alive(c *Conn) bool               { return !s.dead[c] }
+func (v *fakeView) KeepsIdle(string, time.Time) bool { return true }
+func (v *fakeView) Share(string) int                 { return v.share }
+func (v *fakeView) MayExceedShare() bool             { return v.mayExceedShare }
+func (v *fakeView) Alive(c *Conn) bool               { return !v.dead[c] }
 
-// harness is a pool before members, with a clock.
+// harness is a pool with a clock and a fake view.
 type harness struct {
 	t    *testing.T
 	view *fakeView
@@ -37,204 +38,212 @@
 }
 
 func newHarness(t *testing.T, share int, members ...string) *harness {
-	s := &fakeView{share: share, dead: map[*Conn]bool{}, lagging: map[string]bool{}}
-	b := &harness{t: t, view: s, pool: New(s), now: time.UnixMilli(100_000)}
+	view := &fakeView{share: share, dead: map[*Conn]bool{}, lagging: map[string]bool{}}
+	h := &harness{t: t, view: view, pool: New(view), now: time.UnixMilli(100_000)}
 	for _, id := range members {
-		b.pool.Add(id, 3)
+		h.pool.Add(id, 3)
 	}
-	return b
+	return h
 }
 
 func readRequest(account string) Request  { return Request{Account: account} }
 func writeRequest(account string) Request { return Request{Account: account, PrimaryOnly: true} }
 
-// runActions answers the orders as a member does that has room for everybody, and returns them as texts,
-// and whom the pool gave what.
-func (b *harness) runActions() (orders []string, given map[*Waiter]*Conn) {
-	given = map[*Waiter]*Conn{}
-	for list := b.pool.DrainActions(); len(list) > 0; list = b.pool.DrainActions() {
+// runActions carries out the pool's actions, like a member that has room for
+// every connection. It returns the actions as text, and the connection that
+// each waiter was assigned.
+func (h *harness) runActions() (actions []string, assigned map[*Waiter]*Conn) {
+	assigned = map[*Waiter]*Conn{}
+	for list := h.pool.DrainActions(); len(list) > 0; list = h.pool.DrainActions() {
 		for _, o := range list {
 			switch o := o.(type) {
 			case Assign:
-				orders, given[o.Waiter] = append(orders, "give "+o.Waiter.Request.Account), o.Conn
+				actions, assigned[o.Waiter] = append(actions, "assign "+o.Waiter.Request.Account), o.Conn
 			case Open:
-				orders = append(orders, fmt.Sprint("open ", o.Member, " ", o.Account))
-				b.pool.Opened(b.pool.members[o.Member], o.Account, b.now)
-				b.pool.Dispatch(b.now, false)
+				actions = append(actions, fmt.Sprint("open ", o.Member, " ", o.Account))
+				h.pool.Opened(h.pool.members[o.Member], o.Account, h.now)
+				h.pool.Dispatch(h.now, false)
 			case Close:
-				orders = append(orders, fmt.Sprint("close ", o.Conn.Member().ID(), " ", o.Conn.Account))
+				actions = append(actions, fmt.Sprint("close ", o.Conn.Member().ID(), " ", o.Conn.Account))
 			}
 		}
 	}
-	return orders, given
+	return actions, assigned
 }
 
-// acquire returns a connection for the need, opened if need be, and the orders that it took.
-func (b *harness) acquire(n Request) (*Conn, []string) {
-	b.t.Helper()
-	n.ArrivedAt = b.now
-	if c := b.pool.Take(n, b.now); c != nil {
-		orders, _ := b.runActions()
-		return c, orders
+// acquire returns a connection for the request, opening one if necessary, and
+// the actions that were carried out.
+func (h *harness) acquire(r Request) (*Conn, []string) {
+	h.t.Helper()
+	r.ArrivedAt = h.now
+	if c := h.pool.Take(r, h.now); c != nil {
+		actions, _ := h.runActions()
+		return c, actions
 	}
-	w := b.pool.Enqueue(n)
-	b.pool.Dispatch(b.now, false)
-	orders, given := b.runActions()
-	return given[w], orders
+	w := h.pool.Enqueue(r)
+	h.pool.Dispatch(h.now, false)
+	actions, assigned := h.runActions()
+	return assigned[w], actions
 }
 
-func (b *harness) wantActions(got []string, want ...string) {
-	b.t.Helper()
+func (h *harness) wantActions(got []string, want ...string) {
+	h.t.Helper()
 	if !slices.Equal(got, want) {
-		b.t.Errorf("orders %q, want %q", got, want)
+		h.t.Errorf("actions %q, want %q", got, want)
 	}
 }
 
-// A member runs a statement only on a connection that was opened for the statement's account. One that
-// another account left is as good as none.
+// A connection must run only statements of the account for which it was opened,
+// even if another account has left it idle.
 func TestConnServesOnlyItsAccount(t *testing.T) {
-	b := newHarness(t, 4, "r")
-	c, orders := b.acquire(readRequest("bakery"))
-	b.wantActions(orders, "open r bakery", "give bakery")
-	b.pool.Release(c, b.now)
-	other, orders := b.acquire(readRequest("hotel"))
-	b.wantActions(orders, "open r hotel", "give hotel")
+	h := newHarness(t, 4, "r")
+	c, actions := h.acquire(readRequest("bakery"))
+	h.wantActions(actions, "open r bakery", "assign bakery")
+	h.pool.Release(c, h.now)
+	other, actions := h.acquire(readRequest("hotel"))
+	h.wantActions(actions, "open r hotel", "assign hotel")
 	if other == c || other.Account != "hotel" {
 		t.Errorf("got a connection of %q", other.Account)
 	}
-	again, orders := b.acquire(readRequest("bakery"))
-	if again != c || len(orders) > 0 {
-		t.Errorf("got another connection than the own one, with orders %q", orders)
+	again, actions := h.acquire(readRequest("bakery"))
+	if again != c || len(actions) > 0 {
+		t.Errorf("got a connection other than the account's own, with actions %q", actions)
 	}
 }
 
-// Members take few connections. The one that was not used for longest makes room for an account that has
-// none.
+// Members take few connections. If an account has none, the least recently used
+// connection of another account makes room.
 func TestLeastRecentlyUsedConnIsReplaced(t *testing.T) {
-	b := newHarness(t, 3, "r")
+	h := newHarness(t, 3, "r")
 	for _, account := range []string{"bakery", "hotel", "canteen"} {
-		c, _ := b.acquire(readRequest(account))
-		b.pool.Release(c, b.now)
+		c, _ := h.acquire(readRequest(account))
+		h.pool.Release(c, h.now)
 	}
-	c, _ := b.acquire(readRequest("bakery"))
-	b.pool.Release(c, b.now)
-	_, orders := b.acquire(readRequest("school"))
-	b.wantActions(orders, "close r hotel", "open r school", "give school")
+	c, _ := h.acquire(readRequest("bakery"))
+	h.pool.Release(c, h.now)
+	_, actions := h.acquire(readRequest("school"))
+	h.wantActions(actions, "close r hotel", "open r school", "assign school")
 }
 
-// All connections are in use: nothing is closed or opened until one comes back, and a connection whose
-// own account waits is not closed for another one.
+// While all connections are in use, none is closed or opened until one is
+// released. A connection whose own account has a waiting statement is not
+// closed for another account.
 func TestBusyConnsAreNotReplaced(t *testing.T) {
-	b := newHarness(t, 2, "r")
-	first, _ := b.acquire(readRequest("bakery"))
-	second, _ := b.acquire(readRequest("hotel"))
-	if c, orders := b.acquire(readRequest("school")); c != nil || len(orders) > 0 {
-		t.Fatalf("got %v, orders %q", c, orders)
+	h := newHarness(t, 2, "r")
+	first, _ := h.acquire(readRequest("bakery"))
+	second, _ := h.acquire(readRequest("hotel"))
+	if c, actions := h.acquire(readRequest("school")); c != nil || len(actions) > 0 {
+		t.Fatalf("got %v, actions %q", c, actions)
 	}
-	w := b.pool.Enqueue(readRequest("hotel"))
-	b.pool.Release(second, b.now)
-	b.pool.Dispatch(b.now, false)
-	orders, given := b.runActions()
-	b.wantActions(orders, "give hotel")
-	if given[w] != second {
-		t.Error("the statement of the same account did not get the connection that came back")
+	w := h.pool.Enqueue(readRequest("hotel"))
+	h.pool.Release(second, h.now)
+	h.pool.Dispatch(h.now, false)
+	actions, assigned := h.runActions()
+	h.wantActions(actions, "assign hotel")
+	if assigned[w] != second {
+		t.Error("the statement of the same account did not get the released connection")
 	}
-	b.pool.Release(first, b.now)
-	b.pool.Dispatch(b.now, false)
-	orders, _ = b.runActions()
-	b.wantActions(orders, "close r bakery", "open r school", "give school")
+	h.pool.Release(first, h.now)
+	h.pool.Dispatch(h.now, false)
+	actions, _ = h.runActions()
+	h.wantActions(actions, "close r bakery", "open r school", "assign school")
 }
 
-// A read goes to a replica, and to another one if the first lacks what it asks for; a write opens a
-// connection to the primary.
+// A read goes to a replica, and to another one if the first lacks the required
+// position. A write opens a connection to the primary.
 func TestMemberSelection(t *testing.T) {
-	b := newHarness(t, 4, "p", "r1", "r2")
-	c, _ := b.acquire(readRequest("bakery"))
+	h := newHarness(t, 4, "p", "r1", "r2")
+	c, _ := h.acquire(readRequest("bakery"))
 	if at := c.Member().ID(); at != "r1" {
 		t.Errorf("a read went to %s", at)
 	}
-	b.pool.Release(c, b.now)
-	b.view.lagging["r1"] = true
-	if c, _ = b.acquire(readRequest("bakery")); c.Member().ID() != "r2" {
-		t.Errorf("a read went to %s, which lacks what it asks for", c.Member().ID())
+	h.pool.Release(c, h.now)
+	h.view.lagging["r1"] = true
+	if c, _ = h.acquire(readRequest("bakery")); c.Member().ID() != "r2" {
+		t.Errorf("a read went to %s, which lacks the required position", c.Member().ID())
 	}
-	if c, orders := b.acquire(writeRequest("bakery")); c == nil || c.Member().ID() != "p" {
-		t.Errorf("the write got %v, orders %q", c, orders)
+	if c, actions := h.acquire(writeRequest("bakery")); c == nil || c.Member().ID() != "p" {
+		t.Errorf("the write got %v, actions %q", c, actions)
 	}
 }
 
-// A member has no connection left: it is left alone for a moment, and the host keeps to its share for a while.
+// After a member had no connection left, none is opened to it for a moment, and
+// the host keeps to its share for a while.
 func TestFullMemberBacksOff(t *testing.T) {
-	b := newHarness(t, 1, "r")
-	b.view.mayExceedShare = true
-	w := b.pool.Enqueue(readRequest("bakery"))
-	b.pool.Dispatch(b.now, false)
-	m := b.pool.members["r"]
-	if orders := b.pool.DrainActions(); len(orders) != 1 {
-		t.Fatalf("orders %v", orders)
+	h := newHarness(t, 1, "r")
+	h.view.mayExceedShare = true
+	w := h.pool.Enqueue(readRequest("bakery"))
+	h.pool.Dispatch(h.now, false)
+	m := h.pool.members["r"]
+	if actions := h.pool.DrainActions(); len(actions) != 1 {
+		t.Fatalf("actions %v", actions)
 	}
-	b.pool.OpenFailed(m, "bakery", true, b.now)
-	b.pool.Dispatch(b.now, false)
-	if orders := b.pool.DrainActions(); len(orders) > 0 {
-		t.Errorf("orders %v right after the member had none left", orders)
+	h.pool.OpenFailed(m, "bakery", true, h.now)
+	h.pool.Dispatch(h.now, false)
+	if actions := h.pool.DrainActions(); len(actions) > 0 {
+		t.Errorf("actions %v right after the member had no connection left", actions)
 	}
-	b.now = b.now.Add(fullBackoff)
-	b.pool.Dispatch(b.now, false)
-	orders, given := b.runActions()
-	b.wantActions(orders, "open r bakery", "give bakery")
-	if given[w] == nil {
-		t.Error("nothing was given")
+	h.now = h.now.Add(fullBackoff)
+	h.pool.Dispatch(h.now, false)
+	actions, assigned := h.runActions()
+	h.wantActions(actions, "open r bakery", "assign bakery")
+	if assigned[w] == nil {
+		t.Error("the waiter got no connection")
 	}
 }
 
-// A connection that the member has closed is not given out, and another one is opened.
+// A connection that the member has closed is not assigned. Another one is
+// opened in its place.
 func TestDeadConnsAreReplaced(t *testing.T) {
-	b := newHarness(t, 2, "r")
-	c, _ := b.acquire(readRequest("bakery"))
-	b.pool.Release(c, b.now)
-	b.view.dead[c] = true
-	again, orders := b.acquire(readRequest("bakery"))
-	b.wantActions(orders, "close r bakery", "open r bakery", "give bakery")
+	h := newHarness(t, 2, "r")
+	c, _ := h.acquire(readRequest("bakery"))
+	h.pool.Release(c, h.now)
+	h.view.dead[c] = true
+	again, actions := h.acquire(readRequest("bakery"))
+	h.wantActions(actions, "close r bakery", "open r bakery", "assign bakery")
 	if again == c {
-		t.Error("the dead connection was given out")
+		t.Error("the dead connection was assigned")
 	}
 }
 
-// A member that is dropped gets no work, its idle connections are closed, and those in use as they come back.
+// A removed member gets no statements. Its idle connections are closed, and
+// those in use are closed when released.
 func TestRemovedMember(t *testing.T) {
-	b := newHarness(t, 4, "r")
-	busy, _ := b.acquire(readRequest("bakery"))
-	idle, _ := b.acquire(readRequest("hotel"))
-	b.pool.Release(idle, b.now)
-	b.pool.Remove(b.pool.members["r"])
-	b.pool.Release(busy, b.now)
-	orders, _ := b.runActions()
-	b.wantActions(orders, "close r hotel", "close r bakery")
-	if c := b.pool.Take(readRequest("bakery"), b.now); c != nil {
-		t.Error("a dropped member got work")
+	h := newHarness(t, 4, "r")
+	busy, _ := h.acquire(readRequest("bakery"))
+	idle, _ := h.acquire(readRequest("hotel"))
+	h.pool.Release(idle, h.now)
+	h.pool.Remove(h.pool.members["r"])
+	h.pool.Release(busy, h.now)
+	actions, _ := h.runActions()
+	h.wantActions(actions, "close r hotel", "close r bakery")
+	if c := h.pool.Take(readRequest("bakery"), h.now); c != nil {
+		t.Error("a removed member got a statement")
 	}
-	if m := busy.Member(); b.pool.Opened(m, "late", b.now) != nil || m.Load().Open != 0 {
+	if m := busy.Member(); h.pool.Opened(m, "late", h.now) != nil || m.Load().Open != 0 {
 		t.Errorf("load %+v", m.Load())
 	}
 }
 
-// Statements that only the primary can run, while it is out of reach, go by way of other hosts.
+// While the primary can't be reached, forwardable statements that need it are
+// forwarded to other hosts.
 func TestLostPrimaryForwards(t *testing.T) {
-	b := newHarness(t, 4, "p")
-	w := b.pool.Enqueue(Request{PrimaryOnly: true, Forwardable: true})
-	stays := b.pool.Enqueue(Request{PrimaryOnly: true, Account: "bakery"})
-	b.pool.Dispatch(b.now, true)
-	for _, o := range b.pool.DrainActions() {
-		if g, ok := o.(Assign); ok && (g.Waiter != w || g.Conn != nil) {
-			t.Errorf("gave %v to %v", g.Conn, g.Waiter)
+	h := newHarness(t, 4, "p")
+	w := h.pool.Enqueue(Request{PrimaryOnly: true, Forwardable: true})
+	stays := h.pool.Enqueue(Request{PrimaryOnly: true, Account: "bakery"})
+	h.pool.Dispatch(h.now, true)
+	for _, o := range h.pool.DrainActions() {
+		if a, ok := o.(Assign); ok && (a.Waiter != w || a.Conn != nil) {
+			t.Errorf("assigned %v to %v", a.Conn, a.Waiter)
 		}
 	}
-	if b.pool.Waiting() != 1 {
-		t.Errorf("%d wait, want the one that may not be sent on (%v)", b.pool.Waiting(), stays)
+	if h.pool.Waiting() != 1 {
+		t.Errorf("%d wait, want the one that is not forwardable (%v)", h.pool.Waiting(), stays)
 	}
 }
 
-// Connections that are not used for long are closed, above the share sooner, but for those kept warm.
+// Connections that have been idle for long are closed, sooner if they are above
+// the host's share. Those kept warm stay open.
 func TestTrim(t *testing.T) {
 	for _, c := range []struct {
 		name               string
@@ -242,25 +251,25 @@
 		share, hosts, warm int
 		want               int
 	}{
-		{"used lately", shareIdleTimeout / 2, 3, 8, 0, 3},
-		{"not used", shareIdleTimeout, 3, 8, 0, 0},
+		{"recently used", shareIdleTimeout / 2, 3, 8, 0, 3},
+		{"idle", shareIdleTimeout, 3, 8, 0, 0},
 		{"above the share", burstIdleTimeout, 2, 8, 0, 2},
-		{"in a crowd", shareIdleTimeout, 3, ManyHosts + 1, 0, 3},
+		{"many hosts", shareIdleTimeout, 3, ManyHosts + 1, 0, 3},
 		{"kept warm", shareIdleTimeout, 3, 8, 2, 2},
 	} {
-		b := newHarness(t, 3, "r")
+		h := newHarness(t, 3, "r")
 		var all []*Conn
 		for _, account := range []string{"a", "b", "c"} {
-			got, _ := b.acquire(readRequest(account))
+			got, _ := h.acquire(readRequest(account))
 			all = append(all, got)
 		}
 		for _, each := range all {
-			b.pool.Release(each, b.now)
+			h.pool.Release(each, h.now)
 		}
-		b.view.share = c.share
-		b.now = b.now.Add(c.idle)
-		b.pool.Trim(b.now, c.hosts, func(*Member) int { return c.warm })
-		if got := b.pool.members["r"].Load().Open; got != c.want {
+		h.view.share = c.share
+		h.now = h.now.Add(c.idle)
+		h.pool.Trim(h.now, c.hosts, func(*Member) int { return c.warm })
+		if got := h.pool.members["r"].Load().Open; got != c.want {
 			t.Errorf("%s: %d connections are left, want %d", c.name, got, c.want)
 		}
 	}
--- a/core/pool/queue_test.go
+++ b/core/pool/queue_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// Work comes faster than a member does it. Served in the order of arrival, every caller
-// waits until it is nearly too late. While a queue stands the newest goes first, but
-// never before work of a higher priority.
+// Guards against serving every statement too late when statements arrive faster
+// than a member runs them. While the oldest has waited too long, the newest
+// goes first, but never before statements of a higher priority.
 func TestServingOrder(t *testing.T) {
 	now := time.UnixMilli(10_000)
 	p := New(nil)
@@ -27,10 +27,10 @@
 	add("save 1", 1, 10*time.Millisecond)
 	add("save 2", 1, 5*time.Millisecond)
 	if got, want := names(), []string{"save 1", "save 2", "label 1", "label 2"}; !slices.Equal(got, want) {
-		t.Errorf("a short queue is served as %v, want %v", got, want)
+		t.Errorf("queue below the threshold is served as %v, want %v", got, want)
 	}
 	now = now.Add(lifoThreshold)
 	if got, want := names(), []string{"save 2", "save 1", "label 2", "label 1"}; !slices.Equal(got, want) {
-		t.Errorf("a standing queue is served as %v, want %v", got, want)
+		t.Errorf("queue beyond the threshold is served as %v, want %v", got, want)
 	}
 }
--- a/core/pool/window.go
+++ b/core/pool/window.go
@@ -12,15 +12,15 @@
 // of an overloaded member, and keep it from answering probes too.
 //
 // With many hosts, even one statement of each exceeds what the member can take.
-// At a window of one, a host therefore also backs off from the member after
-// each refusal.
+// A host at a window of one then also backs off from the member after each
+// refusal.
 //
 // The zero Window is ready for use. A Window is not safe for concurrent use.
 type Window struct {
 	size       float64
 	lastShrink time.Time
-	// backoff is how long the member is left alone after the next refusal, and
-	// closedUntil the end of the present backoff.
+	// backoff determines how long the host backs off after the next refusal at
+	// a window of one. closedUntil is the end of the current backoff.
 	backoff     time.Duration
 	closedUntil time.Time
 }
--- a/core/pool/window_test.go
+++ b/core/pool/window_test.go
@@ -5,9 +5,10 @@
 	"time"
 )
 
-// A member's queue is full and refuses statements. Hosts that send them again at once
-// keep it full, and most of its callers get a refusal rather than an answer. The
-// window of each host must fall to one within a few refusals, and grow back slowly.
+// Guards against hosts that keep a member's queue full by sending refused
+// statements again at once, so that most clients get a refusal instead of an
+// answer. The window must fall to one within a few refusals, and grow back
+// slowly.
 func TestWindowShrinksFastAndGrowsSlowly(t *testing.T) {
 	var w Window
 	now := time.UnixMilli(0)
@@ -16,7 +17,7 @@
 		w.Shrink(now, 8)
 	}
 	if w.Limit() != 1 {
-		t.Errorf("after four refusals the window is %d", w.Limit())
+		t.Errorf("after four refusals the window is %d, want 1", w.Limit())
 	}
 	grown := 0
 	for w.Limit() < initialWindow {
@@ -24,7 +25,7 @@
 		grown++
 	}
 	if grown < 2*initialWindow {
-		t.Errorf("the window was back after %d statements", grown)
+		t.Errorf("the window grew back after only %d statements", grown)
 	}
 	for range 10000 {
 		w.Grow()
@@ -47,27 +48,28 @@
 }
 
 func TestBurst(t *testing.T) {
-	var a burst
+	var b burst
 	now := time.UnixMilli(0)
-	a.grow(now, true)
-	a.grow(now, true)
-	if a.extra != 1 {
-		t.Errorf("two wishes at once gave %d connections", a.extra)
+	b.grow(now, true)
+	b.grow(now, true)
+	if b.extra != 1 {
+		t.Errorf("extra = %d after growing twice at once, want 1", b.extra)
 	}
-	a.grow(now.Add(burstGrowthInterval), false)
-	a.grow(now.Add(burstGrowthInterval), true)
-	if a.extra != 2 {
-		t.Errorf("extra = %d, want 2", a.extra)
+	b.grow(now.Add(burstGrowthInterval), false)
+	b.grow(now.Add(burstGrowthInterval), true)
+	if b.extra != 2 {
+		t.Errorf("extra = %d, want 2", b.extra)
 	}
-	a.reset(now)
-	a.grow(now.Add(burstCooldown/2), true)
-	if a.extra != 0 {
-		t.Error("a host grew again right after the member had no connection left")
+	b.reset(now)
+	b.grow(now.Add(burstCooldown/2), true)
+	if b.extra != 0 {
+		t.Error("extra grew during the cooldown")
 	}
 }
 
-// Sixty hosts send a member one statement each and are refused. If each came back after
-// one statement's time, the member's queue would stay full of what it refuses.
+// Guards against a member's queue staying full of statements that it then
+// refuses. Sixty hosts send a member one statement each, are refused, and would
+// otherwise all retry after the duration of one statement.
 func TestManyHostsBackOffFromRefusingMember(t *testing.T) {
 	for _, c := range []struct {
 		hosts int
@@ -84,7 +86,7 @@
 		}
 		w.Shrink(now, c.hosts)
 		if got := w.Allows(0, now.Add(minBackoff)); got != c.want {
-			t.Errorf("%d hosts: open soon after the ninth refusal: %v", c.hosts, got)
+			t.Errorf("%d hosts: Allows = %v soon after the ninth refusal", c.hosts, got)
 		}
 	}
 }
