--- a/core/pool/member.go
+++ b/core/pool/member.go
@@ -72,7 +72,7 @@
 func (m *Member) ID() string { return m.id }
 
 // ObserveLatency records the duration of a statement.
-func (m *Member) ObserveLatency(d time.Duration) { m.latency = placement.Observe(m.latency, d) }
+func (m *Member) ObserveLatency(d time.Duration) { m.latency = placement.UpdateLatency(m.latency, d) }
 
 // Latency returns the moving average of statement durations, or zero if there
 // is none yet.
--- a/core/pool/pool.go
+++ b/core/pool/pool.go
@@ -155,7 +155,7 @@
 func (p *Pool) cost(m *Member, now time.Time) time.Duration {
 	at := p.view.Info(m.id, now)
 	return placement.Member{
-		Latency: m.latency, Running: m.running + m.dialCount(), SameZone: at.SameZone, Leads: at.Leads, Suspect: at.Suspect,
+		Latency: m.latency, Running: m.running + m.dialCount(), SameZone: at.SameZone, IsPrimary: at.Leads, Suspect: at.Suspect,
 	}.Cost()
 }
 
