--- a/core/group/relief.go
+++ b/core/group/relief.go
@@ -3,52 +3,62 @@
 import "time"
 
 const (
-	// reliefRounds is how many rounds in a row a primary must be at its limit while no replica is fresh, until another
-	// member takes over.
-	reliefRounds = 2
-	// reliefPause is the least time between two changes of primary for relief: each aborts the transactions that are
-	// open.
-	reliefPause = 8 * time.Second
-	// reliefWaits is how many statements must have had to wait within a round. Fewer are a burst.
-	reliefWaits = 8
+	// minOverloadedRounds is how many rounds in a row must show an overloaded
+	// primary without fresh replicas before another member takes over.
+	minOverloadedRounds = 2
+	// minSwitchoverInterval is the minimum time between two switchovers because
+	// of overload. Each one aborts the open transactions.
+	minSwitchoverInterval = 8 * time.Second
+	// minOverloadWaits is how many statements must have waited within a round
+	// for the primary to count as saturated. Fewer are taken for a burst.
+	minOverloadWaits = 8
 )
 
-// Load is what one round showed of a primary's load.
-type Load struct {
-	// Lagging is true if every replica is further behind than the group's routes accept, so that the primary serves all
-	// reads.
-	Lagging bool
-	// Running is how many statements the primary ran at the moment of the question, and Slots how many it runs at once.
+// PrimaryLoad describes the load of a primary in one round of probes.
+type PrimaryLoad struct {
+	// ReplicasLagging is true if every replica lags by more than the group's
+	// routes accept, so that the primary serves all reads.
+	ReplicasLagging bool
+	// Running is how many statements the primary was running when it was
+	// probed, and Slots how many it can run at once.
 	Running, Slots int
-	// Waited is how many statements of the asking host had to wait since the round before.
-	Waited int
+	// Waits is how many statements of the probing host have had to wait since
+	// the previous round.
+	Waits int
 }
 
-// atLimit reports whether the primary can't serve what comes to it. The moment of the question alone does not tell: a
-// primary with short statements is idle between two of them while others wait.
-func (l Load) atLimit() bool { return l.Running >= l.Slots || l.Waited >= reliefWaits }
+// saturated reports whether the primary can't keep up with its statements. The
+// number of running statements alone does not show it, since a primary with
+// short statements may be probed in the idle moment between two of them while
+// others wait.
+func (l PrimaryLoad) saturated() bool { return l.Running >= l.Slots || l.Waits >= minOverloadWaits }
 
-// Relief decides when a group is better off with another primary: the present one is at its limit, since no replica is
-// fresh enough. A promoted replica is up to date at once, however far it was behind, and the old primary goes on as a
-// replica that is not behind, so two members serve reads. The zero value is ready for use.
-type Relief struct {
-	rounds   int
-	relieved time.Time
+// OverloadDetector decides when an overloaded primary is to be replaced because
+// no replica is fresh enough to take reads off it. A promoted replica is up to
+// date at once, however far it lagged, and the old primary continues as a
+// replica that does not lag, so that two members serve reads afterwards.
+//
+// The zero value is ready for use. An OverloadDetector is not safe for
+// concurrent use.
+type OverloadDetector struct {
+	overloadedRounds int
+	switchedAt       time.Time
 }
 
-// Observe takes over a round and reports whether the primary is to be relieved now.
-func (r *Relief) Observe(l Load, now time.Time) bool {
-	if !l.Lagging || !l.atLimit() {
-		r.rounds = 0
+// Observe records the load of one round and reports whether the primary is to
+// be replaced now.
+func (d *OverloadDetector) Observe(l PrimaryLoad, now time.Time) bool {
+	if !l.ReplicasLagging || !l.saturated() {
+		d.overloadedRounds = 0
 		return false
 	}
-	r.rounds++
-	if r.rounds < reliefRounds || now.Sub(r.relieved) < reliefPause {
+	d.overloadedRounds++
+	if d.overloadedRounds < minOverloadedRounds || now.Sub(d.switchedAt) < minSwitchoverInterval {
 		return false
 	}
-	r.rounds, r.relieved = 0, now
+	d.overloadedRounds, d.switchedAt = 0, now
 	return true
 }
 
-// Doubtful reports whether the last round showed a primary at its limit.
-func (r *Relief) Doubtful() bool { return r.rounds > 0 }
+// Overloaded reports whether the last round showed an overloaded primary.
+func (d *OverloadDetector) Overloaded() bool { return d.overloadedRounds > 0 }
--- a/core/pool/trim.go
+++ b/core/pool/trim.go
@@ -2,42 +2,45 @@
 
 import "time"
 
-// Trim closes connections that were not used for long. hosts is how many share the members, and warm how
-// many connections to a member are kept all the same.
+// Trim closes connections that have been idle for too long, and opens spare
+// ones. hosts is the number of hosts that share the members, and warm returns
+// how many connections to a member are kept open regardless of use.
 func (p *Pool) Trim(now time.Time, hosts int, warm func(*Member) int) {
-	for _, m := range p.order {
-		p.trim(m, now, hosts, warm(m))
-		p.warmUp(m, now, warm(m))
+	for _, m := range p.sorted {
+		p.trimMember(m, now, hosts, warm(m))
+		p.openSpare(m, now, warm(m))
 	}
 }
 
-func (p *Pool) trim(m *Member, now time.Time, hosts, warm int) {
-	share := p.beliefs.Share(m.id)
+// trimMember closes the member's connections that have been idle for too long.
+func (p *Pool) trimMember(m *Member, now time.Time, hosts, warm int) {
+	share := p.view.Share(m.id)
 	kept := m.idle[:0]
 	for _, c := range m.idle {
-		bound := shareIdle
-		if hosts > Crowd {
-			bound = crowdIdle
+		timeout := shareIdleTimeout
+		if hosts > ManyHosts {
+			timeout = manyHostsIdleTimeout
 		}
 		if m.open > share {
-			bound = extraIdle
+			timeout = burstIdleTimeout
 		}
-		if p.beliefs.Keeps(m.id, now) && (now.Sub(c.used) < bound || m.open <= warm) {
+		if p.view.KeepsIdle(m.id, now) && (now.Sub(c.lastUsed) < timeout || m.open <= warm) {
 			kept = append(kept, c)
 			continue
 		}
 		m.open--
-		p.close(c)
+		p.closeConn(c)
 	}
 	clear(m.idle[len(kept):])
 	m.idle = kept
 }
 
-// warmUp opens a connection ahead of need while nobody waits: opening takes one of the
-// member's slots for as long as two or three statements, which nobody misses then.
-func (p *Pool) warmUp(m *Member, now time.Time, warm int) {
-	if len(p.waiters) > 0 || m.dialing() > 0 || m.open >= warm || !p.beliefs.Serves(m.id, Need{}, now) || now.Before(m.fullUntil) {
+// openSpare opens a connection ahead of demand while no statement waits.
+// Opening one occupies a slot of the member for as long as two or three
+// statements, which does no harm then.
+func (p *Pool) openSpare(m *Member, now time.Time, warm int) {
+	if len(p.waiters) > 0 || m.dialCount() > 0 || m.open >= warm || !p.view.CanServe(m.id, Request{}, now) || now.Before(m.dialBlockedUntil) {
 		return
 	}
-	p.start(m, "")
+	p.startDial(m, "")
 }
--- a/core/pool/window.go
+++ b/core/pool/window.go
@@ -5,77 +5,83 @@
 	"time"
 )
 
-// Window is how many statements a host runs on a member at once. It halves when
-// the member has no room and grows with statements that went well. All hosts
-// share the member, and none knows what the others send: without it, statements
-// that are refused and sent again fill the queue of an overloaded member, and
-// keep it from answering status questions too.
+// Window is the number of statements that a host may run on a member at once.
+// It is halved when the member has no room and grows with each successful
+// statement. All hosts share the member, and none knows what the others send.
+// Without the window, statements that are refused and sent again fill the queue
+// of an overloaded member, and keep it from answering probes too.
 //
-// With many hosts even one statement of each is more than the member takes. Below a
-// window of one, a host leaves the member alone for a while after each refusal.
+// With many hosts, even one statement of each exceeds what the member can take.
+// A host at a window of one then also backs off from the member after each
+// refusal.
 //
-// The zero Window is ready for use.
+// The zero Window is ready for use. A Window is not safe for concurrent use.
 type Window struct {
-	size   float64
-	shrunk time.Time
-	// pause is how long the member is left alone after the next refusal, and
-	// closedUntil the end of the present pause.
-	pause       time.Duration
+	size       float64
+	lastShrink time.Time
+	// backoff determines how long the host backs off after the next refusal at
+	// a window of one. closedUntil is the end of the current backoff.
+	backoff     time.Duration
 	closedUntil time.Time
 }
 
 const (
-	// windowStart is a host's window at first: the slots of the users' members are
-	// two and three, which a few hosts share.
-	windowStart = 3
-	// windowMax lets a single host fill a member's queue of 16 halfway.
-	windowMax = 8
-	// windowPause is the least time between two halvings: statements that were
-	// under way together tell the same news.
-	windowPause = 30 * time.Millisecond
-	// shortestPause and longestPause bound the pause after a refusal at a window of one: a
-	// short statement's time, and about what a queue of 16 takes.
-	shortestPause = 8 * time.Millisecond
-	longestPause  = 128 * time.Millisecond
+	// initialWindow is a host's first window. The users' members have two or
+	// three slots, which a few hosts share.
+	initialWindow = 3
+	// maxWindow lets a single host fill half of a member's queue of 16.
+	maxWindow = 8
+	// minShrinkInterval is the minimum time between two halvings, since the
+	// refusals of statements that ran at the same time carry the same
+	// information.
+	minShrinkInterval = 30 * time.Millisecond
+	// minBackoff and maxBackoff bound the backoff after a refusal at a window
+	// of one. They are the duration of a short statement and about the time
+	// that a queue of 16 takes.
+	minBackoff = 8 * time.Millisecond
+	maxBackoff = 128 * time.Millisecond
 )
 
-// Open reports whether a statement may be sent now beside those that run.
-func (w *Window) Open(running int, now time.Time) bool {
+// Allows reports whether a statement may be sent now, in addition to those that
+// run.
+func (w *Window) Allows(running int, now time.Time) bool {
 	return running < w.Limit() && !now.Before(w.closedUntil)
 }
 
-// Limit returns how many statements may run.
+// Limit returns how many statements may run at once.
 func (w *Window) Limit() int {
 	if w.size == 0 {
-		return windowStart
+		return initialWindow
 	}
 	return max(1, int(w.size))
 }
 
-// Crowd is how many hosts make a crowd: with one statement each they fill the shortest
-// queue of the users' members. Fewer hosts have no need to pause, and lose by it: after a
-// restart of all, members refuse for a moment only.
-const Crowd = 16
+// ManyHosts is the number of hosts above which refusals at a window of one
+// cause a backoff. With one statement each, this many hosts fill the shortest
+// queue of the users' members. Fewer hosts do not need the backoff and lose by
+// it: after all hosts restart, members refuse statements only for a moment.
+const ManyHosts = 16
 
-// Shrink takes a refusal into account. hosts is how many share the member.
+// Shrink records a refusal. hosts is the number of hosts that share the member.
 func (w *Window) Shrink(now time.Time, hosts int) {
-	if hosts > Crowd && w.Limit() == 1 && !now.Before(w.closedUntil) {
-		w.pause = min(longestPause, max(shortestPause, 2*w.pause))
-		// Hosts that were refused at the same moment must not come back together.
-		w.closedUntil = now.Add(w.pause/2 + rand.N(w.pause))
+	if hosts > ManyHosts && w.Limit() == 1 && !now.Before(w.closedUntil) {
+		w.backoff = min(maxBackoff, max(minBackoff, 2*w.backoff))
+		// The random part keeps hosts that were refused at the same time from
+		// retrying together.
+		w.closedUntil = now.Add(w.backoff/2 + rand.N(w.backoff))
 	}
-	if now.Sub(w.shrunk) < windowPause {
+	if now.Sub(w.lastShrink) < minShrinkInterval {
 		return
 	}
-	w.shrunk = now
+	w.lastShrink = now
 	w.size = max(1, float64(w.Limit())/2)
 }
 
-// Grow takes a statement into account that went well.
+// Grow records a successful statement.
 func (w *Window) Grow() {
 	if w.size == 0 {
-		w.size = windowStart
+		w.size = initialWindow
 	}
-	w.size = min(windowMax, w.size+1/(4*w.size))
-	w.pause /= 2
+	w.size = min(maxWindow, w.size+1/(4*w.size))
+	w.backoff /= 2
 }
--- a/core/statement/classify.go
+++ b/core/statement/classify.go
@@ -5,46 +5,50 @@
 	"strings"
 )
 
-// Traits is what the text of a statement tells.
+// Traits are the properties of a statement that its text shows.
 type Traits struct {
-	// Kind is Read only for statements that start like a read.
+	// Kind is Read only if the statement starts like a read.
 	Kind Kind
-	// Begins is true for statements that open or end a transaction.
-	Begins bool
-	// Pins is true for statements whose effect on the session outlives their
+	// ControlsTransaction is true if the statement opens or ends a transaction.
+	ControlsTransaction bool
+	// Pins is true if the statement changes session state that outlives its
 	// transaction.
 	Pins bool
-	// RequestID is the identifier in a leading or trailing comment of the form
-	// /* pearlatch.request='ID' */.
+	// RequestID is the request identifier from a leading or trailing comment of
+	// the form /* pearlatch.request='ID' */.
 	RequestID string
 }
 
-// requestComment finds the request identifier.
-var requestComment = regexp.MustCompile(`/\*\s*pearlatch\.request\s*=\s*'([^']{1,200})'\s*\*/`)
+// requestIDComment matches a comment that holds a request identifier.
+var requestIDComment = regexp.MustCompile(`/\*\s*pearlatch\.request\s*=\s*'([^']{1,200})'\s*\*/`)
 
-const requestPrefix = "pearlatch.request"
+// requestIDKey occurs in every text that requestIDComment matches. Searching
+// for it first avoids running the regular expression on most statements.
+const requestIDKey = "pearlatch.request"
 
-// Classify looks at the leading keyword of an SQL text. It is no parser: what
-// it does not know is a write, and a read that writes after all is refused by
-// the replica (25006) before it runs.
+// Classify derives the traits of an SQL text from its leading keywords. It does
+// not parse SQL. A statement that it does not recognize is a write. If a
+// statement that it takes for a read writes after all, the replica refuses it
+// with SQLSTATE 25006 before it runs.
 func Classify(sql string) Traits {
 	var t Traits
-	if strings.Contains(sql, requestPrefix) {
-		if m := requestComment.FindStringSubmatch(sql); m != nil {
+	if strings.Contains(sql, requestIDKey) {
+		if m := requestIDComment.FindStringSubmatch(sql); m != nil {
 			t.RequestID = m[1]
 		}
 	}
 	sql = skipComments(sql)
 	t.Kind = kindOf(sql)
-	t.Begins = controls(sql)
-	if several(sql) {
+	t.ControlsTransaction = controlsTransaction(sql)
+	if hasMultipleStatements(sql) {
 		t.Kind = Write
 	}
-	t.Pins = pins(sql)
+	t.Pins = pinsSession(sql)
 	return t
 }
 
-// skipComments drops leading white space and comments.
+// skipComments removes leading comments, white space, semicolons and opening
+// parentheses.
 func skipComments(sql string) string {
 	for {
 		sql = strings.TrimLeft(sql, " \t\r\n;(")
@@ -61,10 +65,11 @@
 	}
 }
 
+// kindOf returns the kind of the statement from its leading keyword.
 func kindOf(sql string) Kind {
-	switch word, rest := keyword(sql); word {
+	switch word, rest := leadingKeyword(sql); word {
 	case "SELECT":
-		if locking(sql) {
+		if takesLocks(sql) {
 			return Write
 		}
 		return Read
@@ -78,38 +83,42 @@
 	return Write
 }
 
-// controls reports whether sql opens or ends a transaction.
-func controls(sql string) bool {
-	switch word, _ := keyword(sql); word {
+// controlsTransaction reports whether the statement opens or ends a
+// transaction.
+func controlsTransaction(sql string) bool {
+	switch word, _ := leadingKeyword(sql); word {
 	case "BEGIN", "START", "COMMIT", "END", "ROLLBACK", "ABORT", "PREPARE":
 		return true
 	}
 	return false
 }
 
-// several reports whether text follows a semicolon. A semicolon within a literal
-// counts too: such a statement goes to the primary, which is always right.
-func several(sql string) bool {
+// hasMultipleStatements reports whether text follows a semicolon. A semicolon
+// within a literal counts too: such a statement goes to the primary, which is
+// always correct.
+func hasMultipleStatements(sql string) bool {
 	_, rest, found := strings.Cut(sql, ";")
 	return found && strings.Trim(rest, " \t\r\n;") != ""
 }
 
-// locking reports whether a SELECT takes row locks, which replicas refuse, or
-// advisory locks, which are no use on a replica.
-func locking(sql string) bool {
+// takesLocks reports whether a SELECT takes row locks, which replicas refuse,
+// or advisory locks, which serve no purpose on a replica.
+func takesLocks(sql string) bool {
 	return containsFold(sql, " FOR UPDATE") || containsFold(sql, " FOR SHARE") ||
 		containsFold(sql, " FOR NO KEY") || containsFold(sql, " FOR KEY") || containsFold(sql, "ADVISORY")
 }
 
-func pins(sql string) bool {
-	switch word, rest := keyword(sql); word {
+// pinsSession reports whether the statement changes session state that outlives
+// its transaction.
+func pinsSession(sql string) bool {
+	switch word, rest := leadingKeyword(sql); word {
 	case "SET":
-		next, _ := keyword(strings.TrimLeft(rest, " \t\r\n"))
+		next, _ := leadingKeyword(strings.TrimLeft(rest, " \t\r\n"))
 		return next != "LOCAL" && next != "TRANSACTION" && next != "CONSTRAINTS"
 	case "PREPARE", "LISTEN", "LOAD":
 		return true
 	case "CREATE":
-		next, _ := keyword(strings.TrimLeft(rest, " \t\r\n"))
+		next, _ := leadingKeyword(strings.TrimLeft(rest, " \t\r\n"))
 		return next == "TEMP" || next == "TEMPORARY" || next == "LOCAL" || next == "GLOBAL"
 	case "DECLARE":
 		return containsFold(rest, "WITH HOLD")
@@ -119,8 +128,8 @@
 	return false
 }
 
-// keyword returns the leading word of sql in upper case, and the rest.
-func keyword(sql string) (word, rest string) {
+// leadingKeyword returns the leading word of sql in upper case, and the rest.
+func leadingKeyword(sql string) (word, rest string) {
 	n := 0
 	for n < len(sql) && isLetter(sql[n]) {
 		n++
@@ -130,7 +139,7 @@
 
 func isLetter(c byte) bool { return c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c == '_' }
 
-// containsFold reports whether s contains the ASCII text sub in any case.
+// containsFold reports whether s contains the ASCII text sub, ignoring case.
 func containsFold(s, sub string) bool {
 	for i := 0; i+len(sub) <= len(s); i++ {
 		if strings.EqualFold(s[i:i+len(sub)], sub) {
--- a/core/statement/refusal.go
+++ b/core/statement/refusal.go
@@ -5,21 +5,21 @@
 	"time"
 )
 
-// Refusal is the answer to a unit that pearlatch itself gives.
+// Refusal is an error with which pearlatch itself answers a unit.
 type Refusal struct {
-	// Code is the SQLSTATE sent to the caller.
+	// Code is the SQLSTATE sent to the client.
 	Code string
 	// Reason says what happened, as a sentence without its full stop.
 	Reason string
-	// NotRun is true when the unit has certainly not run.
+	// NotRun is true if it is certain that the unit has not run.
 	NotRun bool
-	// RetryAfter is when the caller may try again, or zero when that is not
-	// known.
+	// RetryAfter is how long the client should wait before it tries again, or
+	// zero if that is not known.
 	RetryAfter time.Duration
-	// Elsewhere is true when another host may take the unit at once: this one
-	// does not own the group. Owner is that host, if it is known.
-	Elsewhere bool
-	Owner     string
+	// RetryElsewhere is true if another host may run the unit at once, since
+	// this one does not own the group. Owner is that host, if it is known.
+	RetryElsewhere bool
+	Owner          string
 }
 
 // Error implements error.
@@ -30,7 +30,7 @@
 	return r.Reason
 }
 
-// Hint returns the text of the HINT field, or the empty string.
+// Hint returns the text of the error's HINT field, or the empty string.
 func (r *Refusal) Hint() string {
 	if r.RetryAfter <= 0 {
 		return ""
@@ -38,7 +38,7 @@
 	return fmt.Sprintf("Try again in %s.", r.RetryAfter.Round(time.Millisecond))
 }
 
-// NotRun returns a refusal of a unit that has not run.
-func NotRun(code, reason string) *Refusal {
+// NewNotRunRefusal returns a refusal of a unit that has not run.
+func NewNotRunRefusal(code, reason string) *Refusal {
 	return &Refusal{Code: code, Reason: reason, NotRun: true}
 }
