--- a/core/quota/granter_test.go
+++ b/core/quota/granter_test.go
@@ -14,39 +14,39 @@
 var (
 	t0      = time.UnixMilli(1_000_000)
 	quota40 = account.Quota{Rate: 40, Burst: 40}
-	// noTolerance is a tolerance of nothing.
+	// noTolerance allows nothing beyond the quota.
 	noTolerance = Tolerance{Window: 5 * time.Second}
 )
 
-// newTestGranter returns the ledger of a granter that has heard of all these hosts at t0.
+// newTestGranter returns a granter with fencing token 5 to which process 1 of each host has reported, at t0.
 func newTestGranter(terms Tolerance, hosts ...string) *Granter {
-	l := NewGranter(5, terms, t0, hosts, nil)
+	g := NewGranter(5, terms, t0, hosts, nil)
 	for _, h := range hosts {
-		l.RecordReport(h, h+".1", nil, t0)
+		g.RecordReport(h, h+".1", nil, t0)
 	}
-	return l
+	return g
 }
 
-// requestID counts the questions of these tests.
+// requestID is the ID of the last request sent by the tests.
 var requestID uint64
 
-// requestAccount asks for an account with the quota forty.
-func requestAccount(t *testing.T, l *Granter, host string, at time.Time, q AccountRequest) Grant {
+// requestAccount sends a request for account "a" with quota40.
+func requestAccount(t *testing.T, g *Granter, host string, at time.Time, q AccountRequest) Grant {
 	t.Helper()
 	q.Account, q.Quota = "a", quota40
 	requestID++
-	out, ok := l.HandleRequest(host, host+".1", Request{ID: requestID, Token: 5, Accounts: []AccountRequest{q}}, at)
+	out, ok := g.HandleRequest(host, host+".1", Request{ID: requestID, Token: 5, Accounts: []AccountRequest{q}}, at)
 	if !ok {
-		t.Fatalf("%s got no answer", host)
+		t.Fatalf("%s got no response", host)
 	}
 	return out.Grants[0]
 }
 
-// Who takes tokens from another granter, or has not told what it holds, gets nothing: it may hold what this
-// granter does not know.
+// A host that follows another granter, or has not reported its holdings, gets nothing: it may hold tokens that this
+// granter does not know of.
 func TestGranterAnswersOnlyItsFollowers(t *testing.T) {
-	l := newTestGranter(noTolerance, "h1")
-	l.AddHosts("h2")
+	g := newTestGranter(noTolerance, "h1")
+	g.AddHosts("h2")
 	questions := []AccountRequest{{Account: "a", Quota: quota40, Waiting: 1}}
 	for i, c := range []struct {
 		what, host, process string
@@ -58,101 +58,104 @@
 		{"a follower of an earlier granter", "h1", "h1.1", 4, t0, false},
 		{"a follower of a later granter", "h1", "h1.1", 6, t0, false},
 		{"another process of the host", "h1", "h1.2", 5, t0, false},
-		{"a host that has told nothing", "h2", "h2.1", 5, t0, false},
+		{"a host that has not reported", "h2", "h2.1", 5, t0, false},
 		{"a host that no successor would ask", "h3", "h3.1", 5, t0, false},
-		{"a follower after the granter's time", "h1", "h1.1", 5, t0.Add(PortionTTL), false},
+		{"a follower after the granter's term", "h1", "h1.1", 5, t0.Add(PortionTTL), false},
 	} {
-		if _, ok := l.HandleRequest(c.host, c.process, Request{ID: uint64(i + 1), Token: c.token, Accounts: questions}, c.at); ok != c.want {
-			t.Errorf("%s: answered %v", c.what, ok)
+		if _, ok := g.HandleRequest(c.host, c.process, Request{ID: uint64(i + 1), Token: c.token, Accounts: questions}, c.at); ok != c.want {
+			t.Errorf("%s: answered = %v", c.what, ok)
 		}
 	}
 }
 
-// A host has most of the quota, and its callers leave. The granter offers it less, but the answer gets lost: the
-// host goes on with what it had. Until it shows that it knows, nobody else may get the difference.
+// A host holds a large portion, and its callers leave. The granter offers it a smaller one, but the response is lost and
+// the host keeps the large one. Until a request shows that the host holds the smaller portion, no other host may get the
+// difference.
 func TestPortionCountsUntilTheHostKnowsOfASmallerOne(t *testing.T) {
-	l := newTestGranter(noTolerance, "h1", "h2", "h3")
+	g := newTestGranter(noTolerance, "h1", "h2", "h3")
 	bursty := account.Quota{Rate: 40, Burst: 400}
-	askOf := func(host string, at time.Time, holding uint64, demand float64) Grant {
+	requestBursty := func(host string, at time.Time, holding uint64, demand float64) Grant {
 		requestID++
 		in := Request{ID: requestID, Token: 5, Accounts: []AccountRequest{{Account: "a", Quota: bursty, HeldSerial: holding, Demand: demand}}}
-		out, ok := l.HandleRequest(host, host+".1", in, at)
+		out, ok := g.HandleRequest(host, host+".1", in, at)
 		if !ok {
 			t.Fatalf("%s got no answer", host)
 		}
 		return out.Grants[0]
 	}
-	big, third := askOf("h1", t0, 0, 30), askOf("h3", t0, 0, 30)
-	askOf("h1", t0.Add(time.Second), big.Serial, 0) // the answer, with next to nothing, gets lost
-	other := askOf("h2", t0.Add(time.Second), 0, 30)
+	big, third := requestBursty("h1", t0, 0, 30), requestBursty("h3", t0, 0, 30)
+	requestBursty("h1", t0.Add(time.Second), big.Serial, 0) // the response with the smaller portion is lost
+	other := requestBursty("h2", t0.Add(time.Second), 0, 30)
 	if sum := big.Rate + third.Rate + other.Rate; sum > portionRateFraction*bursty.Rate+0.001 {
-		t.Errorf("three hosts hold %.1f of %.0f a second", sum, bursty.Rate)
+		t.Errorf("three hosts hold %.1f of %.0f operations/s", sum, bursty.Rate)
 	}
-	small := askOf("h1", t0.Add(2*time.Second), big.Serial, 0)
-	askOf("h1", t0.Add(3*time.Second), small.Serial, 0) // it came
-	if other = askOf("h2", t0.Add(3*time.Second), other.Serial, 30); other.Rate < portionRateFraction*bursty.Rate-third.Rate-0.001 {
-		t.Errorf("the other host got %.1f a second of what is free", other.Rate)
+	small := requestBursty("h1", t0.Add(2*time.Second), big.Serial, 0)
+	requestBursty("h1", t0.Add(3*time.Second), small.Serial, 0) // the response arrived
+	if other = requestBursty("h2", t0.Add(3*time.Second), other.Serial, 30); other.Rate < portionRateFraction*bursty.Rate-third.Rate-0.001 {
+		t.Errorf("the other host got only %.1f operations/s of the free rate", other.Rate)
 	}
 }
 
-// A host's questions arrive, and no answer comes back: it can't know that its portions are to sleep on, and they
-// wake. The granter must count on that, and hand out only the rest.
+// A host's requests arrive, but no response gets back to it. It can't know that its portions stay suspended, so they
+// become active. The granter must expect this and distribute only the rest of the quota.
 func TestPortionActivatesWhenResponsesAreLost(t *testing.T) {
-	l := newTestGranter(noTolerance, "h1", "h2")
-	say := func(heard uint64, at time.Time) (uint64, Response) {
+	g := newTestGranter(noTolerance, "h1", "h2")
+	request := func(heard uint64, at time.Time) (uint64, Response) {
 		requestID++
 		q := []AccountRequest{{Account: "a", Quota: quota40, Demand: 20}}
-		out, ok := l.HandleRequest("h1", "h1.1", Request{ID: requestID, LastAnswered: heard, Token: 5, Accounts: q}, at)
+		out, ok := g.HandleRequest("h1", "h1.1", Request{ID: requestID, LastAnswered: heard, Token: 5, Accounts: q}, at)
 		if !ok {
-			t.Fatal("no answer")
+			t.Fatal("no response")
 		}
 		return requestID, out
 	}
-	first, answer := say(0, t0)
+	first, answer := request(0, t0)
 	at := t0.Add(800 * ms)
-	say(first, at)                 // the first answer came, and no other one will
-	for l.pools["a"].tokens >= 1 { // the burst is used up
-		requestAccount(t, l, "h2", at, AccountRequest{Waiting: 40})
+	request(first, at)             // the first response arrived, later ones are lost
+	for g.pools["a"].tokens >= 1 { // the burst is used up
+		requestAccount(t, g, "h2", at, AccountRequest{Waiting: 40})
 	}
 	got := 0
 	for range 50 {
 		at = at.Add(100 * ms)
-		l.Extend(at)
-		say(first, at)
-		got += requestAccount(t, l, "h2", at, AccountRequest{Waiting: 40}).Tokens
+		g.Extend(at)
+		request(first, at)
+		got += requestAccount(t, g, "h2", at, AccountRequest{Waiting: 40}).Tokens
 	}
-	// The host counts from its first question, and wakes 2.4 s after it: here 1.6 s after the burst was used up.
+	// The portion is suspended for 2.4 s from the host's first request, which is 1.6 s from when the burst is used up.
 	if rate := answer.Grants[0].Rate; got > 40*5-int(rate*3.4) || rate < 10 {
-		t.Errorf("%d tokens were handed out in 5 s beside a portion of %.0f a second that sleeps for 1.6", got, rate)
+		t.Errorf("%d tokens were granted in 5 s next to a portion of %.0f/s that is suspended for 1.6 s", got, rate)
 	}
 }
 
-// A host is cut off, and its tokens gather. Callers elsewhere find the burst less what may have gathered there.
+// An unreachable host accumulates tokens up to its portion's capacity. Callers on other hosts get the burst less that
+// capacity.
 func TestBurstExcludesTokensOfUnreachableHost(t *testing.T) {
-	l := newTestGranter(noTolerance, "h1", "h2")
-	cut := requestAccount(t, l, "h1", t0, AccountRequest{Demand: 20})
+	g := newTestGranter(noTolerance, "h1", "h2")
+	cut := requestAccount(t, g, "h1", t0, AccountRequest{Demand: 20})
 	at := t0.Add(10 * time.Second)
-	l.Extend(at)
-	if g := requestAccount(t, l, "h2", at, AccountRequest{Waiting: 100}); float64(g.Tokens) > quota40.Burst-cut.Cap || cut.Cap < 8 {
-		t.Errorf("%d tokens at once beside %.0f that may have gathered with a host, the burst is 40", g.Tokens, cut.Cap)
+	g.Extend(at)
+	if grant := requestAccount(t, g, "h2", at, AccountRequest{Waiting: 100}); float64(grant.Tokens) > quota40.Burst-cut.Cap || cut.Cap < 8 {
+		t.Errorf("got %d tokens at once while an unreachable host may store %.0f; the burst is 40", grant.Tokens, cut.Cap)
 	}
 }
 
-// A question comes late, after a later one of the same host. What it says that the host holds holds no more.
+// A request arrives after a newer one of the same host. The holdings that it states are out of date.
 func TestLateRequestsAreNotAnswered(t *testing.T) {
-	l := newTestGranter(noTolerance, "h1")
+	g := newTestGranter(noTolerance, "h1")
 	q := []AccountRequest{{Account: "a", Quota: quota40, Demand: 5}}
-	if _, ok := l.HandleRequest("h1", "h1.1", Request{ID: 8, Token: 5, Accounts: q}, t0); !ok {
+	if _, ok := g.HandleRequest("h1", "h1.1", Request{ID: 8, Token: 5, Accounts: q}, t0); !ok {
 		t.Fatal("no answer")
 	}
-	if _, ok := l.HandleRequest("h1", "h1.1", Request{ID: 7, Token: 5, Accounts: q}, t0.Add(ms)); ok {
-		t.Error("the late question was answered")
+	if _, ok := g.HandleRequest("h1", "h1.1", Request{ID: 7, Token: 5, Accounts: q}, t0.Add(ms)); ok {
+		t.Error("the late request was answered")
 	}
 }
 
-// The duty of a granter was taken away early, and its holder does not know. Callers on its side of a cut are served
-// on what its followers hold. Its successor has not heard of them: until the one before must have noticed, it hands
-// out what its own followers hold, and only then what nobody holds.
+// A granter loses its duty before its lease ends, and does not know. It goes on serving the callers on its side of a
+// network partition from the portions of its followers. Its successor has no report from them. Until the old granter must
+// have noticed the loss, the successor distributes only what its own followers leave unused, and after that also the
+// part that no host can hold.
 func TestTwoGrantersStayWithinTheQuota(t *testing.T) {
 	old := newTestGranter(noTolerance, "h1", "h2", "h3")
 	for _, host := range []string{"h1", "h2"} {
@@ -176,7 +179,7 @@
 	} {
 		at := now.Add(c.after)
 		next.Extend(at)
-		for i := range 2 { // the second question shows that the first was answered
+		for i := range 2 { // the second request shows that the first was answered
 			requestID++
 			q := []AccountRequest{{Account: "a", Quota: quota40, HeldSerial: holds.Serial}}
 			if _, ok := next.HandleRequest("h2", "h2.1", Request{ID: requestID, LastAnswered: requestID - 1, Token: 5, Accounts: q}, at.Add(time.Duration(i)*ms)); !ok {
@@ -184,50 +187,50 @@
 			}
 		}
 		if got := next.pools["a"].refillRate(next.scope); next.scope != c.scope || math.Abs(got-c.rate) > 0.01 && c.scope != scopeEntire {
-			t.Errorf("%s after it began: scope %d, %.1f a second, want %d and %.1f", c.after, next.scope, got, c.scope, c.rate)
+			t.Errorf("%s after the start: scope %d, %.1f/s, want %d and %.1f", c.after, next.scope, got, c.scope, c.rate)
 		}
 	}
-	// The old one, meanwhile, no longer counts on its duty.
+	// By then the old granter no longer relies on its duty.
 	requestAccount(t, old, "h1", now.Add(time.Second), AccountRequest{Demand: 10, HeldSerial: 1})
 	if got := old.pools["a"].refillRate(old.scope); old.scope != scopeFollowers || got > portionRateFraction*quota40.Rate-held {
-		t.Errorf("the granter before hands out %.1f a second in scope %d beside %.1f that its successor's followers hold", got, old.scope, held)
+		t.Errorf("the old granter distributes %.1f/s in scope %d while its successor's followers hold %.1f/s", got, old.scope, held)
 	}
 }
 
-// All hosts lost power, and one of them does not come back. The new granter need not wait until that one's portions
-// must have ended: it does not hold what hosts never hold.
+// All hosts lose power, and one does not come back. The new granter need not wait until the lost host's portions must
+// have expired: it can distribute the part of the quota that a single host can't hold.
 func TestCallersAreServedWhileAHostIsLost(t *testing.T) {
-	l := NewGranter(5, noTolerance, t0, []string{"h1", "h2"}, []string{"h1"})
-	l.RecordReport("h1", "h1.2", nil, t0)
+	g := NewGranter(5, noTolerance, t0, []string{"h1", "h2"}, []string{"h1"})
+	g.RecordReport("h1", "h1.2", nil, t0)
 	got := 0
 	for at := t0; !at.After(t0.Add(5 * time.Second)); at = at.Add(100 * ms) {
-		l.Extend(at)
+		g.Extend(at)
 		requestID++
 		in := Request{ID: requestID, Token: 5, Accounts: []AccountRequest{{Account: "a", Quota: quota40, Waiting: 5}}}
-		if out, ok := l.HandleRequest("h1", "h1.2", in, at); ok {
+		if out, ok := g.HandleRequest("h1", "h1.2", in, at); ok {
 			got += out.Grants[0].Tokens
 		}
 	}
 	if want := int((1 - perHostFraction) * quota40.Rate * 5); got < want-2 || got > want {
-		t.Errorf("%d tokens were handed out in 5 s, want %d", got, want)
+		t.Errorf("%d tokens were granted in 5 s, want %d", got, want)
 	}
 }
 
-// Callers come to a host for the first time while the quota is not used: they get their tokens at once, and the host a
-// portion that follows their demand, as the one of another host shrinks.
+// Callers use a host for the first time while the quota is unused. They get their tokens at once, and the host gets a
+// portion that follows their demand while the other host's portion shrinks.
 func TestPortionsFollowDemand(t *testing.T) {
-	l := newTestGranter(noTolerance, "h1", "h2")
+	g := newTestGranter(noTolerance, "h1", "h2")
 	serials := map[string]uint64{}
 	rates := map[string]float64{}
 	step := func(at time.Time, host string, demand float64) Grant {
-		g := requestAccount(t, l, host, at, AccountRequest{HeldSerial: serials[host], Demand: demand, Waiting: 1, Prefetch: 2})
-		serials[host], rates[host] = g.Serial, g.Rate
-		return g
+		grant := requestAccount(t, g, host, at, AccountRequest{HeldSerial: serials[host], Demand: demand, Waiting: 1, Prefetch: 2})
+		serials[host], rates[host] = grant.Serial, grant.Rate
+		return grant
 	}
 	at := t0.Add(2 * time.Second)
-	l.Extend(at)
-	if g := step(at, "h1", 1); g.Tokens < 1 {
-		t.Errorf("the first caller got %d tokens", g.Tokens)
+	g.Extend(at)
+	if grant := step(at, "h1", 1); grant.Tokens < 1 {
+		t.Errorf("the first caller got %d tokens", grant.Tokens)
 	}
 	for _, c := range []struct{ busy, rests string }{{"h1", "h2"}, {"h2", "h1"}} {
 		for range 5 {
@@ -236,45 +239,44 @@
 			step(at, c.rests, 1)
 		}
 		if rates[c.busy] < 10 || rates[c.rests] > 2 {
-			t.Errorf("portions %v, of a demand of 10 at %s and 1 at %s", rates, c.busy, c.rests)
+			t.Errorf("portions %v for a demand of 10 at %s and 1 at %s", rates, c.busy, c.rests)
 		}
 	}
 }
 
-// Callers ask for more than the quota. What they get in the long run is the quota, and they are told when to come
-// back.
+// Callers ask for more than the quota. In the long run they get the quota, and refused callers are told when to retry.
 func TestDemandAboveTheQuota(t *testing.T) {
-	l := newTestGranter(noTolerance, "h1")
+	g := newTestGranter(noTolerance, "h1")
 	s := NewShard()
 	s.Follow(5)
-	began := 0
+	started := 0
 	var after time.Duration
 	for at := t0; at.Before(t0.Add(20 * time.Second)); at = at.Add(10 * ms) {
-		l.Extend(at)
+		g.Extend(at)
 		v, later := s.Begin("a", quota40, at)
 		if v == AskGranter {
 			s.AddWaiter("a")
 			if in, ok := s.NextRequest(at); ok {
-				answer, _ := l.HandleRequest("h1", "h1.1", in, at)
+				answer, _ := g.HandleRequest("h1", "h1.1", in, at)
 				s.HandleResponse(in.ID, 5, answer, at)
 			}
 			v, later = s.RemoveWaiter("a", at)
 		}
 		if v == Admitted {
-			began++
+			started++
 		} else {
 			after = max(after, later)
 		}
 	}
-	if began < 20*40*95/100 || began > 20*40+40 {
-		t.Errorf("%d operations began in 20 s, the quota is %d and a burst of 40", began, 20*40)
+	if started < 20*40*95/100 || started > 20*40+40 {
+		t.Errorf("%d operations started in 20 s; the quota allows %d and a burst of 40", started, 20*40)
 	}
 	if after <= 0 || after > maxRetryAfter {
-		t.Errorf("a refused caller was told to come back after %s", after)
+		t.Errorf("a refused caller was told to retry after %s", after)
 	}
 }
 
-// The quota is lowered, and the host does not reach the granter: its portion shrinks all the same.
+// The quota is lowered while the host can't reach the granter. Its portion shrinks all the same.
 func TestLoweredQuotaShrinksThePortion(t *testing.T) {
 	var b Bucket
 	b.applyGrant(Grant{Serial: 1, Rate: 20, Cap: 10, TTL: PortionTTL}, t0, t0, t0)
@@ -284,22 +286,22 @@
 	}
 	b.scaleDown(account.Quota{Rate: 10, Burst: 10}, quota40, t0.Add(time.Second), t0)
 	if p := b.portion; p.Rate != 5 {
-		t.Errorf("portion %+v after the quota was raised: the granter gives more, if there is more", p)
+		t.Errorf("portion %+v after the quota was raised; only the granter may raise a portion", p)
 	}
 }
 
-// The account has rested, and its callers come back to two hosts at the same moment. What both had kept, and
-// what the granter hands out then, is no more than the burst.
+// The callers of an idle account return to two hosts at the same moment. The tokens stored on both hosts and those that
+// the granter grants then must not exceed the burst.
 func TestBurstAfterIdlePeriodStaysWithinTheQuota(t *testing.T) {
-	l := newTestGranter(noTolerance, "h1", "h2")
+	g := newTestGranter(noTolerance, "h1", "h2")
 	shards := map[string]*Shard{"h1": NewShard(), "h2": NewShard()}
-	inquire := func(host string, at time.Time) {
+	sendRequest := func(host string, at time.Time) {
 		s := shards[host]
 		in, ok := s.NextRequest(at)
 		if !ok {
 			return
 		}
-		answer, _ := l.HandleRequest(host, host+".1", in, at)
+		answer, _ := g.HandleRequest(host, host+".1", in, at)
 		s.HandleResponse(in.ID, 5, answer, at)
 	}
 	at := t0
@@ -307,39 +309,39 @@
 		s.Follow(5)
 		for range 40 {
 			at = at.Add(25 * ms)
-			l.Extend(at)
+			g.Extend(at)
 			s.Begin("a", quota40, at)
-			inquire(host, at)
+			sendRequest(host, at)
 		}
 	}
-	for range 5 { // portions shrink, and the granter hears that they have
+	for range 5 { // portions shrink, and requests show the granter that they have
 		at = at.Add(refreshInterval)
-		l.Extend(at)
+		g.Extend(at)
 		for host := range shards {
-			inquire(host, at)
+			sendRequest(host, at)
 		}
 	}
 	at = at.Add(time.Second)
-	l.Extend(at)
+	g.Extend(at)
 	begin := func(host string) bool {
 		s := shards[host]
 		v, _ := s.Begin("a", quota40, at)
 		if v == AskGranter {
 			s.AddWaiter("a")
-			inquire(host, at)
+			sendRequest(host, at)
 			v, _ = s.RemoveWaiter("a", at)
 		}
 		return v == Admitted
 	}
-	began := 0
+	started := 0
 	for range 40 {
 		for host := range shards {
 			if begin(host) {
-				began++
+				started++
 			}
 		}
 	}
-	if began > 40 || began < 35 {
-		t.Errorf("%d operations began at once, the burst is 40", began)
+	if started > 40 || started < 35 {
+		t.Errorf("%d operations started at once; the burst is 40", started)
 	}
 }
--- a/core/quota/limiter_test.go
+++ b/core/quota/limiter_test.go
@@ -5,32 +5,32 @@
 	"time"
 )
 
-// An answer is late: the host has asked again since, and the granter has counted the first answer as lost. Taken
-// now, it would give the host two portions.
+// A response arrives after the host has sent another request, when the granter already counts it as lost. If the host
+// accepted it, the host would get two portions.
 func TestOnlyTheLastResponseIsAccepted(t *testing.T) {
-	w := NewLimiter()
-	w.Follow(5)
-	w.Begin("a", quota40, t0)
-	w.AddWaiter("a")
-	first, _ := w.NextRequest(t0)
-	w.Abandon(first.ID)
-	second, ok := w.NextRequest(t0.Add(time.Second))
+	l := NewLimiter()
+	l.Follow(5)
+	l.Begin("a", quota40, t0)
+	l.AddWaiter("a")
+	first, _ := l.NextRequest(t0)
+	l.Abandon(first.ID)
+	second, ok := l.NextRequest(t0.Add(time.Second))
 	if !ok {
-		t.Fatal("it does not ask again")
+		t.Fatal("no second request")
 	}
 	grants := Response{Grants: []Grant{{Account: "a", Serial: 1, Rate: 9, Cap: 5, TTL: PortionTTL}}}
-	if w.HandleResponse(first.ID, 5, grants, t0.Add(time.Second)) {
-		t.Error("the late answer was taken")
+	if l.HandleResponse(first.ID, 5, grants, t0.Add(time.Second)) {
+		t.Error("the late response was accepted")
 	}
-	if w.HandleResponse(second.ID, 5, grants, t0.Add(time.Second+ResponseTimeout+ms)) {
-		t.Error("an answer was taken that was so late that the granter counts on the portion's waking")
+	if l.HandleResponse(second.ID, 5, grants, t0.Add(time.Second+ResponseTimeout+ms)) {
+		t.Error("a response later than ResponseTimeout was accepted; the granter may already count the portion as active")
 	}
-	if !w.HandleResponse(second.ID, 5, grants, t0.Add(time.Second)) || w.HandleResponse(second.ID, 5, grants, t0.Add(time.Second)) {
-		t.Error("the answer was not taken once")
+	if !l.HandleResponse(second.ID, 5, grants, t0.Add(time.Second)) || l.HandleResponse(second.ID, 5, grants, t0.Add(time.Second)) {
+		t.Error("the response was not accepted exactly once")
 	}
 }
 
-// A host that has told a granter what it holds takes no answer that was under way, and none of earlier granters.
+// A host that has reported to a granter accepts no response that was in transit, and none from earlier granters.
 func TestReportRejectsEarlierGranters(t *testing.T) {
 	s := NewShard()
 	s.Follow(5)
@@ -38,112 +38,112 @@
 	in, _ := s.NextRequest(t0)
 	s.SetGranter(NewGranter(5, noTolerance, t0, nil, nil))
 	if _, ok := s.Report(6, t0); !ok || s.Granter() != nil {
-		t.Errorf("told %v, still a granter: %v", ok, s.Granter() != nil)
+		t.Errorf("reported: %v, still the granter: %v", ok, s.Granter() != nil)
 	}
 	grants := Response{Grants: []Grant{{Account: "a", Serial: 1, Rate: 9, Cap: 5, TTL: PortionTTL}}}
 	if s.HandleResponse(in.ID, 5, grants, t0) {
-		t.Error("the answer under way was taken")
+		t.Error("the response in transit was accepted")
 	}
 	if _, ok := s.Report(5, t0); ok {
-		t.Error("an earlier granter was told")
+		t.Error("the host reported to an earlier granter")
 	}
 	s.Begin("a", quota40, t0)
 	if in, _ := s.NextRequest(t0.Add(time.Second)); in.Token != 6 {
-		t.Errorf("asks with the token %d", in.Token)
+		t.Errorf("the request has fencing token %d", in.Token)
 	}
 }
 
-// Operations that wait get the tokens that were handed out for them, even where the host may keep none.
+// Waiting operations get the tokens granted for them even if the host's portion may store none.
 func TestTokensForWaitingOperations(t *testing.T) {
-	w := NewLimiter()
-	w.Follow(5)
+	l := NewLimiter()
+	l.Follow(5)
 	for range 3 {
-		w.Begin("a", quota40, t0)
-		w.AddWaiter("a")
+		l.Begin("a", quota40, t0)
+		l.AddWaiter("a")
 	}
-	in, _ := w.NextRequest(t0)
+	in, _ := l.NextRequest(t0)
 	if q := in.Accounts[0]; q.Waiting != 3 {
-		t.Errorf("asks for %d", q.Waiting)
+		t.Errorf("requested %d tokens", q.Waiting)
 	}
-	w.HandleResponse(in.ID, 5, Response{Grants: []Grant{{Account: "a", Serial: 1, TTL: PortionTTL, Tokens: 2, RetryAfter: 30 * ms}}}, t0)
-	verdicts := map[Decision]int{}
+	l.HandleResponse(in.ID, 5, Response{Grants: []Grant{{Account: "a", Serial: 1, TTL: PortionTTL, Tokens: 2, RetryAfter: 30 * ms}}}, t0)
+	decisions := map[Decision]int{}
 	for range 3 {
-		v, after := w.RemoveWaiter("a", t0.Add(5*ms))
-		verdicts[v]++
+		v, after := l.RemoveWaiter("a", t0.Add(5*ms))
+		decisions[v]++
 		if v == Refused && after != 25*ms {
-			t.Errorf("come back after %s", after)
+			t.Errorf("retry after %s", after)
 		}
 	}
-	if verdicts[Admitted] != 2 || verdicts[Refused] != 1 {
-		t.Errorf("verdicts %v", verdicts)
+	if decisions[Admitted] != 2 || decisions[Refused] != 1 {
+		t.Errorf("decisions %v", decisions)
 	}
 }
 
-// A host whose callers have gone gives its portion back, asks no more, and forgets the account in the end.
+// A host whose callers have left gives its portion back, sends no more requests, and finally removes the account.
 func TestIdleAccountsAreRemoved(t *testing.T) {
-	w := NewLimiter()
-	w.Follow(5)
+	l := NewLimiter()
+	l.Follow(5)
 	for range 4 {
-		w.Begin("a", quota40, t0)
+		l.Begin("a", quota40, t0)
 	}
-	in, _ := w.NextRequest(t0)
-	w.HandleResponse(in.ID, 5, Response{Suspended: true, Grants: []Grant{{Account: "a", Serial: 1, Rate: 1, Cap: 1, TTL: PortionTTL}}}, t0)
+	in, _ := l.NextRequest(t0)
+	l.HandleResponse(in.ID, 5, Response{Suspended: true, Grants: []Grant{{Account: "a", Serial: 1, Rate: 1, Cap: 1, TTL: PortionTTL}}}, t0)
 	at := t0.Add(keepaliveInterval)
-	if in, _ = w.NextRequest(at); in.ID == 0 || len(in.Accounts) != 0 || in.LastAnswered != 1 {
-		t.Errorf("a host that holds a portion asks %+v", in)
+	if in, _ = l.NextRequest(at); in.ID == 0 || len(in.Accounts) != 0 || in.LastAnswered != 1 {
+		t.Errorf("unexpected request of a host that holds a portion: %+v", in)
 	}
-	w.HandleResponse(in.ID, 5, Response{Suspended: true}, at)
+	l.HandleResponse(in.ID, 5, Response{Suspended: true}, at)
 	at = at.Add(2 * demandTimeConstant)
-	if in, _ = w.NextRequest(at); len(in.Accounts) != 1 || in.Accounts[0].Demand > 0.5 {
-		t.Errorf("it does not give the portion back: %+v", in)
+	if in, _ = l.NextRequest(at); len(in.Accounts) != 1 || in.Accounts[0].Demand > 0.5 {
+		t.Errorf("the portion is not given back: %+v", in)
 	}
-	w.HandleResponse(in.ID, 5, Response{Suspended: true, Grants: []Grant{{Account: "a", Serial: 2, TTL: PortionTTL}}}, at)
-	if in, ok := w.NextRequest(at.Add(refreshInterval)); ok {
-		t.Errorf("it asks for an account of which it holds nothing and that nobody uses: %+v", in)
+	l.HandleResponse(in.ID, 5, Response{Suspended: true, Grants: []Grant{{Account: "a", Serial: 2, TTL: PortionTTL}}}, at)
+	if in, ok := l.NextRequest(at.Add(refreshInterval)); ok {
+		t.Errorf("request for an unused account of which nothing is held: %+v", in)
 	}
-	w.RemoveIdle(at.Add(2 * PortionTTL))
-	if len(w.accounts) != 0 {
-		t.Error("the account is remembered")
+	l.RemoveIdle(at.Add(2 * PortionTTL))
+	if len(l.accounts) != 0 {
+		t.Error("the account was not removed")
 	}
 }
 
-// An operation that has not run gives its token back to the granter, once.
+// The token of an operation that has not run goes back to the granter exactly once.
 func TestReturnedTokens(t *testing.T) {
-	w := NewLimiter()
-	w.Follow(5)
-	w.Begin("a", quota40, t0)
-	w.AddWaiter("a")
-	w.ReturnToken("a")
-	if in, _ := w.NextRequest(t0); in.Accounts[0].Returned != 1 {
-		t.Errorf("asks %+v", in)
-	}
-	w.Abandon(1)
-	if in, _ := w.NextRequest(t0.Add(time.Second)); in.Accounts[0].Returned != 0 {
-		t.Errorf("a token that the granter may have got is given back again: %+v", in)
+	l := NewLimiter()
+	l.Follow(5)
+	l.Begin("a", quota40, t0)
+	l.AddWaiter("a")
+	l.ReturnToken("a")
+	if in, _ := l.NextRequest(t0); in.Accounts[0].Returned != 1 {
+		t.Errorf("unexpected request %+v", in)
+	}
+	l.Abandon(1)
+	if in, _ := l.NextRequest(t0.Add(time.Second)); in.Accounts[0].Returned != 0 {
+		t.Errorf("a token that the granter may have received is returned again: %+v", in)
 	}
 }
 
-// While the granter is reached, tokens come from it alone. Once it is not, they come by themselves.
+// While the host reaches the granter, tokens come from the granter alone. Otherwise the portion yields them.
 func TestPortionsActivateWithoutTheGranter(t *testing.T) {
-	w := NewLimiter()
-	w.Follow(5)
-	w.Begin("a", quota40, t0)
-	w.AddWaiter("a")
-	in, _ := w.NextRequest(t0)
-	w.HandleResponse(in.ID, 5, Response{Suspended: true, Grants: []Grant{{Account: "a", Serial: 1, Rate: 10, Cap: 2, TTL: PortionTTL, Tokens: 1}}}, t0)
-	w.RemoveWaiter("a", t0)
+	l := NewLimiter()
+	l.Follow(5)
+	l.Begin("a", quota40, t0)
+	l.AddWaiter("a")
+	in, _ := l.NextRequest(t0)
+	l.HandleResponse(in.ID, 5, Response{Suspended: true, Grants: []Grant{{Account: "a", Serial: 1, Rate: 10, Cap: 2, TTL: PortionTTL, Tokens: 1}}}, t0)
+	l.RemoveWaiter("a", t0)
 	for _, c := range []struct {
 		after time.Duration
 		want  int
 	}{{activateAfter - ms, 0}, {activateAfter + 101*ms, 1}, {activateAfter + 10*time.Second, 2}, {PortionTTL, 0}} {
 		n := 0
 		for at := t0.Add(c.after); n < 9; n++ {
-			if v, _ := w.tryTake("a", w.accounts["a"], at); v != Admitted {
+			if v, _ := l.tryTake("a", l.accounts["a"], at); v != Admitted {
 				break
 			}
 		}
 		if n != c.want {
-			t.Errorf("%s after the last answer %d operations begin, want %d", c.after, n, c.want)
+			t.Errorf("%s after the last response %d operations started, want %d", c.after, n, c.want)
 		}
 	}
 }
--- a/core/quota/window_test.go
+++ b/core/quota/window_test.go
@@ -8,11 +8,11 @@
 	"pearlatch/core/account"
 )
 
-var seeds = flag.Int("seeds", 300, "how many worlds are played")
+var seeds = flag.Int("seeds", 300, "number of seeds that are simulated")
 
-// Callers come as fast as they can on hosts that restart, stand dark, part from each other and from the store,
-// while the duty of the granter passes on, with and without the knowledge of the one before, and answers get
-// lost. Whatever happens, no span of the window holds more operations than the quota and its tolerance allow.
+// Simulates callers that ask for the whole quota on each host, while hosts restart, become unresponsive and lose contact
+// with each other and with the store, the granter's duty moves with and without its holder's knowledge, and messages are
+// lost or delayed. In no time window may more operations start than the quota and its tolerance allow.
 func TestNoWindowExceedsTheQuota(t *testing.T) {
 	for _, c := range []struct {
 		name  string
@@ -26,17 +26,17 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			worstShare := 0.0
+			maxRatio := 0.0
 			for seed := range uint64(*seeds) {
-				w := runSimulation(seed, c.quota, c.terms)
-				most, at := w.busiestWindow()
-				worstShare = max(worstShare, float64(most)/c.terms.MaxOperations(c.quota))
+				s := runSimulation(seed, c.quota, c.terms)
+				most, at := s.busiestWindow()
+				maxRatio = max(maxRatio, float64(most)/c.terms.MaxOperations(c.quota))
 				if float64(most) > c.terms.MaxOperations(c.quota) {
 					t.Fatalf("seed %d: %d operations began within %s from %s, allowed %.0f\n%s", seed, most, c.terms.Window,
-						at.Sub(time.UnixMilli(1_000_000)), c.terms.MaxOperations(c.quota), joinLines(w.trace))
+						at.Sub(time.UnixMilli(1_000_000)), c.terms.MaxOperations(c.quota), joinLines(s.trace))
 				}
 			}
-			t.Logf("the fullest window held %.2f of what is allowed", worstShare)
+			t.Logf("the busiest window used %.2f of the allowed operations", maxRatio)
 		})
 	}
 }
@@ -49,18 +49,18 @@
 	return out
 }
 
-// runSimulation plays a minute of a world with troubles one after the other.
+// runSimulation simulates one minute with faults at regular intervals.
 func runSimulation(seed uint64, q account.Quota, terms Tolerance) *simulation {
-	w := newSimulation(seed, 4, q, terms)
-	for _, h := range w.hosts {
+	s := newSimulation(seed, 4, q, terms)
+	for _, h := range s.hosts {
 		h.loadPerStep = q.Rate * stepDuration.Seconds()
 	}
-	every := 2 + w.random.IntN(300)
+	every := 2 + s.random.IntN(300)
 	for i := range int(time.Minute / stepDuration) {
 		if i > 100 && i%every == 0 {
-			w.injectFault()
+			s.injectFault()
 		}
-		w.advance()
+		s.advance()
 	}
-	return w
+	return s
 }
