--- a/core/account/account.go
+++ b/core/account/account.go
@@ -1,24 +1,24 @@
 package account
 
-// Account is a client account. The zero Account stands for callers who need none: it has no quota.
+// Account is a client account. The zero Account stands for callers that need no account. It has no quota.
 type Account struct {
-	// Name is unique. Members are told it, and never a key.
+	// Name is unique. Members receive it, but never a key.
 	Name string
-	// Keys are those that its callers may show. An account may have none: nobody can use it then.
+	// Keys are the fingerprints of the keys that callers may present. Nobody can use an account without keys.
 	Keys []Fingerprint
-	// Priority is 0 for the most important.
+	// Priority is 0 for the most important accounts.
 	Priority int
 	Quota    Quota
 }
 
-// Quota is how many operations an account may begin: a token bucket over all hosts together. The zero
-// Quota sets no bound.
+// Quota limits how many operations an account may begin: a token bucket over all hosts together. The zero Quota is
+// unlimited.
 type Quota struct {
 	// Rate is in operations per second.
 	Rate float64
-	// Burst is how many operations may begin at once after a rest.
+	// Burst is how many operations may begin at once after an idle period.
 	Burst float64
 }
 
-// Unlimited reports whether the quota sets no bound.
+// Unlimited reports whether the quota sets no limit.
 func (q Quota) Unlimited() bool { return q.Rate == 0 }
--- a/core/account/account_test.go
+++ b/core/account/account_test.go
@@ -24,7 +24,7 @@
 			got = a.Name
 		}
 		if got != want {
-			t.Errorf("key %q is held by %q, want %q", key, got, want)
+			t.Errorf("key %q belongs to %q, want %q", key, got, want)
 		}
 	}
 	if d.Account("closed") == nil || d.Account("nobody") != nil || d.Len() != 3 {
@@ -32,7 +32,7 @@
 	}
 }
 
-// Keys that share their first bytes are told apart by the rest.
+// Keys whose fingerprints share the first bytes are distinguished by the rest.
 func TestDirectoryComparesWholeFingerprints(t *testing.T) {
 	a, b := FingerprintOf("k"), FingerprintOf("k")
 	b[len(b)-1] ^= 1
@@ -41,7 +41,7 @@
 		t.Fatal(err)
 	}
 	if d.AccountForKey(b) != nil || d.AccountForKey(a) == nil {
-		t.Error("the holder does not follow from the whole fingerprint")
+		t.Error("the account was not found by the whole fingerprint")
 	}
 }
 
@@ -56,7 +56,7 @@
 		{Name: "fine", Keys: []Fingerprint{FingerprintOf("other")}, Priority: 1, Quota: Quota{Rate: 1, Burst: 1}},
 	})
 	if err == nil {
-		t.Fatal("nothing was found")
+		t.Fatal("no error")
 	}
 	goldie.New(t).Assert(t, "mistakes", []byte(err.Error()+"\n"))
 }
--- a/core/account/admit.go
+++ b/core/account/admit.go
@@ -1,14 +1,14 @@
 package account
 
-// Caller is what a caller shows of itself.
+// Caller holds the credentials that a caller presents.
 type Caller struct {
-	// Key is the fingerprint of the key that it came with.
+	// Key is the fingerprint of the presented key.
 	Key Fingerprint
 }
 
-// Authorize decides whether a caller may use a route, and for which account it then acts. A nil directory asks
-// for none, nor does a public route: a caller who shows a key acts for its holder there all the same, so
-// that its statements count against its own quota.
+// Authorize reports whether a caller may use a route, and returns the account it then acts for. A nil directory and a
+// public route require no account. A caller with a known key acts for the key's account on a public route too, so that
+// its statements count against that account's quota.
 func Authorize(d *Directory, public bool, c Caller) (*Account, bool) {
 	if d == nil {
 		return &anonymous, true
@@ -22,5 +22,5 @@
 	return nil, false
 }
 
-// anonymous is the account of callers who need none.
+// anonymous is the account of callers that need no account.
 var anonymous Account
--- a/core/account/directory.go
+++ b/core/account/directory.go
@@ -6,22 +6,22 @@
 	"slices"
 )
 
-// Directory holds the accounts of a configuration. Use NewDirectory. It does not change, so that many
-// goroutines may use it.
+// Directory holds the accounts of a configuration. Use NewDirectory. It is immutable and safe for concurrent use.
 type Directory struct {
 	byName map[string]*Account
-	// byKeyPrefix holds, by the first bytes of a fingerprint, who may hold it. What a caller shows is compared
-	// with the whole fingerprint in constant time.
+	// byKeyPrefix holds the keys by the first eight bytes of their fingerprint. Callers' keys are then compared by the
+	// whole fingerprint in constant time.
 	byKeyPrefix map[uint64][]keyEntry
 }
 
-// keyEntry is an account's key.
+// keyEntry is a key and its account.
 type keyEntry struct {
 	key     Fingerprint
 	account *Account
 }
 
-// NewDirectory returns a directory of the accounts. The error is a Mistakes with every mistake found.
+// NewDirectory returns a directory of the accounts. An error is of type FieldErrors and lists every invalid field. The
+// directory refers to the elements of accounts, which must not change.
 func NewDirectory(accounts []Account) (*Directory, error) {
 	if err := validate(accounts); err != nil {
 		return nil, err
@@ -39,7 +39,7 @@
 
 func (f Fingerprint) prefix() uint64 { return binary.BigEndian.Uint64(f[:]) }
 
-// AccountForKey returns the account that has the key, or nil.
+// AccountForKey returns the account that the key belongs to, or nil.
 func (d *Directory) AccountForKey(key Fingerprint) *Account {
 	for _, h := range d.byKeyPrefix[key.prefix()] {
 		if h.key.Equal(key) {
@@ -49,10 +49,10 @@
 	return nil
 }
 
-// Account returns the account of the name, or nil.
+// Account returns the account with the given name, or nil.
 func (d *Directory) Account(name string) *Account { return d.byName[name] }
 
-// Len returns how many accounts there are. A nil directory has none.
+// Len returns the number of accounts. A nil directory has none.
 func (d *Directory) Len() int {
 	if d == nil {
 		return 0
@@ -60,5 +60,5 @@
 	return len(d.byName)
 }
 
-// Names returns the names of all accounts, in order.
+// Names returns the names of all accounts, sorted.
 func (d *Directory) Names() []string { return slices.Sorted(maps.Keys(d.byName)) }
--- a/core/account/fingerprint.go
+++ b/core/account/fingerprint.go
@@ -8,19 +8,19 @@
 	"github.com/pkg/errors"
 )
 
-// Fingerprint is the cryptographic hash of a key.
+// Fingerprint is the SHA-256 hash of a key.
 type Fingerprint [sha256.Size]byte
 
 // FingerprintOf returns the fingerprint of a key.
 func FingerprintOf(key string) Fingerprint { return sha256.Sum256([]byte(key)) }
 
-// Equal compares in a time that does not depend on the values.
+// Equal reports whether the fingerprints are equal, in constant time.
 func (f Fingerprint) Equal(o Fingerprint) bool { return subtle.ConstantTimeCompare(f[:], o[:]) == 1 }
 
-// Hex returns the form that documents between hosts hold.
+// Hex returns the hexadecimal form, as used in the documents that hosts exchange.
 func (f Fingerprint) Hex() string { return hex.EncodeToString(f[:]) }
 
-// ParseFingerprint is the inverse of Text. The error does not repeat the text, which may be a key.
+// ParseFingerprint parses the form that Hex returns. The error does not contain the text, which may be a key.
 func ParseFingerprint(text string) (Fingerprint, error) {
 	var f Fingerprint
 	if hex.DecodedLen(len(text)) != len(f) {
@@ -32,5 +32,5 @@
 	return f, nil
 }
 
-// String hides the fingerprint from lines and dumps.
+// String returns a placeholder, so that fingerprints do not appear in log lines and dumps.
 func (Fingerprint) String() string { return "(key)" }
--- a/core/admission/admission_test.go
+++ b/core/admission/admission_test.go
@@ -33,8 +33,8 @@
 	}
 }
 
-// Deposits keep coming, so that there is always one in the queue. A browsing
-// parent must still get an answer at last.
+// High-priority requests keep arriving, so that one is always in the queue. A
+// low-priority request must still be served after a bounded number of picks.
 func TestLowPriorityIsNotStarved(t *testing.T) {
 	q := NewQueue[string](100)
 	now := time.Now()
@@ -55,10 +55,10 @@
 	q := NewQueue[string](1)
 	w, ok := q.Push("a", config.High, time.Now())
 	if _, full := q.Push("b", config.High, time.Now()); !ok || full {
-		t.Fatal("the limit was not kept")
+		t.Fatal("the limit of the queue was not applied")
 	}
 	if !q.Remove(w) || q.Remove(w) || q.Len() != 0 {
-		t.Error("Remove took other than one request")
+		t.Error("the request was not removed exactly once")
 	}
 }
 
@@ -77,16 +77,16 @@
 func TestEstimate(t *testing.T) {
 	var e Estimate
 	if e.ExpectedWait(10, 2) != 0 {
-		t.Error("a wait without an observation")
+		t.Error("expected a wait of 0 without observations")
 	}
 	e.Observe(10 * time.Millisecond)
 	if got := e.ExpectedWait(6, 3); got != 20*time.Millisecond {
-		t.Errorf("Wait = %s, want 20ms", got)
+		t.Errorf("ExpectedWait = %s, want 20ms", got)
 	}
 	for range 100 {
 		e.Observe(20 * time.Millisecond)
 	}
 	if got := e.MeanHold(); got < 19*time.Millisecond || got > 20*time.Millisecond {
-		t.Errorf("Held = %s after many of 20ms", got)
+		t.Errorf("MeanHold = %s after many samples of 20ms", got)
 	}
 }
--- a/core/admission/queue.go
+++ b/core/admission/queue.go
@@ -9,11 +9,11 @@
 // priorities lists the priorities in the order in which they are served.
 var priorities = [...]config.Priority{config.High, config.Normal, config.Low}
 
-// reverseInterval is how many picks go by until one starts at the lowest priority, so
-// that work of high priority cannot starve the rest for ever.
+// reverseInterval is the interval, in calls of Pick, at which Pick starts at the
+// lowest priority, so that high-priority requests can't starve the others.
 const reverseInterval = 16
 
-// Queue holds waiting requests in order of priority and arrival. The zero value
+// Queue holds waiting requests in order of priority, then arrival. The zero value
 // is not usable; call NewQueue. It is not safe for concurrent use.
 type Queue[T any] struct {
 	limit int
@@ -25,7 +25,7 @@
 type Waiter[T any] struct {
 	// Value is the request.
 	Value T
-	// Arrived is when it was queued.
+	// Arrived is when the request was queued.
 	Arrived time.Time
 
 	priority config.Priority
@@ -35,7 +35,7 @@
 // NewQueue returns a queue that holds at most limit requests.
 func NewQueue[T any](limit int) *Queue[T] { return &Queue[T]{limit: limit} }
 
-// Len returns the number of requests that wait.
+// Len returns the number of waiting requests.
 func (q *Queue[T]) Len() int {
 	n := 0
 	for _, l := range q.lists {
@@ -44,20 +44,20 @@
 	return n
 }
 
-// Ahead returns how many requests would be served before a new one of the given
-// priority.
+// Ahead returns how many waiting requests are of the given priority or a higher
+// one, and so are ahead of a new request of that priority.
 func (q *Queue[T]) Ahead(p config.Priority) int {
 	n := 0
-	for i, each := range priorities {
+	for i, other := range priorities {
 		n += len(q.lists[i])
-		if each == p {
+		if other == p {
 			break
 		}
 	}
 	return n
 }
 
-// Push queues a request. It returns false when the queue is full.
+// Push queues a request. It returns false if the queue is full.
 func (q *Queue[T]) Push(v T, p config.Priority, now time.Time) (*Waiter[T], bool) {
 	if q.Len() >= q.limit {
 		return nil, false
@@ -68,15 +68,15 @@
 	return w, true
 }
 
-// Remove takes a request out. It returns false when the request was picked
+// Remove removes a request. It returns false if the request was picked or removed
 // before.
 func (q *Queue[T]) Remove(w *Waiter[T]) bool {
 	if !w.queued {
 		return false
 	}
 	i := listIndex(w.priority)
-	for j, each := range q.lists[i] {
-		if each == w {
+	for j, other := range q.lists[i] {
+		if other == w {
 			q.removeAt(i, j)
 			return true
 		}
@@ -84,7 +84,8 @@
 	return false
 }
 
-// Pick removes and returns the first request that fits, or nil when none does.
+// Pick removes and returns the first request for which fits returns true, or nil
+// if there is none.
 func (q *Queue[T]) Pick(fits func(T) bool) *Waiter[T] {
 	q.picks++
 	for k := range q.lists {
@@ -109,8 +110,8 @@
 }
 
 func listIndex(p config.Priority) int {
-	for i, each := range priorities {
-		if each == p {
+	for i, other := range priorities {
+		if other == p {
 			return i
 		}
 	}
