--- a/core/quota/granter_test.go
+++ b/core/quota/granter_test.go
@@ -19,8 +19,8 @@
 )
 
 // newTestGranter returns a granter with fencing token 5 to which process 1 of each host has reported, at t0.
-func newTestGranter(terms Tolerance, hosts ...string) *Granter {
-	g := NewGranter(5, terms, t0, hosts, nil)
+func newTestGranter(tolerance Tolerance, hosts ...string) *Granter {
+	g := NewGranter(5, tolerance, t0, hosts, nil)
 	for _, h := range hosts {
 		g.RecordReport(h, h+".1", nil, t0)
 	}
@@ -47,7 +47,7 @@
 func TestGranterAnswersOnlyItsFollowers(t *testing.T) {
 	g := newTestGranter(noTolerance, "h1")
 	g.AddHosts("h2")
-	questions := []AccountRequest{{Account: "a", Quota: quota40, Waiting: 1}}
+	accounts := []AccountRequest{{Account: "a", Quota: quota40, Waiting: 1}}
 	for i, c := range []struct {
 		what, host, process string
 		token               int64
@@ -62,7 +62,7 @@
 		{"a host that no successor would ask", "h3", "h3.1", 5, t0, false},
 		{"a follower after the granter's term", "h1", "h1.1", 5, t0.Add(PortionTTL), false},
 	} {
-		if _, ok := g.HandleRequest(c.host, c.process, Request{ID: uint64(i + 1), Token: c.token, Accounts: questions}, c.at); ok != c.want {
+		if _, ok := g.HandleRequest(c.host, c.process, Request{ID: uint64(i + 1), Token: c.token, Accounts: accounts}, c.at); ok != c.want {
 			t.Errorf("%s: answered = %v", c.what, ok)
 		}
 	}
@@ -76,10 +76,10 @@
 	bursty := account.Quota{Rate: 40, Burst: 400}
 	requestBursty := func(host string, at time.Time, holding uint64, demand float64) Grant {
 		requestID++
-		in := Request{ID: requestID, Token: 5, Accounts: []AccountRequest{{Account: "a", Quota: bursty, HeldSerial: holding, Demand: demand}}}
-		out, ok := g.HandleRequest(host, host+".1", in, at)
+		req := Request{ID: requestID, Token: 5, Accounts: []AccountRequest{{Account: "a", Quota: bursty, HeldSerial: holding, Demand: demand}}}
+		out, ok := g.HandleRequest(host, host+".1", req, at)
 		if !ok {
-			t.Fatalf("%s got no answer", host)
+			t.Fatalf("%s got no response", host)
 		}
 		return out.Grants[0]
 	}
@@ -100,16 +100,16 @@
 // become active. The granter must expect this and distribute only the rest of the quota.
 func TestPortionActivatesWhenResponsesAreLost(t *testing.T) {
 	g := newTestGranter(noTolerance, "h1", "h2")
-	request := func(heard uint64, at time.Time) (uint64, Response) {
+	request := func(lastAnswered uint64, at time.Time) (uint64, Response) {
 		requestID++
 		q := []AccountRequest{{Account: "a", Quota: quota40, Demand: 20}}
-		out, ok := g.HandleRequest("h1", "h1.1", Request{ID: requestID, LastAnswered: heard, Token: 5, Accounts: q}, at)
+		out, ok := g.HandleRequest("h1", "h1.1", Request{ID: requestID, LastAnswered: lastAnswered, Token: 5, Accounts: q}, at)
 		if !ok {
 			t.Fatal("no response")
 		}
 		return requestID, out
 	}
-	first, answer := request(0, t0)
+	first, response := request(0, t0)
 	at := t0.Add(800 * ms)
 	request(first, at)             // the first response arrived, later ones are lost
 	for g.pools["a"].tokens >= 1 { // the burst is used up
@@ -123,7 +123,7 @@
 		got += requestAccount(t, g, "h2", at, AccountRequest{Waiting: 40}).Tokens
 	}
 	// The portion is suspended for 2.4 s from the host's first request, which is 1.6 s from when the burst is used up.
-	if rate := answer.Grants[0].Rate; got > 40*5-int(rate*3.4) || rate < 10 {
+	if rate := response.Grants[0].Rate; got > 40*5-int(rate*3.4) || rate < 10 {
 		t.Errorf("%d tokens were granted in 5 s next to a portion of %.0f/s that is suspended for 1.6 s", got, rate)
 	}
 }
@@ -145,7 +145,7 @@
 	g := newTestGranter(noTolerance, "h1")
 	q := []AccountRequest{{Account: "a", Quota: quota40, Demand: 5}}
 	if _, ok := g.HandleRequest("h1", "h1.1", Request{ID: 8, Token: 5, Accounts: q}, t0); !ok {
-		t.Fatal("no answer")
+		t.Fatal("no response")
 	}
 	if _, ok := g.HandleRequest("h1", "h1.1", Request{ID: 7, Token: 5, Accounts: q}, t0.Add(ms)); ok {
 		t.Error("the late request was answered")
@@ -183,7 +183,7 @@
 			requestID++
 			q := []AccountRequest{{Account: "a", Quota: quota40, HeldSerial: holds.Serial}}
 			if _, ok := next.HandleRequest("h2", "h2.1", Request{ID: requestID, LastAnswered: requestID - 1, Token: 5, Accounts: q}, at.Add(time.Duration(i)*ms)); !ok {
-				t.Fatal("no answer")
+				t.Fatal("no response")
 			}
 		}
 		if got := next.pools["a"].refillRate(next.scope); next.scope != c.scope || math.Abs(got-c.rate) > 0.01 && c.scope != scopeEntire {
@@ -206,8 +206,8 @@
 	for at := t0; !at.After(t0.Add(5 * time.Second)); at = at.Add(100 * ms) {
 		g.Extend(at)
 		requestID++
-		in := Request{ID: requestID, Token: 5, Accounts: []AccountRequest{{Account: "a", Quota: quota40, Waiting: 5}}}
-		if out, ok := g.HandleRequest("h1", "h1.2", in, at); ok {
+		req := Request{ID: requestID, Token: 5, Accounts: []AccountRequest{{Account: "a", Quota: quota40, Waiting: 5}}}
+		if out, ok := g.HandleRequest("h1", "h1.2", req, at); ok {
 			got += out.Grants[0].Tokens
 		}
 	}
@@ -256,9 +256,9 @@
 		v, later := s.Begin("a", quota40, at)
 		if v == AskGranter {
 			s.AddWaiter("a")
-			if in, ok := s.NextRequest(at); ok {
-				answer, _ := g.HandleRequest("h1", "h1.1", in, at)
-				s.HandleResponse(in.ID, 5, answer, at)
+			if req, ok := s.NextRequest(at); ok {
+				response, _ := g.HandleRequest("h1", "h1.1", req, at)
+				s.HandleResponse(req.ID, 5, response, at)
 			}
 			v, later = s.RemoveWaiter("a", at)
 		}
@@ -297,12 +297,12 @@
 	shards := map[string]*Shard{"h1": NewShard(), "h2": NewShard()}
 	sendRequest := func(host string, at time.Time) {
 		s := shards[host]
-		in, ok := s.NextRequest(at)
+		req, ok := s.NextRequest(at)
 		if !ok {
 			return
 		}
-		answer, _ := g.HandleRequest(host, host+".1", in, at)
-		s.HandleResponse(in.ID, 5, answer, at)
+		response, _ := g.HandleRequest(host, host+".1", req, at)
+		s.HandleResponse(req.ID, 5, response, at)
 	}
 	at := t0
 	for host, s := range shards {
--- a/core/quota/limiter_test.go
+++ b/core/quota/limiter_test.go
@@ -18,14 +18,14 @@
 	if !ok {
 		t.Fatal("no second request")
 	}
-	grants := Response{Grants: []Grant{{Account: "a", Serial: 1, Rate: 9, Cap: 5, TTL: PortionTTL}}}
-	if l.HandleResponse(first.ID, 5, grants, t0.Add(time.Second)) {
+	response := Response{Grants: []Grant{{Account: "a", Serial: 1, Rate: 9, Cap: 5, TTL: PortionTTL}}}
+	if l.HandleResponse(first.ID, 5, response, t0.Add(time.Second)) {
 		t.Error("the late response was accepted")
 	}
-	if l.HandleResponse(second.ID, 5, grants, t0.Add(time.Second+ResponseTimeout+ms)) {
+	if l.HandleResponse(second.ID, 5, response, t0.Add(time.Second+ResponseTimeout+ms)) {
 		t.Error("a response later than ResponseTimeout was accepted; the granter may already count the portion as active")
 	}
-	if !l.HandleResponse(second.ID, 5, grants, t0.Add(time.Second)) || l.HandleResponse(second.ID, 5, grants, t0.Add(time.Second)) {
+	if !l.HandleResponse(second.ID, 5, response, t0.Add(time.Second)) || l.HandleResponse(second.ID, 5, response, t0.Add(time.Second)) {
 		t.Error("the response was not accepted exactly once")
 	}
 }
@@ -35,21 +35,21 @@
 	s := NewShard()
 	s.Follow(5)
 	s.Begin("a", quota40, t0)
-	in, _ := s.NextRequest(t0)
+	req, _ := s.NextRequest(t0)
 	s.SetGranter(NewGranter(5, noTolerance, t0, nil, nil))
 	if _, ok := s.Report(6, t0); !ok || s.Granter() != nil {
 		t.Errorf("reported: %v, still the granter: %v", ok, s.Granter() != nil)
 	}
-	grants := Response{Grants: []Grant{{Account: "a", Serial: 1, Rate: 9, Cap: 5, TTL: PortionTTL}}}
-	if s.HandleResponse(in.ID, 5, grants, t0) {
+	response := Response{Grants: []Grant{{Account: "a", Serial: 1, Rate: 9, Cap: 5, TTL: PortionTTL}}}
+	if s.HandleResponse(req.ID, 5, response, t0) {
 		t.Error("the response in transit was accepted")
 	}
 	if _, ok := s.Report(5, t0); ok {
 		t.Error("the host reported to an earlier granter")
 	}
 	s.Begin("a", quota40, t0)
-	if in, _ := s.NextRequest(t0.Add(time.Second)); in.Token != 6 {
-		t.Errorf("the request has fencing token %d", in.Token)
+	if req, _ := s.NextRequest(t0.Add(time.Second)); req.Token != 6 {
+		t.Errorf("the request has fencing token %d", req.Token)
 	}
 }
 
@@ -61,11 +61,11 @@
 		l.Begin("a", quota40, t0)
 		l.AddWaiter("a")
 	}
-	in, _ := l.NextRequest(t0)
-	if q := in.Accounts[0]; q.Waiting != 3 {
+	req, _ := l.NextRequest(t0)
+	if q := req.Accounts[0]; q.Waiting != 3 {
 		t.Errorf("requested %d tokens", q.Waiting)
 	}
-	l.HandleResponse(in.ID, 5, Response{Grants: []Grant{{Account: "a", Serial: 1, TTL: PortionTTL, Tokens: 2, RetryAfter: 30 * ms}}}, t0)
+	l.HandleResponse(req.ID, 5, Response{Grants: []Grant{{Account: "a", Serial: 1, TTL: PortionTTL, Tokens: 2, RetryAfter: 30 * ms}}}, t0)
 	decisions := map[Decision]int{}
 	for range 3 {
 		v, after := l.RemoveWaiter("a", t0.Add(5*ms))
@@ -86,20 +86,20 @@
 	for range 4 {
 		l.Begin("a", quota40, t0)
 	}
-	in, _ := l.NextRequest(t0)
-	l.HandleResponse(in.ID, 5, Response{Suspended: true, Grants: []Grant{{Account: "a", Serial: 1, Rate: 1, Cap: 1, TTL: PortionTTL}}}, t0)
+	req, _ := l.NextRequest(t0)
+	l.HandleResponse(req.ID, 5, Response{Suspended: true, Grants: []Grant{{Account: "a", Serial: 1, Rate: 1, Cap: 1, TTL: PortionTTL}}}, t0)
 	at := t0.Add(keepaliveInterval)
-	if in, _ = l.NextRequest(at); in.ID == 0 || len(in.Accounts) != 0 || in.LastAnswered != 1 {
-		t.Errorf("unexpected request of a host that holds a portion: %+v", in)
+	if req, _ = l.NextRequest(at); req.ID == 0 || len(req.Accounts) != 0 || req.LastAnswered != 1 {
+		t.Errorf("unexpected request of a host that holds a portion: %+v", req)
 	}
-	l.HandleResponse(in.ID, 5, Response{Suspended: true}, at)
+	l.HandleResponse(req.ID, 5, Response{Suspended: true}, at)
 	at = at.Add(2 * demandTimeConstant)
-	if in, _ = l.NextRequest(at); len(in.Accounts) != 1 || in.Accounts[0].Demand > 0.5 {
-		t.Errorf("the portion is not given back: %+v", in)
+	if req, _ = l.NextRequest(at); len(req.Accounts) != 1 || req.Accounts[0].Demand > 0.5 {
+		t.Errorf("the portion is not given back: %+v", req)
 	}
-	l.HandleResponse(in.ID, 5, Response{Suspended: true, Grants: []Grant{{Account: "a", Serial: 2, TTL: PortionTTL}}}, at)
-	if in, ok := l.NextRequest(at.Add(refreshInterval)); ok {
-		t.Errorf("request for an unused account of which nothing is held: %+v", in)
+	l.HandleResponse(req.ID, 5, Response{Suspended: true, Grants: []Grant{{Account: "a", Serial: 2, TTL: PortionTTL}}}, at)
+	if req, ok := l.NextRequest(at.Add(refreshInterval)); ok {
+		t.Errorf("request for an unused account of which nothing is held: %+v", req)
 	}
 	l.RemoveIdle(at.Add(2 * PortionTTL))
 	if len(l.accounts) != 0 {
@@ -114,12 +114,12 @@
 	l.Begin("a", quota40, t0)
 	l.AddWaiter("a")
 	l.ReturnToken("a")
-	if in, _ := l.NextRequest(t0); in.Accounts[0].Returned != 1 {
-		t.Errorf("unexpected request %+v", in)
+	if req, _ := l.NextRequest(t0); req.Accounts[0].Returned != 1 {
+		t.Errorf("unexpected request %+v", req)
 	}
 	l.Abandon(1)
-	if in, _ := l.NextRequest(t0.Add(time.Second)); in.Accounts[0].Returned != 0 {
-		t.Errorf("a token that the granter may have received is returned again: %+v", in)
+	if req, _ := l.NextRequest(t0.Add(time.Second)); req.Accounts[0].Returned != 0 {
+		t.Errorf("a token that the granter may have received is returned again: %+v", req)
 	}
 }
 
@@ -129,8 +129,8 @@
 	l.Follow(5)
 	l.Begin("a", quota40, t0)
 	l.AddWaiter("a")
-	in, _ := l.NextRequest(t0)
-	l.HandleResponse(in.ID, 5, Response{Suspended: true, Grants: []Grant{{Account: "a", Serial: 1, Rate: 10, Cap: 2, TTL: PortionTTL, Tokens: 1}}}, t0)
+	req, _ := l.NextRequest(t0)
+	l.HandleResponse(req.ID, 5, Response{Suspended: true, Grants: []Grant{{Account: "a", Serial: 1, Rate: 10, Cap: 2, TTL: PortionTTL, Tokens: 1}}}, t0)
 	l.RemoveWaiter("a", t0)
 	for _, c := range []struct {
 		after time.Duration
--- a/core/quota/simulation_test.go
+++ b/core/quota/simulation_test.go
@@ -262,13 +262,13 @@
 		if !g.up || g.unresponsive || granter == nil {
 			return
 		}
-		answer, ok := granter.HandleRequest(h.id, asker, req, s.now)
+		response, ok := granter.HandleRequest(h.id, asker, req, s.now)
 		if !ok {
 			return
 		}
 		s.send(g, h, func() {
 			if h.process == process && h.up && !h.unresponsive {
-				shard.HandleResponse(req.ID, req.Token, answer, s.now)
+				shard.HandleResponse(req.ID, req.Token, response, s.now)
 			}
 		})
 	})
--- a/core/quota/window_test.go
+++ b/core/quota/window_test.go
@@ -15,9 +15,9 @@
 // lost or delayed. In no time window may more operations start than the quota and its tolerance allow.
 func TestNoWindowExceedsTheQuota(t *testing.T) {
 	for _, c := range []struct {
-		name  string
-		quota account.Quota
-		terms Tolerance
+		name      string
+		quota     account.Quota
+		tolerance Tolerance
 	}{
 		{"a small account", account.Quota{Rate: 6, Burst: 6}, Tolerance{5 * time.Second, 0.1, 20}},
 		{"a large account", account.Quota{Rate: 180, Burst: 180}, Tolerance{5 * time.Second, 0.1, 20}},
@@ -28,12 +28,12 @@
 			t.Parallel()
 			maxRatio := 0.0
 			for seed := range uint64(*seeds) {
-				s := runSimulation(seed, c.quota, c.terms)
-				most, at := s.busiestWindow()
-				maxRatio = max(maxRatio, float64(most)/c.terms.MaxOperations(c.quota))
-				if float64(most) > c.terms.MaxOperations(c.quota) {
-					t.Fatalf("seed %d: %d operations began within %s from %s, allowed %.0f\n%s", seed, most, c.terms.Window,
-						at.Sub(time.UnixMilli(1_000_000)), c.terms.MaxOperations(c.quota), joinLines(s.trace))
+				s := runSimulation(seed, c.quota, c.tolerance)
+				count, at := s.busiestWindow()
+				maxRatio = max(maxRatio, float64(count)/c.tolerance.MaxOperations(c.quota))
+				if float64(count) > c.tolerance.MaxOperations(c.quota) {
+					t.Fatalf("seed %d: %d operations began within %s from %s, allowed %.0f\n%s", seed, count, c.tolerance.Window,
+						at.Sub(time.UnixMilli(1_000_000)), c.tolerance.MaxOperations(c.quota), joinLines(s.trace))
 				}
 			}
 			t.Logf("the busiest window used %.2f of the allowed operations", maxRatio)
@@ -50,8 +50,8 @@
 }
 
 // runSimulation simulates one minute with faults at regular intervals.
-func runSimulation(seed uint64, q account.Quota, terms Tolerance) *simulation {
-	s := newSimulation(seed, 4, q, terms)
+func runSimulation(seed uint64, q account.Quota, tolerance Tolerance) *simulation {
+	s := newSimulation(seed, 4, q, tolerance)
 	for _, h := range s.hosts {
 		h.loadPerStep = q.Rate * stepDuration.Seconds()
 	}
