--- a/internal/gateway/leader.go
+++ b/internal/gateway/leader.go
@@ -302,7 +302,7 @@
 func (g *Group) wantLeader() {
 	g.mu.Lock()
 	known := g.leader != "" && !g.now().Before(g.leaderSuspect())
-	idle := g.plan.Elsewhere && !g.strays() && !g.deputy(g.now()) // those that serve the group find out
+	idle := g.plan.ServedByOthers && !g.strays() && !g.deputy(g.now()) // those that serve the group find out
 	if known || idle || g.searching || len(g.order) == 0 {
 		g.mu.Unlock()
 		return
--- a/internal/gateway/lessee.go
+++ b/internal/gateway/lessee.go
@@ -132,7 +132,7 @@
 func (g *Group) serves() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return !g.plan.Elsewhere || g.deputy(g.now()) || g.strays()
+	return !g.plan.ServedByOthers || g.deputy(g.now()) || g.strays()
 }
 
 // wantsLease reports whether the group's primary was needed here lately.
--- a/internal/gateway/near.go
+++ b/internal/gateway/near.go
@@ -18,7 +18,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := g.now()
-	if n.Primary || g.plan.Near == 0 || !g.plan.Elsewhere || g.deputy(now) {
+	if n.Primary || g.plan.LocalReadConnections == 0 || !g.plan.ServedByOthers || g.deputy(now) {
 		return false
 	}
 	for _, m := range g.order {
@@ -33,7 +33,7 @@
 func (g *Group) hasNear() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.plan.Near > 0
+	return g.plan.LocalReadConnections > 0
 }
 
 // isNear reports whether the member is a replica of this host's availability zone.
--- a/internal/gateway/record.go
+++ b/internal/gateway/record.go
@@ -156,7 +156,7 @@
 	if err != nil {
 		return err
 	}
-	written, err := d.commit(ctx, r.Epoch, kv.Replace(d.host.recordKey(d.group.name), revision, value, 0).And(along))
+	written, err := d.commit(ctx, r.Epoch, kv.Replace(d.host.recordKey(d.group.name), revision, value, 0).Merge(along))
 	if err != nil {
 		return err
 	}
--- a/internal/gateway/serving.go
+++ b/internal/gateway/serving.go
@@ -22,13 +22,13 @@
 func (g *Group) elsewhere() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.plan.Elsewhere
+	return g.plan.ServedByOthers
 }
 
 func (g *Group) passesOn() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if !g.plan.Elsewhere {
+	if !g.plan.ServedByOthers {
 		return false
 	}
 	now := g.now()
@@ -63,7 +63,7 @@
 	defer g.mu.Unlock()
 	return g.turns.Of(version, func() turns {
 		var out turns
-		ranked, k := g.plan.Ranked, g.plan.Servers
+		ranked, k := g.plan.Ranked, g.plan.ServerCount
 		for _, o := range h.fleet.FirstUsable(ranked, k) {
 			if out.deputy = out.deputy || o.ID == h.settings.Host; o.ID != h.settings.Host {
 				out.servers = append(out.servers, o)
@@ -72,7 +72,7 @@
 		if len(out.servers) == 0 {
 			out.servers = ranked[:k]
 		}
-		out.servers = serving.Order(h.fleet.Self(), out.servers)
+		out.servers = serving.ForwardingOrder(h.fleet.Self(), out.servers)
 		return out
 	})
 }
@@ -81,7 +81,7 @@
 func (g *Group) deputize() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if !g.plan.Elsewhere {
+	if !g.plan.ServedByOthers {
 		return
 	}
 	now := g.now()
@@ -92,7 +92,7 @@
 }
 
 // deputy reports whether the host serves the group in place of others. The group's lock is held.
-func (g *Group) deputy(now time.Time) bool { return g.plan.Elsewhere && now.Before(g.deputyUntil) }
+func (g *Group) deputy(now time.Time) bool { return g.plan.ServedByOthers && now.Before(g.deputyUntil) }
 
 // detours returns the hosts that may reach the primary while this one serves the group and does not
 // reach it: others that serve, which have connections, and where all hosts serve those near by.
@@ -104,9 +104,9 @@
 	plan := g.plan
 	g.mu.Unlock()
 	switch {
-	case plan.Elsewhere:
+	case plan.ServedByOthers:
 		return nil
-	case plan.Servers == 0:
+	case plan.ServerCount == 0:
 		return h.fleet.AllOthers()
 	}
 	return slices.DeleteFunc(slices.Clone(plan.Ranked), func(o membership.Host) bool { return o.ID == h.settings.Host })
@@ -184,4 +184,4 @@
 }
 
 // pooled reports whether a few hosts serve the group for all. The group's lock is held.
-func (g *Group) pooled() bool { return g.plan.Servers > 0 }
+func (g *Group) pooled() bool { return g.plan.ServerCount > 0 }
--- a/internal/gateway/share.go
+++ b/internal/gateway/share.go
@@ -33,7 +33,7 @@
 func (b poolBeliefs) Share(id string) int { return b.g.shareOf(b.g.members[id]) }
 
 // Borrows implements pool.Beliefs.
-func (b poolBeliefs) Borrows() bool { return !b.g.plan.Elsewhere }
+func (b poolBeliefs) Borrows() bool { return !b.g.plan.ServedByOthers }
 
 // Alive implements pool.Beliefs.
 func (b poolBeliefs) Alive(c *pool.Conn) bool { return b.g.links[c].conn.Alive() }
@@ -50,10 +50,10 @@
 // has one of the replicas of its availability zone.
 func (g *Group) shareOf(m *member) int {
 	switch {
-	case g.plan.Elsewhere && g.isNear(m):
-		return max(g.plan.Near, g.share())
-	case g.pooled() && !g.plan.Elsewhere && m.ID != g.leader:
-		return max(g.share()-g.plan.NearTaken, 1)
+	case g.plan.ServedByOthers && g.isNear(m):
+		return max(g.plan.LocalReadConnections, g.share())
+	case g.pooled() && !g.plan.ServedByOthers && m.ID != g.leader:
+		return max(g.share()-g.plan.ReservedReadConnections, 1)
 	}
 	return g.share()
 }
@@ -63,7 +63,7 @@
 // the group has none, or one while it can't reach those that do.
 func (g *Group) share() int {
 	switch {
-	case !g.plan.Elsewhere || g.deputy(g.now()):
+	case !g.plan.ServedByOthers || g.deputy(g.now()):
 		return max(1, (g.connections-controlShare)/max(1, g.hosts))
 	case g.strays():
 		return 1
