--- a/core/quota/granter.go
+++ b/core/quota/granter.go
@@ -86,7 +86,7 @@
 		return scopeFollowers
 	case g.HoldingsKnown(now):
 		return scopeEntire
-	case len(g.formerGranters) == 0 || !now.Before(g.startedAt.Add(leadership.Certainty+maxClockDrift)):
+	case len(g.formerGranters) == 0 || !now.Before(g.startedAt.Add(leadership.DutyValidity+maxClockDrift)):
 		return scopeUnreserved
 	}
 	return scopeFollowers
@@ -117,7 +117,7 @@
 // Extend records that the granter held its duty at the given time, so that no successor starts within
 // leadership.Certainty of it. For the rest of PortionTTL the granter goes on with what its followers hold.
 func (g *Granter) Extend(held time.Time) {
-	g.soleUntil, g.endsAt = held.Add(leadership.Certainty), held.Add(PortionTTL)
+	g.soleUntil, g.endsAt = held.Add(leadership.DutyValidity), held.Add(PortionTTL)
 }
 
 // KnowsHost reports whether the host may be given portions: only hosts that a successor will ask for a report may.
@@ -347,7 +347,7 @@
 		out.RetryAfter = pool.retryAfter(g.scope)
 		if g.scope == scopeFollowers && now.Before(g.soleUntil) {
 			// By then this granter is the only one.
-			out.RetryAfter = min(out.RetryAfter, max(minRetryAfter, g.startedAt.Add(leadership.Certainty+maxClockDrift).Sub(now)))
+			out.RetryAfter = min(out.RetryAfter, max(minRetryAfter, g.startedAt.Add(leadership.DutyValidity+maxClockDrift).Sub(now)))
 		}
 	}
 	return out
--- a/core/quota/granter_test.go
+++ b/core/quota/granter_test.go
@@ -173,8 +173,8 @@
 	}{
 		{0, scopeFollowers, 0},
 		{assumeActiveAfter + 100*ms, scopeFollowers, held},
-		{leadership.Certainty + 2*maxClockDrift, scopeUnreserved, (1-portionRateFraction)*quota40.Rate + held},
-		{leadership.Certainty + 5*time.Second, scopeUnreserved, (1-portionRateFraction)*quota40.Rate + held},
+		{leadership.DutyValidity + 2*maxClockDrift, scopeUnreserved, (1-portionRateFraction)*quota40.Rate + held},
+		{leadership.DutyValidity + 5*time.Second, scopeUnreserved, (1-portionRateFraction)*quota40.Rate + held},
 		{PortionTTL + maxClockDrift, scopeEntire, 0},
 	} {
 		at := now.Add(c.after)
--- a/internal/gateway/duty.go
+++ b/internal/gateway/duty.go
@@ -62,7 +62,7 @@
 	// record is the last one that this host has written of the group, in any time that it held the duty. It lies
 	// in the store for the next holder, as written at recordRevision.
 	// That is zero while it is not known.
-	record         leadership.Found
+	record         leadership.StoredRecord
 	recordRevision kv.Revision
 	// inherited is true once the record of the holder before was read.
 	inherited bool
@@ -177,8 +177,8 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return leadership.DutyState{
-		Held: d.held, Token: d.token, Entry: entry.Revision, Own: holder == h.settings.Host, Known: known,
-		Stopping: h.stopping.Load(), MayServe: h.mayServe(), Candidate: h.candidate(d.group.name), Informed: informed, Inherited: d.recordRevision != 0,
+		Held: d.held, Token: d.token, EntryRevision: entry.Revision, OwnEntry: holder == h.settings.Host, StoreRevision: known,
+		Stopping: h.stopping.Load(), MayTakeDuty: h.mayServe(), Candidate: h.candidate(d.group.name), UpToDate: informed, RecordInherited: d.recordRevision != 0,
 	}, holder
 }
 
@@ -188,7 +188,7 @@
 		d.vacant = now
 		return false
 	}
-	wait := leadership.ClaimWait(d.host.fleet.Place(d.group.name), d.host.known.Lag())
+	wait := leadership.ClaimDelay(d.host.fleet.Place(d.group.name), d.host.known.Lag())
 	return now.Sub(d.vacant) >= wait && !now.Before(d.retryAt)
 }
 
@@ -303,7 +303,7 @@
 
 // certainUntil returns until when this host may grant leases, and order without a token that the platform
 // checks. d.mu is held.
-func (d *duty) certainUntil() time.Time { return d.renewed.Add(leadership.Certainty) }
+func (d *duty) certainUntil() time.Time { return d.renewed.Add(leadership.DutyValidity) }
 
 // unrecordedUntil returns until when an earlier holder may have ordered without a record: until
 // the platform had seen this host's token, until this process began if the holder was an earlier one of
@@ -331,9 +331,9 @@
 	case d.handedBack:
 		return time.Time{}
 	case d.reclaimed:
-		return d.host.started.Add(leadership.Duration)
+		return d.host.started.Add(leadership.LeaseDuration)
 	}
-	return d.since.Add(leadership.Certainty)
+	return d.since.Add(leadership.DutyValidity)
 }
 
 // isHeld reports whether this host took the duty and knows of no other holder.
--- a/internal/gateway/duty_test.go
+++ b/internal/gateway/duty_test.go
@@ -84,7 +84,7 @@
 		f.set(f.dark, holder.settings.Host, true) // nor does it hear of it from others
 		f.set(f.turnedAway, holder.settings.Host, true)
 		s.takeAway(holder)
-		time.Sleep(leadership.RenewalPause + dutyPoll + leaseTimeout + 50*time.Millisecond) // a renewal has failed
+		time.Sleep(leadership.RenewalInterval + dutyPoll + leaseTimeout + 50*time.Millisecond) // a renewal has failed
 		d := holder.dutyOf(testGroup)
 		f.set(f.turnedAway, holder.settings.Host, false)
 		renewNow(holder, d)
--- a/internal/gateway/floor.go
+++ b/internal/gateway/floor.go
@@ -64,7 +64,7 @@
 
 // tryAdopt adopts the inherited floor once all its members are listed, unless one has left since.
 func (g *Group) tryAdopt() {
-	if g.inheritedRevision == 0 || g.departedRevision >= g.inheritedRevision || g.floorValid() || !g.inherited.Covers(g.lifetimes()) {
+	if g.inheritedRevision == 0 || g.departedRevision >= g.inheritedRevision || g.floorValid() || !g.inherited.FloorValidFor(g.lifetimes()) {
 		return
 	}
 	for _, m := range g.order {
@@ -78,11 +78,11 @@
 }
 
 // lifetimes returns the members that are listed.
-func (g *Group) lifetimes() []leadership.Lifetime {
-	var out []leadership.Lifetime
+func (g *Group) lifetimes() []leadership.Incarnation {
+	var out []leadership.Incarnation
 	for _, m := range g.order {
 		if m.missingSince.IsZero() && !m.gone {
-			out = append(out, leadership.Lifetime{Member: m.ID, Born: m.Born})
+			out = append(out, leadership.Incarnation{Member: m.ID, Born: m.Born})
 		}
 	}
 	return out
--- a/internal/gateway/grantor.go
+++ b/internal/gateway/grantor.go
@@ -67,7 +67,7 @@
 	if alive && heard.After(s.heard) {
 		s.heard = heard
 	}
-	granted := d.grants.Grant(host, now, leadership.Standing{Heard: s.heard, DutyEnds: d.certainUntil(), HandsOver: s.handsOver})
+	granted := d.grants.Grant(host, now, leadership.GrantLimits{LastReply: s.heard, DutyUntil: d.certainUntil(), InSwitchover: s.handsOver})
 	if granted == 0 && now.Sub(d.woken) >= watchPause {
 		// The primary may not have been asked for long, since nobody needed it.
 		d.woken = now
@@ -147,7 +147,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if planned {
-		return w.grants.Reading(w.host.now())
+		return w.grants.OutstandingFull(w.host.now())
 	}
 	return w.grants.Outstanding(w.host.now())
 }
@@ -156,7 +156,7 @@
 func (w *watcher) grantsEnd() time.Time {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.grants.End()
+	return w.grants.LastEnd()
 }
 
 func (w *watcher) recallFrom(ctx context.Context, host, member string, planned bool) {
@@ -178,8 +178,8 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if planned {
-		w.grants.Handed(host)
+		w.grants.Downgrade(host)
 		return
 	}
-	w.grants.Returned(host)
+	w.grants.Release(host)
 }
--- a/internal/gateway/group.go
+++ b/internal/gateway/group.go
@@ -89,7 +89,7 @@
 	// unprovenSince is since when the primary could not be proven to lead, or zero, and
 	// outages what was learned of its outages.
 	unprovenSince time.Time
-	outages       outage.Forecast
+	outages       outage.Estimator
 	// writing counts writes without an answer; writingSince is since when none of them has
 	// been acknowledged, or zero. lackedAt is when a replica was last seen far behind, and queuedAt
 	// when a statement last had to wait.
@@ -360,7 +360,7 @@
 	defer g.mu.Unlock()
 	switch {
 	case p == (group.Position{}):
-	case g.lease.Covers(m.ID, at):
+	case g.lease.CoversReads(m.ID, at):
 		g.sampled(m.ID, at, p)
 	case g.proven.primary == m.ID && !at.Before(g.proven.started):
 		g.sampled(m.ID, g.proven.started, p)
--- a/internal/gateway/guest.go
+++ b/internal/gateway/guest.go
@@ -36,7 +36,7 @@
 func (g *Guest) Take(r *PeerRequest) (declined *PeerReply) {
 	h := g.host
 	why := g.declines(r)
-	if why == Accepted && !h.recent.Admit(recall.Key{From: r.From, Serial: r.Serial}, h.now()) {
+	if why == Accepted && !h.recent.Admit(recall.Key{Sender: r.From, Serial: r.Serial}, h.now()) {
 		why = RecalledBefore
 	}
 	if why == Accepted {
@@ -55,7 +55,7 @@
 	}
 	reply := g.run(ctx, r)
 	g.count()
-	h.recent.Done(recall.Key{From: r.From, Serial: r.Serial}, reply)
+	h.recent.Complete(recall.Key{Sender: r.From, Serial: r.Serial}, reply)
 	return reply
 }
 
@@ -178,7 +178,7 @@
 
 // Recall says what became of a request of another host.
 func (h *Host) Recall(from string, serial uint64) Recalled {
-	switch outcome, reply := h.recent.Recall(recall.Key{From: from, Serial: serial}, h.now()); outcome {
+	switch outcome, reply := h.recent.Resolve(recall.Key{Sender: from, Serial: serial}, h.now()); outcome {
 	case recall.Answered:
 		return RecalledDone{reply}
 	case recall.Running:
--- a/internal/gateway/holding.go
+++ b/internal/gateway/holding.go
@@ -30,7 +30,7 @@
 	lease, renewed = l.lease, l.renewed
 	l.mu.Unlock()
 	switch {
-	case lease != 0 && now.Sub(renewed) < 2*leadership.RenewalPause:
+	case lease != 0 && now.Sub(renewed) < 2*leadership.RenewalInterval:
 		return lease, renewed, nil
 	case lease != 0 && now.Sub(renewed) < dutyLease:
 		return 0, time.Time{}, errNotRenewed
--- a/internal/gateway/hopeless.go
+++ b/internal/gateway/hopeless.go
@@ -17,7 +17,7 @@
 // away returns for how long the primary has been out of reach, not known, or not proven to
 // lead. The group's lock is held.
 func (g *Group) away(now time.Time) time.Duration {
-	if g.lease.Covers(g.leader, now) && !g.silentLeader() {
+	if g.lease.CoversReads(g.leader, now) && !g.silentLeader() {
 		return 0
 	}
 	since := g.unprovenSince
@@ -70,7 +70,7 @@
 		since = earlier(since, g.leaderlessSince)
 	}
 	if lasted := now.Sub(since); !since.IsZero() && lasted >= reachPatience {
-		g.outages.Over(lasted)
+		g.outages.Observe(lasted)
 	}
 	g.unprovenSince = time.Time{}
 }
--- a/internal/gateway/leadership_test.go
+++ b/internal/gateway/leadership_test.go
@@ -209,7 +209,7 @@
 	play(t, freshness.Latest{}, func(s *fakeSite, h *Host) {
 		do(h, Write{})
 		s.put(h.dutyKey(testGroup), []byte("h2"), 0)
-		time.Sleep(leadership.Duration + 100*time.Millisecond)
+		time.Sleep(leadership.LeaseDuration + 100*time.Millisecond)
 		if r := do(h, Write{}); r.Failure != nil {
 			t.Errorf("a write that no one disputes failed: %v", r.Failure)
 		}
@@ -289,7 +289,7 @@
 	play(t, freshness.Latest{}, func(s *fakeSite, h *Host) {
 		do(h, Write{})
 		s.put(h.dutyKey(testGroup), []byte("h2"), 0)
-		time.Sleep(leadership.Duration + 100*time.Millisecond)
+		time.Sleep(leadership.LeaseDuration + 100*time.Millisecond)
 		s.with("b", func(m *fakeMember) { m.resets = true })
 		if r := do(h, Read{}); r.Failure == nil {
 			t.Error("a read was served beside a member that may lead")
@@ -346,7 +346,7 @@
 	play(t, freshness.Latest{}, func(s *fakeSite, h *Host) {
 		do(h, Write{})
 		s.put(h.dutyKey(testGroup), []byte("h2"), 0)
-		time.Sleep(leadership.Duration + 100*time.Millisecond)
+		time.Sleep(leadership.LeaseDuration + 100*time.Millisecond)
 		do(h, Write{})
 		time.Sleep(10 * time.Millisecond)
 		s.with("a", func(m *fakeMember) { m.cut = true })
--- a/internal/gateway/lessee.go
+++ b/internal/gateway/lessee.go
@@ -148,7 +148,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := g.now()
-	if now.Sub(g.primaryNeeded) >= leaseWanted || !g.lease.Covers(g.leader, now) {
+	if now.Sub(g.primaryNeeded) >= leaseWanted || !g.lease.CoversReads(g.leader, now) {
 		g.askAgain()
 	}
 	g.primaryNeeded = now
@@ -170,7 +170,7 @@
 	if m == nil || m.gone || r.Term < g.leaderTerm || !asked.After(g.recalledAt) {
 		return
 	}
-	had := g.lease.Covers(r.Member, asked)
+	had := g.lease.CoversReads(r.Member, asked)
 	if g.lease.WritesOnly && g.lease.Member != r.Member {
 		// What the primary before acknowledged until its heir led may still be on its way.
 		g.handed = g.lease
@@ -207,14 +207,14 @@
 func (g *Group) keeps(id string, term group.Term, at time.Time) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.lease.Term == term && g.lease.Keeps(id, at) || g.handed.Term == term && g.handed.Keeps(id, at)
+	return g.lease.Term == term && g.lease.CoversWrites(id, at) || g.handed.Term == term && g.handed.CoversWrites(id, at)
 }
 
 // leased reports whether the host holds a lease on the member.
 func (g *Group) leased(id string, at time.Time) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.lease.Covers(id, at)
+	return g.lease.CoversReads(id, at)
 }
 
 // EndLease gives the host's lease on a group's primary back: the holder of the duty is about
@@ -233,7 +233,7 @@
 	// returned with this answer.
 	g.recalledAt = g.now()
 	if planned {
-		g.lease = g.lease.Handed()
+		g.lease = g.lease.Downgraded()
 		return
 	}
 	if g.lease.Member == id {
--- a/internal/gateway/prover.go
+++ b/internal/gateway/prover.go
@@ -15,7 +15,7 @@
 	// done is closed when the others are set.
 	done    chan struct{}
 	members []string
-	answers []leadership.Answer
+	answers []leadership.ProbeResult
 	primary string
 	// term is the one in which the primary was believed to lead, or zero.
 	term group.Term
@@ -66,7 +66,7 @@
 			return false
 		}
 		if !p.started.Before(now) {
-			return term > 0 && leadership.Undisputed(id, term, p.members, p.answers)
+			return term > 0 && leadership.WriteConfirmed(id, term, p.members, p.answers)
 		}
 	}
 	return false
@@ -148,7 +148,7 @@
 		}
 	}
 	p.answers = toAnswers(answers)
-	p.ok = p.term > 0 && leadership.Unchallenged(p.primary, p.term, p.members, p.answers)
+	p.ok = p.term > 0 && leadership.PrimaryConfirmed(p.primary, p.term, p.members, p.answers)
 	if g.answeredProof(p) {
 		g.log("leadership", "proven", p.ok, "member", p.primary, "term", p.term, "answers", describe(answers))
 	}
@@ -186,11 +186,11 @@
 	longestProofPause = 320 * time.Millisecond
 )
 
-func toAnswers(in []answered) []leadership.Answer {
-	out := make([]leadership.Answer, len(in))
+func toAnswers(in []answered) []leadership.ProbeResult {
+	out := make([]leadership.ProbeResult, len(in))
 	for i, a := range in {
-		out[i] = leadership.Answer{Member: a.member.ID, Answered: a.err == nil, Ended: processEnded(a.err),
-			Leads: a.status.Leads, Term: a.status.Term, Fenced: a.status.Fenced}
+		out[i] = leadership.ProbeResult{Member: a.member.ID, Answered: a.err == nil, ProcessEnded: processEnded(a.err),
+			Leads: a.status.Leads, Term: a.status.Term, FenceTerm: a.status.Fenced}
 	}
 	return out
 }
--- a/internal/gateway/record.go
+++ b/internal/gateway/record.go
@@ -27,41 +27,41 @@
 			h.log("record_unreadable", "group", name, "revision", i.Revision, "err", err)
 			continue
 		}
-		if f := leadership.NewFound(r, i.Revision); f.At > h.remembered[name].At {
+		if f := leadership.NewStoredRecord(r, i.Revision); f.Revision > h.remembered[name].Revision {
 			h.remembered[name] = f
 		}
 	}
 }
 
 // remembers returns the newest record that this host knows from before the store last came back.
-func (d *duty) remembers() leadership.Found {
+func (d *duty) remembers() leadership.StoredRecord {
 	d.host.mu.Lock()
 	out := d.host.remembered[d.group.name]
 	d.host.mu.Unlock()
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.record.At > out.At {
+	if d.record.Revision > out.Revision {
 		return d.record
 	}
 	return out
 }
 
 // stored returns the record that was read, or false if there is one that can't be read.
-func (d *duty) stored(read kv.Item) (leadership.Found, bool) {
+func (d *duty) stored(read kv.Item) (leadership.StoredRecord, bool) {
 	if len(read.Value) == 0 {
-		return leadership.Found{}, true
+		return leadership.StoredRecord{}, true
 	}
 	r, err := decodeRecord(read.Value)
 	if err != nil {
 		d.log("record_unreadable", "revision", read.Revision, "err", err)
-		return leadership.Found{}, false
+		return leadership.StoredRecord{}, false
 	}
-	return leadership.NewFound(r, read.Revision), true
+	return leadership.NewStoredRecord(r, read.Revision), true
 }
 
 // inheritance is what a holder takes over of the one before.
 type inheritance struct {
-	found leadership.Found
+	found leadership.StoredRecord
 	// certain is true if no other host can have held the duty since the record was written.
 	certain bool
 	// before are the hosts that may take themselves for the granter of the group's accounts.
@@ -104,7 +104,7 @@
 // adopt takes over what the holder before has left, once it is written under this one's name.
 func (d *duty) adopt(i inheritance) {
 	r, found := i.record, i.found
-	d.group.adoptFloor(r, found.At)
+	d.group.adoptFloor(r, found.Revision)
 	d.group.ledIn(r.Term)
 	d.granteesInherited(r.Grantees, i.before)
 	d.mu.Lock()
@@ -115,10 +115,10 @@
 			d.first = d.token
 		}
 		d.reclaimed = d.reclaimed && i.certain && found.Holder == d.host.settings.Host
-		d.ordered, d.orderedToken, d.orderedAt = found.Ordered, 0, d.host.now()
+		d.ordered, d.orderedToken, d.orderedAt = found.PendingPromotion, 0, d.host.now()
 	}
 	d.mu.Unlock()
-	d.log("record_inherited", "before", found.Holder, "term", r.Term, "floor", r.Floor, "ordered", found.Ordered, "written", found.At, "certain", i.certain)
+	d.log("record_inherited", "before", found.Holder, "term", r.Term, "floor", r.Floor, "ordered", found.PendingPromotion, "written", found.Revision, "certain", i.certain)
 }
 
 // save writes the record. After an error nobody knows whether it was written, and it must
@@ -168,7 +168,7 @@
 func (d *duty) wrote(r leadership.Record, written kv.Revision) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.record, d.recordRevision = leadership.Found{Record: r, At: written}, written
+	d.record, d.recordRevision = leadership.StoredRecord{Record: r, Revision: written}, written
 }
 
 // knowsOrders reports whether this host knows of all recorded orders of earlier holders.
@@ -218,7 +218,7 @@
 	}
 	r, known := w.group.successorNeeds()
 	r.Grantees, r.Granters = old.Grantees, w.granters(old)
-	if !known || old.Ordered == "" && old.Term == r.Term && old.SameMembers(r.Members) && len(r.Granters) == len(old.Granters) {
+	if !known || old.PendingPromotion == "" && old.Term == r.Term && old.SameMembers(r.Members) && len(r.Granters) == len(old.Granters) {
 		return
 	}
 	if err := w.save(ctx, r); err != nil {
@@ -233,10 +233,10 @@
 	if !ok {
 		return errNotInherited
 	}
-	if r.Ordered == id {
+	if r.PendingPromotion == id {
 		return nil
 	}
-	r.Ordered, r.Term = id, max(r.Term, w.group.seenTerm())
+	r.PendingPromotion, r.Term = id, max(r.Term, w.group.seenTerm())
 	return w.save(ctx, r)
 }
 
--- a/internal/gateway/restore_test.go
+++ b/internal/gateway/restore_test.go
@@ -123,7 +123,7 @@
 		if d.certain(time.Now()) {
 			t.Error("the host counts on a duty that is gone")
 		}
-		time.Sleep(leadership.RenewalPause + dutyPoll + 50*time.Millisecond)
+		time.Sleep(leadership.RenewalInterval + dutyPoll + 50*time.Millisecond)
 		d.mu.Lock()
 		token := d.token
 		d.mu.Unlock()
--- a/internal/gateway/session_test.go
+++ b/internal/gateway/session_test.go
@@ -126,7 +126,7 @@
 		do(h, Write{})
 		s.with("a", func(m *fakeMember) { m.cut = true })
 		s.put(h.dutyKey(testGroup), []byte("h2"), 0)
-		time.Sleep(leadership.Duration) // the other holder waits for the leases
+		time.Sleep(leadership.LeaseDuration) // the other holder waits for the leases
 		s.lead(s.member("b"))
 		if got := s.leader(); got != "b" {
 			t.Fatalf("%q leads", got)
--- a/internal/gateway/watcher.go
+++ b/internal/gateway/watcher.go
@@ -248,7 +248,7 @@
 	call, cancel := context.WithTimeout(ctx, promoteTimeout)
 	defer cancel()
 	if err := w.host.ports.Promoter.Raise(call, w.host.settings.Host, int64(token), w.group.name); err != nil {
-		w.raisePause = leadership.RaisePause(w.raisePause, rand.Float64())
+		w.raisePause = leadership.TokenRetryDelay(w.raisePause, rand.Float64())
 		w.raiseAt = now.Add(w.raisePause)
 		w.log("token_not_raised", "token", int64(token), "again_ms", w.raisePause.Milliseconds(), "err", err)
 		return
