--- a/internal/gateway/beliefs.go
+++ b/internal/gateway/beliefs.go
@@ -75,7 +75,7 @@
 	now := g.now()
 	out := GroupState{
 		Name: g.name, Primary: g.leader, Term: g.leaderTerm, Waiting: g.pool.Waiting(),
-		SampleAge: age(now, g.ages.Latest()), Share: g.share(),
+		SampleAge: age(now, g.ages.LatestTime()), Share: g.share(),
 	}
 	for _, m := range g.order {
 		load := m.conns.Load()
@@ -101,7 +101,7 @@
 		}
 	}
 	return []any{
-		"primary", g.leader, "proof_age_ms", age(now, g.ages.Latest()).Milliseconds(),
+		"primary", g.leader, "proof_age_ms", age(now, g.ages.LatestTime()).Milliseconds(),
 		"waiting", g.pool.Waiting(), "usable_members", usable,
 	}
 }
--- a/internal/gateway/calm.go
+++ b/internal/gateway/calm.go
@@ -127,5 +127,5 @@
 func (g *Group) sample() (group.Position, time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.ages.Newest()
+	return g.ages.LatestSample()
 }
--- a/internal/gateway/connections.go
+++ b/internal/gateway/connections.go
@@ -38,9 +38,9 @@
 )
 
 // acquire returns a connection that fits, waiting for one until the deadline.
-func (g *Group) acquire(ctx context.Context, n pool.Need) (*pooled, error) {
+func (g *Group) acquire(ctx context.Context, n pool.Request) (*pooled, error) {
 	g.mu.Lock()
-	if n.SendOn && g.primaryLost() {
+	if n.Forwardable && g.primaryLost() {
 		g.mu.Unlock()
 		g.wantLeader()
 		return nil, errSendOn
@@ -53,7 +53,7 @@
 	}
 	w, got := g.enqueue(n)
 	g.mu.Unlock()
-	if n.Primary {
+	if n.PrimaryOnly {
 		g.wantLeader()
 	}
 	timer := time.NewTimer(n.Deadline.Sub(g.now()))
@@ -68,7 +68,7 @@
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.pool.Leave(w)
+	g.pool.CancelWait(w)
 	delete(g.waiting, w)
 	select {
 	case p := <-got: // given at the last moment
@@ -87,9 +87,9 @@
 }
 
 // enqueue lets a statement wait. The channel takes a connection, or nil when it is to be sent on.
-func (g *Group) enqueue(n pool.Need) (*pool.Waiter, <-chan *pooled) {
+func (g *Group) enqueue(n pool.Request) (*pool.Waiter, <-chan *pooled) {
 	got := make(chan *pooled, 1)
-	w := g.pool.Wait(n)
+	w := g.pool.Enqueue(n)
 	g.waiting[w] = got
 	g.queuedAt = g.now()
 	g.waited++
@@ -120,11 +120,11 @@
 
 // carryOut does what the pool has decided.
 func (g *Group) carryOut() {
-	for _, o := range g.pool.Orders() {
+	for _, o := range g.pool.DrainActions() {
 		switch o := o.(type) {
-		case pool.Give:
-			g.waiting[o.To] <- g.links[o.Conn]
-			delete(g.waiting, o.To)
+		case pool.Assign:
+			g.waiting[o.Waiter] <- g.links[o.Conn]
+			delete(g.waiting, o.Waiter)
 		case pool.Open:
 			m := g.members[o.Member]
 			go g.dial(m, m.Member, o.Account)
@@ -177,21 +177,21 @@
 	var failure *Failure
 	switch {
 	case !errors.As(err, &failure):
-		g.pool.Failed(m.conns, account, false, now)
+		g.pool.OpenFailed(m.conns, account, false, now)
 		g.suspect(m, now, err)
 	case failure.Code == Misrouted:
 		g.log("member_replaced", "member", m.ID, "err", err)
-		g.pool.Refused(m.conns, account)
+		g.pool.OpenAbandoned(m.conns, account)
 		g.drop(m)
 	default:
-		g.pool.Failed(m.conns, account, true, now)
+		g.pool.OpenFailed(m.conns, account, true, now)
 	}
 }
 
 // drop gives up a member whose address belongs to another one, or that is no longer there.
 func (g *Group) drop(m *member) {
 	m.gone = true
-	g.pool.Drop(m.conns)
+	g.pool.Remove(m.conns)
 	g.carryOut()
 }
 
@@ -207,7 +207,7 @@
 func (g *Group) rest(p *pooled) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.pool.Rest(p.slot)
+	g.pool.MarkIdleInTransaction(p.slot)
 	g.dispatch()
 }
 
@@ -215,14 +215,14 @@
 func (g *Group) shed(m *member) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	m.conns.Shed(g.now(), g.hosts)
+	m.conns.RecordOverload(g.now(), g.hosts)
 }
 
 // grown records that the member ran a statement.
 func (g *Group) grown(m *member) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	m.conns.Ran()
+	m.conns.RecordSuccess()
 }
 
 // discard closes a connection in place of giving it back. err is what went wrong
@@ -243,7 +243,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if m := g.members[g.leader]; m != nil {
-		g.pool.Ahead(m.conns, account, g.now())
+		g.pool.Prewarm(m.conns, account, g.now())
 		g.carryOut()
 	}
 }
--- a/internal/gateway/forward.go
+++ b/internal/gateway/forward.go
@@ -302,7 +302,7 @@
 	if s.sendBack() {
 		return refuse(*w), true
 	}
-	w.need.SendOn = false
+	w.need.Forwardable = false
 	return s.forwardSingle(ctx, r, w)
 }
 
@@ -311,7 +311,7 @@
 	if s.sendBack() {
 		return s.failed(refuse(s.tx.work)), true
 	}
-	s.tx.work.need.SendOn = false
+	s.tx.work.need.Forwardable = false
 	return s.forwardInTransaction(ctx, r, arrived)
 }
 
--- a/internal/gateway/group.go
+++ b/internal/gateway/group.go
@@ -65,7 +65,7 @@
 	// leaderTerm is the highest term in which a member was seen to lead.
 	leaderTerm group.Term
 	// ages samples the primary's position.
-	ages freshness.Ages
+	ages freshness.PositionHistory
 	// lease is this host's lease on the primary; leaseAlarm asks for one at once, and
 	// primaryNeeded is when a statement last needed the primary.
 	lease leadership.Lease
@@ -369,7 +369,7 @@
 
 // sampled records the primary's position at or after the given time.
 func (g *Group) sampled(from string, at time.Time, p group.Position) {
-	if at.After(g.ages.Latest()) {
+	if at.After(g.ages.LatestTime()) {
 		g.ages.Observe(at, p)
 		g.sampledFrom = from
 	}
@@ -433,7 +433,7 @@
 	now := g.now()
 	m.held = held
 	pause := lagRetryMax
-	since := g.ages.Since(held)
+	since := g.ages.AsOf(held)
 	if !since.IsZero() {
 		pause = min(lagRetryMax, max(lagRetry, now.Sub(since)/lagRetryShare))
 	}
@@ -458,7 +458,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	m.heard, m.silentSince = g.now(), time.Time{}
-	m.conns.Observe(m.heard.Sub(asked))
+	m.conns.ObserveLatency(m.heard.Sub(asked))
 	g.meters.work(g.name, m.ID, m.ID == g.leader, m.heard.Sub(asked))
 }
 
--- a/internal/gateway/leader.go
+++ b/internal/gateway/leader.go
@@ -105,7 +105,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	m := g.members[id]
-	return m != nil && !g.holding && g.pool.Limit(m.conns) > 0
+	return m != nil && !g.holding && g.pool.MaxConns(m.conns) > 0
 }
 
 // ask asks the member for its status on one of callers' connections, as soon as one is idle. If
@@ -149,11 +149,11 @@
 	case m == nil || m.gone:
 		g.mu.Unlock()
 		return nil, errNoRoom
-	case !m.conns.Unused():
+	case !m.conns.Unconnected():
 		defer g.mu.Unlock()
-		return g.links[g.pool.Borrow(m.conns)], nil
+		return g.links[g.pool.TakeAnyIdle(m.conns)], nil
 	}
-	g.pool.Begin(m.conns, ownAccount)
+	g.pool.BeginDial(m.conns, ownAccount)
 	g.mu.Unlock()
 	conn, err := g.dialer.Dial(ctx, target, ownAccount)
 	g.mu.Lock()
@@ -161,7 +161,7 @@
 	if g.opened(m, ownAccount, conn, err) == nil {
 		return nil, err
 	}
-	return g.links[g.pool.Borrow(m.conns)], nil
+	return g.links[g.pool.TakeAnyIdle(m.conns)], nil
 }
 
 // ownAccount stands for the host itself, whose own questions need no account.
@@ -377,7 +377,7 @@
 	g.setLeader(a.member.ID, "asked")
 	if m := g.members[a.member.ID]; m != nil && a.by == "" {
 		m.suspectUntil = time.Time{}
-		m.conns.Retry()
+		m.conns.UnblockDials()
 	}
 	g.dispatch()
 	return true
@@ -388,7 +388,7 @@
 func (g *Group) ledSince(id string, since time.Time) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.sampledFrom == id && !g.ages.Latest().Before(since) ||
+	return g.sampledFrom == id && !g.ages.LatestTime().Before(since) ||
 		g.proven.primary == id && !g.proven.started.Before(since)
 }
 
--- a/internal/gateway/near.go
+++ b/internal/gateway/near.go
@@ -14,15 +14,15 @@
 // near reports whether a read that others would serve is better run here, on the replica of
 // this availability zone: without a hop between hosts and between zones, and without anybody
 // who may be gone. The replica must be fresh enough, well, and not at its limit.
-func (g *Group) near(n pool.Need) bool {
+func (g *Group) near(n pool.Request) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := g.now()
-	if n.Primary || g.plan.LocalReadConnections == 0 || !g.plan.ServedByOthers || g.deputy(now) {
+	if n.PrimaryOnly || g.plan.LocalReadConnections == 0 || !g.plan.ServedByOthers || g.deputy(now) {
 		return false
 	}
 	for _, m := range g.order {
-		if g.isNear(m) && g.eligible(m, n, now) && !now.Before(m.suspectUntil) && g.pool.Ready(m.conns, n.Account, now) {
+		if g.isNear(m) && g.eligible(m, n, now) && !now.Before(m.suspectUntil) && g.pool.Available(m.conns, n.Account, now) {
 			return true
 		}
 	}
--- a/internal/gateway/offer.go
+++ b/internal/gateway/offer.go
@@ -38,7 +38,7 @@
 		w.require(s.mark)
 	}
 	for {
-		if f := w.hopeless(Busy); f != nil && !w.need.SendOn {
+		if f := w.hopeless(Busy); f != nil && !w.need.Forwardable {
 			return Reply{Failure: f}
 		}
 		if !s.proveFirst(ctx, &w) {
@@ -118,7 +118,7 @@
 		return Reply{}, &again{}
 	}
 	layout, name := p.layout(s.values, w.shape)
-	commands := append(layout, Forward{Request: r, After: w.need.After, Name: name})
+	commands := append(layout, Forward{Request: r, After: w.need.MinPosition, Name: name})
 	ended := func(bool) {}
 	if w.writes {
 		ended = g.wrote()
@@ -154,7 +154,7 @@
 func (g *Group) doubtful(p *pooled, now time.Time) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return now.Sub(p.slot.Used()) > staleConnection || !p.member.silentSince.IsZero()
+	return now.Sub(p.slot.LastUsed()) > staleConnection || !p.member.silentSince.IsZero()
 }
 
 // patience is how long a member has to answer: all that is left, unless the statement can be
@@ -185,7 +185,7 @@
 	g.openAhead(w.need.Account)
 	call, cancel := context.WithTimeout(ctx, w.waitUntil().Sub(g.now()))
 	defer cancel()
-	for !w.need.SendOn || !g.primaryUnreached() {
+	for !w.need.Forwardable || !g.primaryUnreached() {
 		leader := g.leaderMember().ID
 		if leader == "" || g.prove(call, leader, w.provenSince()) {
 			return true
@@ -200,9 +200,9 @@
 // provenSince returns since when the primary must be known to have led.
 func (w *work) provenSince() time.Time {
 	if w.writes && !w.reads {
-		return w.need.Arrived.Add(-recentProof) // whether it is kept is settled afterwards
+		return w.need.ArrivedAt.Add(-recentProof) // whether it is kept is settled afterwards
 	}
-	return w.need.Arrived
+	return w.need.ArrivedAt
 }
 
 // proven returns why the statement is to be offered again, or nil if the member is known to lead
--- a/internal/gateway/plan.go
+++ b/internal/gateway/plan.go
@@ -12,7 +12,7 @@
 type work struct {
 	group  *Group
 	route  Route
-	need   pool.Need
+	need   pool.Request
 	writes bool
 	shape  *Shape
 	verify bool
@@ -31,13 +31,13 @@
 		return work{}, err
 	}
 	g := at.group
-	w := work{group: g, route: at.route, writes: writes, need: pool.Need{Account: at.account.Name, Priority: at.route.Priority, Arrived: arrived}}
+	w := work{group: g, route: at.route, writes: writes, need: pool.Request{Account: at.account.Name, Priority: at.route.Priority, ArrivedAt: arrived}}
 	if s.visit == nil && s.host.passesOn(g) {
 		w.passOn = true
 		return w, nil
 	}
 	w.require(s.mark)
-	w.need.SendOn = w.need.Primary && s.maySendOn(g)
+	w.need.Forwardable = w.need.PrimaryOnly && s.maySendOn(g)
 	return w, nil
 }
 
@@ -56,24 +56,24 @@
 	if w.writes {
 		// What is written must not go to a primary that may have been replaced either: its
 		// write would hang until the caller's time is up, and be in doubt.
-		w.need.Primary, w.verify = true, true
+		w.need.PrimaryOnly, w.verify = true, true
 		return
 	}
 	switch c := w.route.Class.(type) {
 	case freshness.Latest:
-		w.need.Primary, w.verify = true, true
+		w.need.PrimaryOnly, w.verify = true, true
 	case freshness.OwnWrites:
-		w.need.After = mark
+		w.need.MinPosition = mark
 	case freshness.MaxAge:
-		p, ok := w.group.covering(w.need.Arrived.Add(-c.Age))
+		p, ok := w.group.covering(w.need.ArrivedAt.Add(-c.Age))
 		if !ok {
 			// Nothing was heard of the primary within the age: only it knows.
-			w.need.Primary, w.verify = true, true
+			w.need.PrimaryOnly, w.verify = true, true
 			break
 		}
-		w.need.After = p
+		w.need.MinPosition = p
 		if mark.Compare(p) > 0 {
-			w.need.After = mark
+			w.need.MinPosition = mark
 		}
 	}
 }
@@ -114,7 +114,7 @@
 }
 
 func refuse(w work) Reply {
-	if !w.need.Primary {
+	if !w.need.PrimaryOnly {
 		return fail(Busy, "no connection in time, "+comeBack(0))
 	}
 	remaining, _ := w.group.hopeless(w.deadline)
@@ -124,7 +124,7 @@
 // hopeless returns a refusal with the code for a statement whose primary is not expected
 // back in time, or nil.
 func (w *work) hopeless(code Code) *Failure {
-	if !w.need.Primary || w.passOn {
+	if !w.need.PrimaryOnly || w.passOn {
 		return nil
 	}
 	w.group.needsPrimary()
--- a/internal/gateway/relief.go
+++ b/internal/gateway/relief.go
@@ -10,12 +10,12 @@
 		lagging = lagging && r.err == nil && r.status.Lag > age
 	}
 	waits := w.group.waits()
-	load := group.Load{Lagging: lagging, Running: primary.status.Running, Slots: primary.member.Slots, Waited: waits - w.waits}
+	load := group.PrimaryLoad{ReplicasLagging: lagging, Running: primary.status.Running, Slots: primary.member.Slots, Waits: waits - w.waits}
 	w.waits = waits
 	if !w.relief.Observe(load, w.host.now()) {
 		return false
 	}
-	w.log("primary_relieved", "member", primary.member.ID, "running", load.Running, "waited", load.Waited, "answers", describe(replicas))
+	w.log("primary_relieved", "member", primary.member.ID, "running", load.Running, "waited", load.Waits, "answers", describe(replicas))
 	return true
 }
 
--- a/internal/gateway/transaction.go
+++ b/internal/gateway/transaction.go
@@ -129,7 +129,7 @@
 	t := s.tx
 	w := &t.work
 	for {
-		if f := w.hopeless(Aborted); f != nil && !w.need.SendOn {
+		if f := w.hopeless(Aborted); f != nil && !w.need.Forwardable {
 			return f
 		}
 		if !s.proveFirst(ctx, w) {
@@ -168,7 +168,7 @@
 	}
 	layout, _ := p.layout(s.values, nil)
 	asked := g.now()
-	commands := append(layout, Open{ReadOnly: t.readOnly, After: w.need.After})
+	commands := append(layout, Open{ReadOnly: t.readOnly, After: w.need.MinPosition})
 	replies, err := p.conn.Do(g.patience(p.member, w.deadline.Sub(asked), false), commands...)
 	if err != nil {
 		g.discard(p, err)
--- a/internal/gateway/watcher.go
+++ b/internal/gateway/watcher.go
@@ -50,7 +50,7 @@
 	written   group.Position
 	writtenAt time.Time
 	// relief says when the primary is at its limit; waits is how many statements had waited by the last round.
-	relief group.Relief
+	relief group.OverloadDetector
 	waits  int
 	// asked is when all members were last asked and all was well, or zero.
 	asked time.Time
@@ -197,7 +197,7 @@
 	w.releaseLeftovers(primary, replicas)
 	w.keepRecord(ctx)
 	stuck := w.stuck(primary, replicas)
-	if silent(replicas) == 0 && !w.relief.Doubtful() && w.written == (group.Position{}) {
+	if silent(replicas) == 0 && !w.relief.Overloaded() && w.written == (group.Position{}) {
 		w.asked = primary.asked
 	}
 	switch {
