--- a/internal/gateway/leader.go
+++ b/internal/gateway/primary.go
@@ -15,15 +15,15 @@
 	// probeTimeout bounds a status question. Members answer within a few
 	// statements' time unless they are out of reach.
 	probeTimeout = 400 * time.Millisecond
-	// searchPause is the pause between two rounds of asking who leads.
-	searchPause = 60 * time.Millisecond
-	// searchRounds bounds one search: after that the next statement that needs
+	// searchInterval is the pause between two rounds of asking who leads.
+	searchInterval = 60 * time.Millisecond
+	// maxSearchRounds bounds one search: after that the next statement that needs
 	// the primary starts another.
-	searchRounds = 40
+	maxSearchRounds = 40
 )
 
-// control is a connection to a member for orders, opened when it is needed.
-type control struct {
+// controlConn is a connection to a member for orders, opened when it is needed.
+type controlConn struct {
 	// turn holds a token while nobody uses the connection. Unlike a mutex, the wait
 	// for it ends with the caller's time.
 	turn chan struct{}
@@ -32,10 +32,10 @@
 	used time.Time
 }
 
-// controlIdle is how long a connection for orders is kept unused. The holder of a duty
-// asks every watchPause; all other hosts ask only while nobody is known to lead, and
+// controlConnIdleTimeout is how long a connection for orders is kept unused. The holder of a duty
+// asks every probeInterval; all other hosts ask only while nobody is known to lead, and
 // their connections would take those that serve callers.
-const controlIdle = 1500 * time.Millisecond
+const controlConnIdleTimeout = 1500 * time.Millisecond
 
 // hold says whether this host holds the group's duty. It then keeps its connections for orders:
 // where callers' connections fill the members up, it could not open them again for a fence.
@@ -66,7 +66,7 @@
 		default:
 			continue // in use
 		}
-		if now.Sub(c.used) < controlIdle {
+		if now.Sub(c.used) < controlConnIdleTimeout {
 			c.turn <- struct{}{}
 			continue
 		}
@@ -78,15 +78,15 @@
 }
 
 // command gives an order to the member over its control connection.
-func (g *Group) command(m Member, o Order, timeout time.Duration) (Status, error) {
+func (g *Group) command(m Member, o ControlCommand, timeout time.Duration) (Status, error) {
 	if _, question := o.(Probe); question && g.usesPool(m.ID) {
 		return g.ask(m, timeout)
 	}
 	var s Status
 	err := g.onControl(m, timeout, func(c Conn) (err error) {
 		s, err = c.Control(timeout, o)
-		for i := 0; i < busyRounds && isBusy(err); i++ {
-			time.Sleep(busyPause)
+		for i := 0; i < maxBusyRetries && isBusyFailure(err); i++ {
+			time.Sleep(busyRetryInterval)
 			s, err = c.Control(timeout, o)
 		}
 		return err
@@ -116,8 +116,8 @@
 	until := g.now().Add(timeout)
 	p, err := g.borrow(ctx, m)
 	for p == nil && err == nil {
-		if !pause.For(ctx, askPause) {
-			return Status{}, errNoRoom
+		if !pause.For(ctx, idleConnPollInterval) {
+			return Status{}, errNoConnection
 		}
 		p, err = g.borrow(ctx, m)
 	}
@@ -129,7 +129,7 @@
 	case err == nil:
 		g.answered(m.ID, s)
 		g.release(p)
-	case refusedByMember(err):
+	case isMemberFailure(err):
 		g.release(p)
 	default:
 		g.discard(p, nil)
@@ -137,35 +137,35 @@
 	return s, err
 }
 
-// askPause is the pause before a connection is looked for again: a fraction of a statement's time.
-const askPause = 4 * time.Millisecond
+// idleConnPollInterval is the pause before a connection is looked for again: a fraction of a statement's time.
+const idleConnPollInterval = 4 * time.Millisecond
 
 // borrow takes an idle connection to the member, or opens one if there is none at all. It returns
 // nil while all are in use.
-func (g *Group) borrow(ctx context.Context, target Member) (*pooled, error) {
+func (g *Group) borrow(ctx context.Context, target Member) (*pooledConn, error) {
 	g.mu.Lock()
 	m := g.members[target.ID]
 	switch {
 	case m == nil || m.gone:
 		g.mu.Unlock()
-		return nil, errNoRoom
+		return nil, errNoConnection
 	case !m.conns.Unused():
 		defer g.mu.Unlock()
 		return g.links[g.pool.Borrow(m.conns)], nil
 	}
-	g.pool.Begin(m.conns, ownAccount)
+	g.pool.Begin(m.conns, hostAccount)
 	g.mu.Unlock()
-	conn, err := g.dialer.Dial(ctx, target, ownAccount)
+	conn, err := g.dialer.Dial(ctx, target, hostAccount)
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.opened(m, ownAccount, conn, err) == nil {
+	if g.opened(m, hostAccount, conn, err) == nil {
 		return nil, err
 	}
 	return g.links[g.pool.Borrow(m.conns)], nil
 }
 
-// ownAccount stands for the host itself, whose own questions need no account.
-const ownAccount = ""
+// hostAccount stands for the host itself, whose own questions need no account.
+const hostAccount = ""
 
 // onControl does something on the member's control connection, which is closed when that
 // fails for another reason than the member's refusal.
@@ -173,7 +173,7 @@
 	g.mu.Lock()
 	c := g.controls[m.ID]
 	if c == nil {
-		c = &control{turn: make(chan struct{}, 1), used: g.now()}
+		c = &controlConn{turn: make(chan struct{}, 1), used: g.now()}
 		c.turn <- struct{}{}
 		g.controls[m.ID] = c
 	}
@@ -193,14 +193,14 @@
 		c.close(g, m)
 	}
 	if c.conn == nil {
-		conn, err := g.dialer.Dial(ctx, m, ownAccount)
+		conn, err := g.dialer.Dial(ctx, m, hostAccount)
 		if err != nil {
 			return err
 		}
 		c.conn = conn
 	}
 	err := do(c.conn)
-	if err != nil && !refusedByMember(err) {
+	if err != nil && !isMemberFailure(err) {
 		c.close(g, m)
 	}
 	return err
@@ -227,31 +227,31 @@
 	m.received, m.receivedTerm = s.Received, s.Term
 }
 
-// busyRounds is how often an order is given again to a member whose queue is
+// maxBusyRetries is how often an order is given again to a member whose queue is
 // full.
-const busyRounds = 8
+const maxBusyRetries = 8
 
-// isBusy reports whether a member answered that it has no room.
-func isBusy(err error) bool {
+// isBusyFailure reports whether a member answered that it has no room.
+func isBusyFailure(err error) bool {
 	var f *Failure
 	return errors.As(err, &f) && f.Code == Busy
 }
 
-// refusedByMember reports whether the member itself answered with a refusal.
-func refusedByMember(err error) bool {
+// isMemberFailure reports whether the member itself answered with a refusal.
+func isMemberFailure(err error) bool {
 	var f *Failure
 	return errors.As(err, &f)
 }
 
-func (c *control) close(g *Group, m Member) {
+func (c *controlConn) close(g *Group, m Member) {
 	if err := c.conn.Close(); err != nil {
 		g.log("member_close", "member", m.ID, "err", err)
 	}
 	c.conn = nil
 }
 
-// answered is a member's answer to an order, with the time it was asked.
-type answered struct {
+// controlResult is a member's answer to an order, with the time it was asked.
+type controlResult struct {
 	member Member
 	asked  time.Time
 	status Status
@@ -261,12 +261,12 @@
 }
 
 // orderAll gives an order to the members at once and returns their answers.
-func (g *Group) orderAll(members []Member, o Order, timeout time.Duration) []answered {
-	out := make([]answered, len(members))
+func (g *Group) orderAll(members []Member, o ControlCommand, timeout time.Duration) []controlResult {
+	out := make([]controlResult, len(members))
 	var wait sync.WaitGroup
 	for i, m := range members {
 		wait.Go(func() {
-			out[i] = answered{member: m, asked: g.now()}
+			out[i] = controlResult{member: m, asked: g.now()}
 			out[i].status, out[i].err = g.command(m, o, timeout)
 		})
 	}
@@ -327,18 +327,18 @@
 		g.searching = false
 		g.mu.Unlock()
 	}()
-	for range searchRounds {
+	for range maxSearchRounds {
 		if g.adopt(g.orderAll(g.list(), Probe{}, probeTimeout)) {
 			return
 		}
-		time.Sleep(searchPause)
+		time.Sleep(searchInterval)
 	}
 }
 
 // disproved reports whether the member has refused a write in the term in which it says
 // that it leads, or is being replaced. A primary that was replaced while it was cut off goes on to say so; to
 // believe it again and again would keep callers from the new one.
-func (g *Group) disproved(a answered) bool {
+func (g *Group) disproved(a controlResult) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	m := g.members[a.member.ID]
@@ -351,7 +351,7 @@
 
 // adopt takes over what the answers say of who leads. It returns false when none
 // of the members leads.
-func (g *Group) adopt(answers []answered) bool {
+func (g *Group) adopt(answers []controlResult) bool {
 	best := -1
 	for i, a := range answers {
 		if a.err != nil || !a.status.Leads || g.disproved(a) {
@@ -392,8 +392,8 @@
 		g.proven.primary == id && !g.proven.started.Before(since)
 }
 
-// newest returns the highest term among the answers in which a member led.
-func newest(answers []answered) group.Term {
+// highestTerm returns the highest term among the answers in which a member led.
+func highestTerm(answers []controlResult) group.Term {
 	var t group.Term
 	for _, a := range answers {
 		if a.err == nil {
--- a/internal/gateway/prover.go
+++ b/internal/gateway/primary_check.go
@@ -8,9 +8,9 @@
 	"pearlatch/core/leadership"
 )
 
-// proof is a question to all members who leads. Statements that need the answer at the same
+// primaryCheck is a question to all members who leads. Statements that need the answer at the same
 // time share it.
-type proof struct {
+type primaryCheck struct {
 	started time.Time
 	// done is closed when the others are set.
 	done    chan struct{}
@@ -23,9 +23,9 @@
 	ok bool
 }
 
-// proofTimeout bounds that question. Members answer within a few statements' time, unless
+// primaryCheckTimeout bounds that question. Members answer within a few statements' time, unless
 // they are out of reach.
-const proofTimeout = 150 * time.Millisecond
+const primaryCheckTimeout = 150 * time.Millisecond
 
 // prove makes sure that the member leads: that it held at or after the given time
 // everything that had been acknowledged. A lease says so by itself. Without one the other
@@ -55,7 +55,7 @@
 // replica that nobody could fence, acknowledges writes that the next primary lacks.
 func (g *Group) stands(id string, term group.Term) bool {
 	now := g.now()
-	ctx, cancel := context.WithTimeout(context.Background(), 2*proofTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), 2*primaryCheckTimeout)
 	defer cancel()
 	for ctx.Err() == nil {
 		if g.keeps(id, term, now) {
@@ -78,7 +78,7 @@
 }
 
 // wait waits for the answers and returns false when ctx ended.
-func (p *proof) wait(ctx context.Context) bool {
+func (p *primaryCheck) wait(ctx context.Context) bool {
 	select {
 	case <-p.done:
 		return true
@@ -88,11 +88,11 @@
 }
 
 // question returns the question that is under way, or a new one.
-func (g *Group) question(id string) *proof {
+func (g *Group) question(id string) *primaryCheck {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.proof == nil {
-		g.proof = &proof{started: g.now(), done: make(chan struct{}), primary: id, term: g.termOf(id)}
+		g.proof = &primaryCheck{started: g.now(), done: make(chan struct{}), primary: id, term: g.termOf(id)}
 		go g.askAll(g.proof)
 	}
 	return g.proof
@@ -108,7 +108,7 @@
 
 // answered reports whether some of the others answered, and none disproved. A packet may have
 // got lost, and the next question do.
-func (p *proof) answered() bool {
+func (p *primaryCheck) answered() bool {
 	some := false
 	for _, a := range p.answers {
 		if a.Leads || a.Answered && a.Term > p.term {
@@ -122,7 +122,7 @@
 // proofFor returns the question that is under way, or a new one. While the last one failed
 // a moment ago that one stands, so that statements in a crowd ask members no more than need
 // be.
-func (g *Group) proofFor(id string) *proof {
+func (g *Group) proofFor(id string) *primaryCheck {
 	g.mu.Lock()
 	failed, again := g.disproof, !g.now().Before(g.proveAt)
 	g.mu.Unlock()
@@ -133,7 +133,7 @@
 }
 
 // askAll asks the members who leads. A host that knows the primary's term need not ask it.
-func (g *Group) askAll(p *proof) {
+func (g *Group) askAll(p *primaryCheck) {
 	var asked []Member
 	for _, m := range g.list() {
 		p.members = append(p.members, m.ID)
@@ -141,16 +141,16 @@
 			asked = append(asked, m)
 		}
 	}
-	answers := g.orderAll(asked, Probe{}, proofTimeout)
+	answers := g.orderAll(asked, Probe{}, primaryCheckTimeout)
 	for _, a := range answers {
 		if a.member.ID == p.primary && a.err == nil && a.status.Leads {
 			p.term = a.status.Term
 		}
 	}
-	p.answers = toAnswers(answers)
+	p.answers = toLeadershipAnswers(answers)
 	p.ok = p.term > 0 && leadership.Unchallenged(p.primary, p.term, p.members, p.answers)
 	if g.answeredProof(p) {
-		g.log("leadership", "proven", p.ok, "member", p.primary, "term", p.term, "answers", describe(answers))
+		g.log("leadership", "proven", p.ok, "member", p.primary, "term", p.term, "answers", formatResults(answers))
 	}
 	g.adopt(answers)
 	close(p.done)
@@ -158,7 +158,7 @@
 
 // answeredProof takes over the outcome of a question. It reports whether that differs from
 // the last one.
-func (g *Group) answeredProof(p *proof) (news bool) {
+func (g *Group) answeredProof(p *primaryCheck) (news bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.proof = nil
@@ -168,28 +168,28 @@
 		g.leaderTerm = max(g.leaderTerm, p.term)
 		g.primaryBack()
 	} else {
-		g.unprovenSince = earlier(g.unprovenSince, p.started)
-		g.proofPause = min(max(2*g.proofPause, firstProofPause), longestProofPause)
+		g.unprovenSince = earlierTime(g.unprovenSince, p.started)
+		g.proofPause = min(max(2*g.proofPause, minCheckBackoff), maxCheckBackoff)
 		if p.answered() {
-			g.proofPause = firstProofPause
+			g.proofPause = minCheckBackoff
 		}
 		g.disproof, g.proveAt = p, g.now().Add(g.proofPause)
 	}
 	return p.ok == failing
 }
 
-// firstProofPause and longestProofPause bound the pause after a question that proved nothing, which
+// minCheckBackoff and maxCheckBackoff bound the pause after a question that proved nothing, which
 // doubles: from a round trip within a region to half of the time in which a lost primary is
 // found out.
 const (
-	firstProofPause   = 10 * time.Millisecond
-	longestProofPause = 320 * time.Millisecond
+	minCheckBackoff = 10 * time.Millisecond
+	maxCheckBackoff = 320 * time.Millisecond
 )
 
-func toAnswers(in []answered) []leadership.Answer {
+func toLeadershipAnswers(in []controlResult) []leadership.Answer {
 	out := make([]leadership.Answer, len(in))
 	for i, a := range in {
-		out[i] = leadership.Answer{Member: a.member.ID, Answered: a.err == nil, Ended: processEnded(a.err),
+		out[i] = leadership.Answer{Member: a.member.ID, Answered: a.err == nil, Ended: connRefused(a.err),
 			Leads: a.status.Leads, Term: a.status.Term, Fenced: a.status.Fenced}
 	}
 	return out
--- a/internal/gateway/order.go
+++ b/internal/gateway/promotion.go
@@ -10,8 +10,8 @@
 	"pearlatch/internal/pause"
 )
 
-// choice says on what a successor was chosen. The zero value says nothing.
-type choice struct {
+// successorChoice says on what a successor was chosen. The zero value says nothing.
+type successorChoice struct {
 	// listed is when the members were listed out of which it was chosen.
 	listed time.Time
 	// held is the end of its log then.
@@ -20,12 +20,12 @@
 
 // promote orders the promotion and waits until the member leads. It returns false if it gave no
 // order.
-func (w *watcher) promote(ctx context.Context, id string, c choice) (given bool) {
+func (w *groupMonitor) promote(ctx context.Context, id string, c successorChoice) (given bool) {
 	if open := w.openOrder(); open != "" && open != id {
 		if s, err := w.probe(open); err == nil && s.Received.Compare(c.held) >= 0 {
 			// The order for that member may be carried out at any moment. It lacks
 			// nothing, so it is ordered again.
-			id, c = open, choice{}
+			id, c = open, successorChoice{}
 		} else if err := w.outlive(ctx); err != nil {
 			w.log("promotion_held_back", "member", id, "open", open, "err", err)
 			return false
@@ -38,7 +38,7 @@
 		}
 	}
 	started := w.host.now()
-	for w.holds() && ctx.Err() == nil && w.host.now().Sub(started) < leadTimeout {
+	for w.holds() && ctx.Err() == nil && w.host.now().Sub(started) < promotionTimeout {
 		given = true
 		if !w.order(ctx, id) {
 			return given
@@ -64,26 +64,26 @@
 // outlive makes sure that an open order for a member that is gone is not carried out late,
 // when the member is back: by a higher token, which makes the platform refuse it, or by time
 // where the platform checks no tokens.
-func (w *watcher) outlive(ctx context.Context) error {
+func (w *groupMonitor) outlive(ctx context.Context) error {
 	if w.host.settings.PromotionTokens {
 		return w.renewToken(ctx)
 	}
 	if !w.orderExpired() {
-		return errOrderOpen
+		return errPromotionOpen
 	}
 	return nil
 }
 
-// errOrderOpen means that an earlier order may still be carried out.
-var errOrderOpen = errors.New("an earlier order may still be carried out")
+// errPromotionOpen means that an earlier order may still be carried out.
+var errPromotionOpen = errors.New("an earlier order may still be carried out")
 
 // finishOrder gives an open order again while the primary before still leads, since it may be
 // carried out at any moment. The fences that make it safe stay. If one is missing, the order was
 // given up or a replica was started again: then all but the member are fenced anew, and it must
 // first receive what the primary has.
-func (w *watcher) finishOrder(ctx context.Context, open string, primary answered, replicas []answered) {
+func (w *groupMonitor) finishOrder(ctx context.Context, open string, primary controlResult, replicas []controlResult) {
 	var unfenced []Member
-	target := answered{err: errNotAsked}
+	target := controlResult{err: errNotAsked}
 	for _, r := range replicas {
 		switch {
 		case r.member.ID == open:
@@ -93,33 +93,33 @@
 		}
 	}
 	if len(unfenced) > 0 {
-		w.group.orderAll(unfenced, Fence{Term: max(newest(replicas), primary.status.Term) + 1}, orderTimeout)
+		w.group.orderAll(unfenced, Fence{Term: max(highestTerm(replicas), primary.status.Term) + 1}, controlTimeout)
 		if target.err != nil || target.status.Received.Compare(primary.status.Received) < 0 {
 			w.log("order_awaits_log", "member", open, "unfenced", len(unfenced))
 			return
 		}
 	}
-	w.promote(ctx, open, choice{})
+	w.promote(ctx, open, successorChoice{})
 }
 
 // answers reports whether the member answers.
-func (w *watcher) answers(id string) bool {
+func (w *groupMonitor) answers(id string) bool {
 	_, err := w.probe(id)
-	return err == nil || refusedByMember(err)
+	return err == nil || isMemberFailure(err)
 }
 
 // probe asks the member for its status.
-func (w *watcher) probe(id string) (Status, error) {
+func (w *groupMonitor) probe(id string) (Status, error) {
 	m, ok := w.group.lookup(id)
 	if !ok {
 		return Status{}, errNotAsked
 	}
-	return w.group.command(m, Probe{}, orderTimeout)
+	return w.group.command(m, Probe{}, controlTimeout)
 }
 
 // order names the successor to the platform. It returns false when the order was
 // refused.
-func (w *watcher) order(ctx context.Context, id string) bool {
+func (w *groupMonitor) order(ctx context.Context, id string) bool {
 	w.mu.Lock()
 	if !w.held || !w.since.Equal(w.taken) {
 		// Lost and taken again since the round began: leases may hold that this round has not waited for.
@@ -130,7 +130,7 @@
 	token := w.token
 	w.ordered, w.orderedToken, w.orderedAt = id, token, w.host.now()
 	w.mu.Unlock()
-	call, cancel := context.WithTimeout(ctx, promoteTimeout)
+	call, cancel := context.WithTimeout(ctx, promoteCallTimeout)
 	defer cancel()
 	err := w.host.ports.Promoter.Promote(call, w.host.settings.Host, int64(token), w.group.name, id)
 	if errors.Is(err, ErrFenced) {
@@ -149,30 +149,30 @@
 }
 
 // leads waits until the member leads, and returns its answer.
-func (w *watcher) leads(ctx context.Context, id string) (answered, bool) {
-	for until := w.host.now().Add(leadWait); w.host.now().Before(until); {
+func (w *groupMonitor) leads(ctx context.Context, id string) (controlResult, bool) {
+	for until := w.host.now().Add(promotionRetryDelay); w.host.now().Before(until); {
 		if m, ok := w.group.lookup(id); ok {
-			answers := w.group.orderAll([]Member{m}, Probe{}, orderTimeout)
+			answers := w.group.orderAll([]Member{m}, Probe{}, controlTimeout)
 			if w.group.adopt(answers) {
 				return answers[0], true
 			}
 		}
-		if !pause.For(ctx, leadPoll) {
-			return answered{}, false
+		if !pause.For(ctx, promotionPollInterval) {
+			return controlResult{}, false
 		}
 	}
-	return answered{}, false
+	return controlResult{}, false
 }
 
 // demoteOld tells the primary before that another member leads. Until it knows, it takes
 // writes that hang, since no replica receives them.
-func (w *watcher) demoteOld(leader string, term group.Term) {
+func (w *groupMonitor) demoteOld(leader string, term group.Term) {
 	old := w.primary
 	if old.ID == "" || old.ID == leader {
 		return
 	}
 	go func() {
-		_, err := w.group.command(old, Demote{Term: term}, orderTimeout)
+		_, err := w.group.command(old, Demote{Term: term}, controlTimeout)
 		w.log("replaced_primary_demoted", "member", old.ID, "term", term, "err", err)
 	}()
 }
--- a/internal/gateway/dutyorder.go
+++ b/internal/gateway/promotion_state.go
@@ -9,16 +9,16 @@
 )
 
 // renewToken takes a higher token for another decision.
-func (d *duty) renewToken(ctx context.Context) error {
+func (d *coordinator) renewToken(ctx context.Context) error {
 	d.mu.Lock()
 	token, lease := d.token, d.lease
 	d.mu.Unlock()
-	call, cancel := context.WithTimeout(ctx, leaseTimeout)
+	call, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
 	revision, err := d.commit(call, token.Epoch(), kv.Replace(d.host.dutyKey(d.group.name), token, []byte(d.host.settings.Host), lease))
 	switch {
-	case errors.Is(err, errRestored):
-		d.lose(restoredStore)
+	case errors.Is(err, errStoreRestored):
+		d.lose(reasonStoreRestored)
 	case errors.Is(err, ErrConflict), errors.Is(err, ErrNoLease):
 		d.lose("entry changed")
 	case err != nil:
@@ -38,7 +38,7 @@
 
 // openOrder returns the member that an order may still promote, or the empty string. A
 // higher token makes the platform refuse the order, where it checks tokens.
-func (d *duty) openOrder() string {
+func (d *coordinator) openOrder() string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.host.settings.PromotionTokens && d.raised > d.orderedToken {
@@ -48,21 +48,21 @@
 }
 
 // settledOrder records that no order is open any more.
-func (d *duty) settledOrder() {
+func (d *coordinator) settledOrder() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.ordered = ""
 }
 
 // orderExpired reports whether the last order is too old to be carried out still.
-func (d *duty) orderExpired() bool {
+func (d *coordinator) orderExpired() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return !d.host.settings.PromotionTokens && d.host.now().Sub(d.orderedAt) > lateOrder
+	return !d.host.settings.PromotionTokens && d.host.now().Sub(d.orderedAt) > maxPromotionDelay
 }
 
 // acknowledged records that the platform has seen the token.
-func (d *duty) acknowledged(token kv.Revision) {
+func (d *coordinator) acknowledged(token kv.Revision) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.raised = max(d.raised, token)
@@ -72,7 +72,7 @@
 }
 
 // current reports whether the platform has seen the newest token, where it checks tokens, or need not.
-func (d *duty) current() bool {
+func (d *coordinator) current() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return !d.host.settings.PromotionTokens || d.raised == d.token || d.first == d.token
--- a/internal/gateway/source_test.go
+++ b/internal/gateway/propagation_test.go
@@ -61,8 +61,8 @@
 
 // One host of each availability zone watches the store, and all others learn from it. A
 // change of the configuration must be in force everywhere at once.
-func TestNewsReachAllHosts(t *testing.T) {
-	playFleet(t, 30, 20, freshness.Latest{}, func(_ *fakeSite, f *fakeFleet) {
+func TestChangesReachAllHosts(t *testing.T) {
+	withFleet(t, 30, 20, freshness.Latest{}, func(_ *fakeSite, f *fakeFleet) {
 		if n := len(f.watching()); n != 3 {
 			t.Errorf("%d hosts watch the store", n)
 		}
@@ -75,8 +75,8 @@
 // The store turns two of the three hosts away that watch it, without a word. Each of them
 // then follows another host. If they follow one another, what they pass on to each other
 // must not seem fresh for ever: a new configuration must be in force within 3 s.
-func TestHostsThatAreTurnedAwayDontFollowEachOther(t *testing.T) {
-	playFleet(t, 30, 20, freshness.Latest{}, func(_ *fakeSite, f *fakeFleet) {
+func TestHostsRejectedByStoreDoNotFollowEachOther(t *testing.T) {
+	withFleet(t, 30, 20, freshness.Latest{}, func(_ *fakeSite, f *fakeFleet) {
 		for _, h := range f.facing() {
 			f.set(f.turnedAway, h.settings.Host, true)
 		}
@@ -94,7 +94,7 @@
 // The host from which a zone learns dies, or goes dark. The others must notice and learn
 // from another one.
 func TestLostFeedIsReplaced(t *testing.T) {
-	playFleet(t, 30, 20, freshness.Latest{}, func(_ *fakeSite, f *fakeFleet) {
+	withFleet(t, 30, 20, freshness.Latest{}, func(_ *fakeSite, f *fakeFleet) {
 		gone := f.watching()[0]
 		f.set(f.dark, gone.settings.Host, true)
 		f.set(f.turnedAway, gone.settings.Host, true)
@@ -110,8 +110,8 @@
 
 // All watching hosts reach the store again after an outage in which members left and the
 // configuration changed. What was removed meanwhile must be gone everywhere.
-func TestNewsOfRemovalsAfterAnOutage(t *testing.T) {
-	playFleet(t, 12, 20, freshness.Latest{}, func(s *fakeSite, f *fakeFleet) {
+func TestRemovalsArePropagatedAfterOutage(t *testing.T) {
+	withFleet(t, 12, 20, freshness.Latest{}, func(s *fakeSite, f *fakeFleet) {
 		s.setDown(true)
 		time.Sleep(3 * time.Second)
 		s.list("c", "")
@@ -135,8 +135,8 @@
 // The store refuses all calls for six seconds. The hosts that ask it go on to do so; all others wait for
 // these, or a large fleet spends the outage on looking for news that nobody has. When the store is
 // back, a change must be in force everywhere at once.
-func TestOutageOfTheStoreIsWaitedFor(t *testing.T) {
-	playFleet(t, 30, 20, freshness.Latest{}, func(s *fakeSite, f *fakeFleet) {
+func TestHostsWaitOutStoreOutage(t *testing.T) {
+	withFleet(t, 30, 20, freshness.Latest{}, func(s *fakeSite, f *fakeFleet) {
 		asks := map[string]bool{}
 		for _, h := range f.watching() {
 			asks[h.settings.Host] = true
--- a/internal/gateway/quota.go
+++ b/internal/gateway/quota.go
@@ -36,7 +36,7 @@
 func (f quotaFleet) Ask(ctx context.Context, host string, r quotas.Request) (quotas.Reply, error) {
 	addr, ok := f.h.fleet.Address(host)
 	if !ok || f.h.ports.Peers == nil {
-		return quotas.Reply{}, errNoHolder
+		return quotas.Reply{}, errNoCoordinator
 	}
 	return f.h.ports.Peers.Quota(ctx, addr, r)
 }
@@ -45,13 +45,13 @@
 func (f quotaFleet) Tell(ctx context.Context, host string, r quotas.TellRequest) (quotas.TellReply, error) {
 	addr, ok := f.h.fleet.Address(host)
 	if !ok || f.h.ports.Peers == nil {
-		return quotas.TellReply{}, errNoHolder
+		return quotas.TellReply{}, errNoCoordinator
 	}
 	return f.h.ports.Peers.TellQuota(ctx, addr, r)
 }
 
 // Ended implements quotas.Fleet.
-func (f quotaFleet) Ended(err error) bool { return processEnded(err) }
+func (f quotaFleet) Ended(err error) bool { return connRefused(err) }
 
 // Enter implements quotas.Fleet. It writes down all hosts that are listed, since others will ask as well.
 func (f quotaFleet) Enter(ctx context.Context, shard, host string) ([]string, error) {
@@ -59,16 +59,16 @@
 	d := f.h.duties[shard]
 	f.h.mu.Unlock()
 	if d == nil {
-		return nil, errNoHolder
+		return nil, errNoCoordinator
 	}
 	return d.enterGrantees(ctx, host)
 }
 
 // enterGrantees writes into the record that the host, and all that are listed, may hold portions of quotas.
-func (d *duty) enterGrantees(ctx context.Context, host string) ([]string, error) {
+func (d *coordinator) enterGrantees(ctx context.Context, host string) ([]string, error) {
 	r, ok := d.recorded()
 	if !ok {
-		return nil, errNotInherited
+		return nil, errRecordUnknown
 	}
 	r.Grantees = leadership.Union(append(d.host.fleet.ListedIDs(), r.Grantees...), host, d.host.settings.Host)
 	if err := d.save(ctx, r); err != nil {
@@ -78,7 +78,7 @@
 }
 
 // granters returns the hosts that may take themselves for the granter of the group's accounts, this one among them.
-func (d *duty) granters(last leadership.Record) []string {
+func (d *coordinator) granters(last leadership.Record) []string {
 	before, granting := d.host.quotas.Before(d.group.name)
 	if !granting {
 		before = last.Granters
@@ -86,13 +86,13 @@
 	return leadership.Union(before, d.host.settings.Host)
 }
 
-func without(ids []string, id string) []string {
+func withoutID(ids []string, id string) []string {
 	return slices.DeleteFunc(slices.Clone(ids), func(each string) bool { return each == id })
 }
 
 // granteesInherited makes this host the granter of the group's accounts once it knows whom to ask, and if it is it
 // already, makes sure that a successor knows of all as well.
-func (d *duty) granteesInherited(grantees, granters []string) {
+func (d *coordinator) granteesInherited(grantees, granters []string) {
 	d.mu.Lock()
 	first, token, held := !d.inherited, d.token, d.renewed
 	d.mu.Unlock()
@@ -107,6 +107,6 @@
 	if ok {
 		return nil
 	}
-	detail := fmt.Sprintf("account %s is beyond its quota of %g operations per second, %s", a.Name, a.Quota.Rate, comeBack(after))
+	detail := fmt.Sprintf("account %s is beyond its quota of %g operations per second, %s", a.Name, a.Quota.Rate, retryAfter(after))
 	return &Failure{OverQuota, detail}
 }
--- a/internal/gateway/raise_test.go
+++ b/internal/gateway/raise_token_test.go
@@ -11,12 +11,12 @@
 // A fleet starts for the first time, and takes a thousand duties before a platform that accepts fifty calls a second. No
 // holder came before who could have ordered anything, so that leases are granted at once and the platform is not called.
 // The holder after the first one shows its token before all else.
-func TestFirstHolderNeedsNoRaisedToken(t *testing.T) {
+func TestFirstCoordinatorNeedsNoRaisedToken(t *testing.T) {
 	synctest.Test(t, func(*testing.T) {
 		s := newFakeSite("a", "b", "c")
-		h, stop1 := hostOn(s, "h1", freshness.Latest{})
+		h, stop1 := startHost(s, "h1", freshness.Latest{})
 		time.Sleep(3 * time.Second)
-		do(h, Read{})
+		exec(h, Read{})
 		time.Sleep(time.Second)
 		if raised := s.highestToken(); raised != 0 {
 			t.Errorf("the token %d was raised", raised)
@@ -26,8 +26,8 @@
 		}
 		first := s.revisionOf("own/duty/" + testGroup)
 		stop1()
-		_, stop2 := hostOn(s, "h2", freshness.Latest{})
-		time.Sleep(dutyLease + 2*time.Second)
+		_, stop2 := startHost(s, "h2", freshness.Latest{})
+		time.Sleep(coordinatorLeaseTTL + 2*time.Second)
 		if raised := s.highestToken(); raised <= int64(first) {
 			t.Errorf("after the second holder the highest token is %d, that of the first was %d", raised, first)
 		}
--- a/internal/gateway/record.go
+++ b/internal/gateway/record.go
@@ -34,7 +34,7 @@
 }
 
 // remembers returns the newest record that this host knows from before the store last came back.
-func (d *duty) remembers() leadership.Found {
+func (d *coordinator) remembers() leadership.Found {
 	d.host.mu.Lock()
 	out := d.host.remembered[d.group.name]
 	d.host.mu.Unlock()
@@ -47,7 +47,7 @@
 }
 
 // stored returns the record that was read, or false if there is one that can't be read.
-func (d *duty) stored(read kv.Item) (leadership.Found, bool) {
+func (d *coordinator) stored(read kv.Item) (leadership.Found, bool) {
 	if len(read.Value) == 0 {
 		return leadership.Found{}, true
 	}
@@ -59,8 +59,8 @@
 	return leadership.NewFound(r, read.Revision), true
 }
 
-// inheritance is what a holder takes over of the one before.
-type inheritance struct {
+// inheritedRecord is what a holder takes over of the one before.
+type inheritedRecord struct {
 	found leadership.Found
 	// certain is true if no other host can have held the duty since the record was written.
 	certain bool
@@ -71,10 +71,10 @@
 }
 
 // inheritance returns what the record says that was read in the epoch.
-func (d *duty) inheritance(read kv.Item, epoch kv.Epoch) inheritance {
+func (d *coordinator) inheritance(read kv.Item, epoch kv.Epoch) inheritedRecord {
 	stored, readable := d.stored(read)
 	found, certain := leadership.Inherit(stored, d.remembers(), epoch)
-	i := inheritance{found: found, certain: certain && readable, before: found.Granters, record: found.Record}
+	i := inheritedRecord{found: found, certain: certain && readable, before: found.Granters, record: found.Record}
 	if !i.certain {
 		// A holder that the store has forgotten may be any host.
 		i.before = leadership.Union(i.before, d.host.fleet.ListedIDs()...)
@@ -86,13 +86,13 @@
 }
 
 // inherit reads the record of the holder before, and writes it anew under this one's name.
-func (d *duty) inherit(ctx context.Context) error {
+func (d *coordinator) inherit(ctx context.Context) error {
 	read, err := d.host.read(ctx, d.host.recordKey(d.group.name))
 	if err != nil {
 		return err
 	}
 	i := d.inheritance(read, d.heldSince())
-	call, cancel := context.WithTimeout(ctx, leaseTimeout)
+	call, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
 	if err := d.write(call, i.record, read.Revision, kv.Transaction{}); err != nil {
 		return err
@@ -102,7 +102,7 @@
 }
 
 // adopt takes over what the holder before has left, once it is written under this one's name.
-func (d *duty) adopt(i inheritance) {
+func (d *coordinator) adopt(i inheritedRecord) {
 	r, found := i.record, i.found
 	d.group.adoptFloor(r, found.At)
 	d.group.ledIn(r.Term)
@@ -123,23 +123,23 @@
 
 // save writes the record. After an error nobody knows whether it was written, and it must
 // be inherited again.
-func (d *duty) save(ctx context.Context, r leadership.Record) error {
+func (d *coordinator) save(ctx context.Context, r leadership.Record) error {
 	return d.saveWith(ctx, r, kv.Transaction{})
 }
 
 // saveWith is save with further changes that are carried out along with it.
-func (d *duty) saveWith(ctx context.Context, r leadership.Record, along kv.Transaction) error {
+func (d *coordinator) saveWith(ctx context.Context, r leadership.Record, along kv.Transaction) error {
 	d.mu.Lock()
 	revision, last := d.recordRevision, d.record.Record
 	d.mu.Unlock()
-	call, cancel := context.WithTimeout(ctx, recordTimeout)
+	call, cancel := context.WithTimeout(ctx, recordWriteTimeout)
 	defer cancel()
 	r.Holder = d.host.settings.Host
 	if r.Grantees == nil {
 		r.Grantees = last.Grantees
 	}
 	if r.Granters = d.granters(last); r.HandedBack {
-		r.Granters = without(r.Granters, r.Holder)
+		r.Granters = withoutID(r.Granters, r.Holder)
 	}
 	err := d.write(call, r, revision, along)
 	if err != nil {
@@ -150,7 +150,7 @@
 	return errors.Wrap(err, "record of the leadership")
 }
 
-func (d *duty) write(ctx context.Context, r leadership.Record, revision kv.Revision, along kv.Transaction) error {
+func (d *coordinator) write(ctx context.Context, r leadership.Record, revision kv.Revision, along kv.Transaction) error {
 	r.Epoch = d.heldSince()
 	value, err := encodeRecord(r)
 	if err != nil {
@@ -165,21 +165,21 @@
 }
 
 // wrote records what stands in the store for the next holder.
-func (d *duty) wrote(r leadership.Record, written kv.Revision) {
+func (d *coordinator) wrote(r leadership.Record, written kv.Revision) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.record, d.recordRevision = leadership.Found{Record: r, At: written}, written
 }
 
 // knowsOrders reports whether this host knows of all recorded orders of earlier holders.
-func (d *duty) knowsOrders() bool {
+func (d *coordinator) knowsOrders() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.inherited
 }
 
 // recorded returns the record as this host wrote it, or false if that is not certain.
-func (d *duty) recorded() (leadership.Record, bool) {
+func (d *coordinator) recorded() (leadership.Record, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.record.Record, d.recordRevision != 0
@@ -187,8 +187,8 @@
 
 // handBack removes the duty's entry, so that another host need not wait for it, and writes down that this holder gives
 // no more orders.
-func (w *watcher) handBack() {
-	ctx, cancel := context.WithTimeout(context.Background(), leaseTimeout)
+func (w *groupMonitor) handBack() {
+	ctx, cancel := context.WithTimeout(context.Background(), storeTimeout)
 	defer cancel()
 	w.mu.Lock()
 	token, held := w.token, w.held
@@ -211,7 +211,7 @@
 }
 
 // keepRecord writes the record anew when what a successor needs has changed.
-func (w *watcher) keepRecord(ctx context.Context) {
+func (w *groupMonitor) keepRecord(ctx context.Context) {
 	old, ok := w.recorded()
 	if !ok {
 		return
@@ -228,10 +228,10 @@
 
 // recordOrder writes down that an order is about to be given. Without that the next holder
 // would take the old primary for the one that leads while the order is carried out late.
-func (w *watcher) recordOrder(ctx context.Context, id string) error {
+func (w *groupMonitor) recordOrder(ctx context.Context, id string) error {
 	r, ok := w.recorded()
 	if !ok {
-		return errNotInherited
+		return errRecordUnknown
 	}
 	if r.Ordered == id {
 		return nil
@@ -240,5 +240,5 @@
 	return w.save(ctx, r)
 }
 
-// errNotInherited means that the record of the holder before could not be read.
-var errNotInherited = errors.New("the record of the leadership is not known")
+// errRecordUnknown means that the record of the holder before could not be read.
+var errRecordUnknown = errors.New("the record of the leadership is not known")
--- a/internal/gateway/record_test.go
+++ b/internal/gateway/record_test.go
@@ -14,23 +14,23 @@
 // The primary goes dark, and the host that holds the duty ends before it has replaced it.
 // The next holder has never spoken to the primary. What a successor must hold stands in the
 // store, so it need not wait for the old primary to come back.
-func TestNewHolderKnowsWhatASuccessorNeeds(t *testing.T) {
+func TestNewCoordinatorInheritsSuccessorRequirements(t *testing.T) {
 	synctest.Test(t, func(*testing.T) {
 		s := newFakeSite("a", "b", "c")
-		h1, stop1 := hostOn(s, "h1", freshness.Latest{})
+		h1, stop1 := startHost(s, "h1", freshness.Latest{})
 		time.Sleep(3 * time.Second)
-		_, stop2 := hostOn(s, "h2", freshness.Latest{})
-		do(h1, Write{})
+		_, stop2 := startHost(s, "h2", freshness.Latest{})
+		exec(h1, Write{})
 		s.with("c", func(m *fakeMember) { m.deaf = true })
-		do(h1, Write{})
+		exec(h1, Write{})
 		time.Sleep(time.Second)
 		s.with("a", func(m *fakeMember) { m.silent = true })
 		stop1()
-		time.Sleep(dutyLease + takeoverPause + 3*time.Second)
+		time.Sleep(coordinatorLeaseTTL + acceptedPromotionDelay + 3*time.Second)
 		if got := s.leader(); got != "b" {
 			t.Errorf("%q leads, want b", got)
 		}
-		wantNothingLost(t, s)
+		wantNoLostWrites(t, s)
 		stop2()
 		time.Sleep(20 * time.Second)
 	})
@@ -40,23 +40,23 @@
 // later. The holder dies right after it, and the old primary comes back. The next holder must
 // know of the order: if it let the old primary acknowledge writes with the other replica,
 // they would be lost.
-func TestNextHolderKnowsOfAnOpenOrder(t *testing.T) {
-	playOpenOrder(t, func(*fakeSite, backup) {})
+func TestNewCoordinatorKnowsOpenPromotion(t *testing.T) {
+	testOpenPromotion(t, func(*fakeSite, storeBackup) {})
 }
 
-// playOpenOrder lets a holder order the promotion of b late, end, and another one take over, after a mishap of the store,
+// testOpenPromotion lets a holder order the promotion of b late, end, and another one take over, after a mishap of the store,
 // of which there is a copy from before the order. Nothing that is acknowledged then may be lost.
-func playOpenOrder(t *testing.T, mishap func(*fakeSite, backup)) {
+func testOpenPromotion(t *testing.T, mishap func(*fakeSite, storeBackup)) {
 	t.Helper()
 	synctest.Test(t, func(*testing.T) {
 		s := newFakeSite("a", "b", "c")
 		s.unfenced = true
-		h1, stop1 := hostOn(s, "h1", freshness.Latest{})
-		h2, stop2 := hostOn(s, "h2", freshness.Latest{})
+		h1, stop1 := startHost(s, "h1", freshness.Latest{})
+		h2, stop2 := startHost(s, "h2", freshness.Latest{})
 		stop, left := map[string]func(){"h1": stop1, "h2": stop2}, map[string]*Host{"h1": h2, "h2": h1}
 		time.Sleep(3 * time.Second)
 		s.with("c", func(m *fakeMember) { m.deaf = true }) // so that the order is for b
-		do(h2, Write{})
+		exec(h2, Write{})
 		s.with("c", func(m *fakeMember) { m.deaf = false })
 		b := s.backup()
 		s.mu.Lock()
@@ -74,8 +74,8 @@
 		s.with("a", func(m *fakeMember) { m.silent = false })
 		s.with("b", func(m *fakeMember) { m.deaf = true })
 		time.Sleep(time.Second) // fences that were left behind are released
-		writeOn(left[holder], 160)
-		wantNothingLost(t, s)
+		sendWrites(left[holder], 160)
+		wantNoLostWrites(t, s)
 		for _, f := range stop {
 			f()
 		}
@@ -84,7 +84,7 @@
 }
 
 // The record of a holder reads back as it was written.
-func TestRecordReadsBack(t *testing.T) {
+func TestRecordRoundTrip(t *testing.T) {
 	r := leadership.Record{
 		Holder: "h1", Term: 3, Floor: group.Position{Term: 2, LSN: 77}, Ordered: "b",
 		Members: []leadership.Lifetime{{Member: "a", Born: 5}, {Member: "b"}},
@@ -105,24 +105,24 @@
 // A holder took the leases back to replace a primary, and ended before it ordered anything. The
 // host that takes the duty over had given its lease back, and believes in no primary since. If the
 // old one answers, it must lead on; if not, another must take over.
-func TestNextHolderGoesOnWhereTheLastOneStopped(t *testing.T) {
+func TestNewCoordinatorResumesWhereLastStopped(t *testing.T) {
 	for _, silent := range []bool{false, true} {
 		t.Run(fmt.Sprint("silent ", silent), func(t *testing.T) {
 			synctest.Test(t, func(*testing.T) {
 				s := newFakeSite("a", "b", "c")
-				_, stop1 := hostOn(s, "h1", freshness.Latest{})
+				_, stop1 := startHost(s, "h1", freshness.Latest{})
 				time.Sleep(3 * time.Second)
-				h2, stop2 := hostOn(s, "h2", freshness.Latest{})
-				do(h2, Write{})
+				h2, stop2 := startHost(s, "h2", freshness.Latest{})
+				exec(h2, Write{})
 				time.Sleep(time.Second)
 				s.with("a", func(m *fakeMember) { m.silent = silent })
 				h2.EndLease(testGroup, "a", false)
 				stop1()
-				served(t, h2, 6*time.Second)
+				awaitWrite(t, h2, 6*time.Second)
 				if took := s.leader() != "a"; took != silent {
 					t.Errorf("%q leads", s.leader())
 				}
-				wantNothingLost(t, s)
+				wantNoLostWrites(t, s)
 				stop2()
 				time.Sleep(20 * time.Second)
 			})
--- a/internal/gateway/relief.go
+++ b/internal/gateway/relief.go
@@ -3,7 +3,7 @@
 import "pearlatch/core/group"
 
 // relieves reports whether the group is better off with another primary.
-func (w *watcher) relieves(primary answered, replicas []answered) bool {
+func (w *groupMonitor) relieves(primary controlResult, replicas []controlResult) bool {
 	age := w.group.shortestAge()
 	lagging := len(replicas) > 0 && age > 0
 	for _, r := range replicas {
@@ -15,7 +15,7 @@
 	if !w.relief.Observe(load, w.host.now()) {
 		return false
 	}
-	w.log("primary_relieved", "member", primary.member.ID, "running", load.Running, "waited", load.Waited, "answers", describe(replicas))
+	w.log("primary_relieved", "member", primary.member.ID, "running", load.Running, "waited", load.Waited, "answers", formatResults(replicas))
 	return true
 }
 
--- a/internal/gateway/reply.go
+++ b/internal/gateway/reply.go
@@ -6,7 +6,7 @@
 	"pearlatch/core/group"
 )
 
-//go:generate go tool stringer -type=State,Code,Declined -output=enum_string.go
+//go:generate go tool stringer -type=State,Code,DeclineReason -linecomment -output=enum_string.go
 
 // State is the transaction status of a session.
 type State uint8
@@ -15,14 +15,14 @@
 const (
 	Idle State = iota
 	InTransaction
-	// Broken means that the transaction failed and only its end is accepted.
-	Broken
+	// InFailedTransaction means that the transaction failed and only its end is accepted.
+	InFailedTransaction // Broken
 )
 
 // Code says why a statement failed.
 type Code uint8
 
-// The codes. The group up to TooMany promises that nothing of the caller's
+// The codes. The group up to TooManyConnections promises that nothing of the caller's
 // attempt is kept.
 const (
 	// Busy means that nothing had room for the statement.
@@ -35,8 +35,8 @@
 	ReadOnly
 	// Misrouted means that the address belongs to another member now.
 	Misrouted
-	// TooMany means that the member has no connection left.
-	TooMany
+	// TooManyConnections means that the member has no connection left.
+	TooManyConnections // TooMany
 	// UnknownStatement means that no statement is prepared under the name.
 	UnknownStatement
 	// Failed means that the statement ran and failed.
@@ -59,7 +59,7 @@
 // run the statement.
 func (c Code) NotRun() bool {
 	switch c {
-	case Busy, Lagging, ReadOnly, Misrouted, TooMany, UnknownStatement:
+	case Busy, Lagging, ReadOnly, Misrouted, TooManyConnections, UnknownStatement:
 		return true
 	}
 	return false
--- a/internal/gateway/reach_test.go
+++ b/internal/gateway/reroute_test.go
@@ -9,23 +9,23 @@
 
 // The way from one serving host to the primary is cut, and other hosts reach it. Callers
 // whose host turns to that one first must not be refused while the primary is well.
-func TestServerWithoutThePrimarySendsOn(t *testing.T) {
-	playFleet(t, 30, 20, freshness.Latest{}, func(_ *fakeSite, f *fakeFleet) {
+func TestServerThatCannotReachPrimaryReroutes(t *testing.T) {
+	withFleet(t, 30, 20, freshness.Latest{}, func(_ *fakeSite, f *fakeFleet) {
 		here, elsewhere := f.serving()
 		f.set(f.severed, here[0].settings.Host+" a", true)
 		for range 3 {
 			for _, h := range elsewhere {
-				do(h, Write{})
+				exec(h, Write{})
 			}
 		}
 		for _, h := range elsewhere {
-			if r := do(h, Write{}); r.Failure != nil {
+			if r := exec(h, Write{}); r.Failure != nil {
 				t.Errorf("a write at %s: %v", h.settings.Host, r.Failure)
 			}
-			c := open(t, h)
-			on(c, Begin{})
-			on(c, Read{})
-			if r := on(c, Commit{}); r.Failure != nil {
+			c := openSession(t, h)
+			execIn(c, Begin{})
+			execIn(c, Read{})
+			if r := execIn(c, Commit{}); r.Failure != nil {
 				t.Errorf("a commit at %s: %v", h.settings.Host, r.Failure)
 			}
 		}
@@ -42,18 +42,18 @@
 	h := here[0]
 	f.set(f.severed, h.settings.Host+" a", true)
 	for range 3 {
-		do(h, Write{})
+		exec(h, Write{})
 	}
 	return h
 }
 
 // Every host serves for itself, and the way from one of them to the primary is cut. Its
 // callers' writes go by way of another host, and no longer once the way is whole.
-func TestHostWithoutThePrimaryPassesOn(t *testing.T) {
-	playFleet(t, 4, 20, freshness.Latest{}, func(_ *fakeSite, f *fakeFleet) {
+func TestHostThatCannotReachPrimaryForwards(t *testing.T) {
+	withFleet(t, 4, 20, freshness.Latest{}, func(_ *fakeSite, f *fakeFleet) {
 		h := f.cutFromPrimary(t)
 		for range 5 {
-			if r := do(h, Write{}); r.Failure != nil {
+			if r := exec(h, Write{}); r.Failure != nil {
 				t.Errorf("a write: %v", r.Failure)
 			}
 		}
@@ -63,7 +63,7 @@
 		f.carried = map[string]int{}
 		f.mu.Unlock()
 		for range 5 {
-			do(h, Write{})
+			exec(h, Write{})
 		}
 		if len(f.carried) > 0 {
 			t.Errorf("others still carry its writes: %v", f.carried)
@@ -74,22 +74,22 @@
 // A transaction that began by way of another host stays on the connection of its first
 // statement, also when the way to the primary is whole again.
 func TestTransactionStaysWhereItBegan(t *testing.T) {
-	playFleet(t, 4, 20, freshness.Latest{}, func(_ *fakeSite, f *fakeFleet) {
+	withFleet(t, 4, 20, freshness.Latest{}, func(_ *fakeSite, f *fakeFleet) {
 		h := f.cutFromPrimary(t)
-		c := open(t, h)
-		on(c, Begin{})
-		on(c, Read{})
+		c := openSession(t, h)
+		execIn(c, Begin{})
+		execIn(c, Read{})
 		if c.tx == nil || c.tx.away == nil {
 			t.Fatal("the transaction did not go by way of another host")
 		}
 		server := c.tx.away.server
 		f.set(f.severed, h.settings.Host+" a", false)
 		time.Sleep(time.Second)
-		on(c, Write{})
+		execIn(c, Write{})
 		if c.tx == nil || c.tx.away == nil || c.tx.conn != nil || c.tx.away.server != server {
 			t.Error("the transaction's second statement ran on another connection")
 		}
-		if r := on(c, Commit{}); r.Failure != nil {
+		if r := execIn(c, Commit{}); r.Failure != nil {
 			t.Errorf("commit: %v", r.Failure)
 		}
 	})
@@ -98,14 +98,14 @@
 // The primary dies for everybody. Callers wait for the next one at the host that serves
 // them, and are not sent round all hosts again and again.
 func TestLostPrimaryIsWaitedForAtOneHost(t *testing.T) {
-	playFleet(t, 30, 20, freshness.Latest{}, func(s *fakeSite, f *fakeFleet) {
+	withFleet(t, 30, 20, freshness.Latest{}, func(s *fakeSite, f *fakeFleet) {
 		_, elsewhere := f.serving()
 		s.with("a", func(m *fakeMember) { m.silent, m.leads = true, false })
 		f.mu.Lock()
 		f.carried = map[string]int{}
 		f.mu.Unlock()
 		for _, h := range elsewhere[:5] {
-			do(h, Read{})
+			exec(h, Read{})
 		}
 		f.mu.Lock()
 		defer f.mu.Unlock()
@@ -136,13 +136,13 @@
 // holder took it for dead, callers of all hosts would lose their transactions, and what
 // the old primary acknowledges meanwhile with an unfenced replica.
 func TestPrimaryThatOthersReachIsKept(t *testing.T) {
-	playFleet(t, 30, 20, freshness.Latest{}, func(s *fakeSite, f *fakeFleet) {
+	withFleet(t, 30, 20, freshness.Latest{}, func(s *fakeSite, f *fakeFleet) {
 		holder := f.holder(s)
 		f.set(f.severed, holder.settings.Host+" a", true)
 		_, elsewhere := f.serving()
 		failed := 0
 		for range 100 {
-			if do(elsewhere[0], Write{}).Failure != nil {
+			if exec(elsewhere[0], Write{}).Failure != nil {
 				failed++
 			}
 			time.Sleep(50 * time.Millisecond)
@@ -158,15 +158,15 @@
 
 // As before, but no replica receives what the primary writes either: its writes hang. It
 // must be replaced all the same.
-func TestUnreachedPrimaryWhoseWritesHangIsReplaced(t *testing.T) {
-	playFleet(t, 30, 20, freshness.Latest{}, func(s *fakeSite, f *fakeFleet) {
+func TestUnreachablePrimaryWithHangingWritesIsReplaced(t *testing.T) {
+	withFleet(t, 30, 20, freshness.Latest{}, func(s *fakeSite, f *fakeFleet) {
 		holder := f.holder(s)
 		f.set(f.severed, holder.settings.Host+" a", true)
 		for _, id := range []string{"b", "c"} {
 			s.with(id, func(m *fakeMember) { m.deaf = true })
 		}
 		_, elsewhere := f.serving()
-		writeOn(elsewhere[0], 60)
+		sendWrites(elsewhere[0], 60)
 		if s.leader() == "a" {
 			t.Error("the primary whose writes hang still leads")
 		}
--- a/internal/gateway/restore_test.go
+++ b/internal/gateway/restore_test.go
@@ -13,9 +13,9 @@
 	"pearlatch/core/leadership"
 )
 
-// restoreAfter makes the store come back after an outage from a copy that lacks the changes made meanwhile by
+// restoreStoreAfter makes the store come back after an outage from a copy that lacks the changes made meanwhile by
 // change. What the operator and the members wrote last is written again.
-func restoreAfter(s *fakeSite, away time.Duration, change func()) {
+func restoreStoreAfter(s *fakeSite, away time.Duration, change func()) {
 	b := s.backup()
 	change()
 	s.setDown(true)
@@ -49,9 +49,9 @@
 func TestConfigurationIsInForceAfterTheStoreWasRestored(t *testing.T) {
 	for name, later := range map[string]int{"smaller revisions": 0, "revisions that have passed the old one": 40} {
 		t.Run(name, func(t *testing.T) {
-			playFleet(t, 12, 20, freshness.Latest{}, func(s *fakeSite, f *fakeFleet) {
+			withFleet(t, 12, 20, freshness.Latest{}, func(s *fakeSite, f *fakeFleet) {
 				f.newConfig(2, 20)
-				restoreAfter(s, 3*time.Second, func() {
+				restoreStoreAfter(s, 3*time.Second, func() {
 					s.scribble(30)
 					f.newConfig(3, 20)
 					time.Sleep(time.Second)
@@ -69,12 +69,12 @@
 // The store turns two of the three hosts away that watch it, before it comes back from a copy and after. They, and those
 // that learn from them, hear of the return from other hosts alone, which knew the same numbers in another epoch. What is
 // acknowledged next must be in force everywhere within 3 s.
-func TestHostsThatAreTurnedAwayHearOfTheReturn(t *testing.T) {
-	playFleet(t, 12, 20, freshness.Latest{}, func(s *fakeSite, f *fakeFleet) {
+func TestHostsRejectedByStoreLearnOfRestore(t *testing.T) {
+	withFleet(t, 12, 20, freshness.Latest{}, func(s *fakeSite, f *fakeFleet) {
 		for _, h := range f.facing() {
 			f.set(f.turnedAway, h.settings.Host, true)
 		}
-		restoreAfter(s, 2*time.Second, func() {
+		restoreStoreAfter(s, 2*time.Second, func() {
 			s.scribble(30)
 			f.newConfig(2, 20)
 			time.Sleep(time.Second)
@@ -90,9 +90,9 @@
 // before. Revisions began again at a smaller one, and with them the fencing tokens: the platform had seen a higher
 // one and refused all orders. When the primary goes dark then, another member must lead within a few seconds.
 func TestPrimaryIsReplacedAfterTheStoreWasRestored(t *testing.T) {
-	playFleet(t, 4, 20, freshness.Latest{}, func(s *fakeSite, f *fakeFleet) {
-		do(f.all()[0], Write{})
-		restoreAfter(s, 2*time.Second, func() {
+	withFleet(t, 4, 20, freshness.Latest{}, func(s *fakeSite, f *fakeFleet) {
+		exec(f.all()[0], Write{})
+		restoreStoreAfter(s, 2*time.Second, func() {
 			s.scribble(100)
 			s.takeAway(f.holderOf())
 			time.Sleep(2 * time.Second) // another host, or the same one again, has raised its token
@@ -103,7 +103,7 @@
 		if s.leader() == "a" {
 			t.Error("the primary was not replaced")
 		}
-		wantNothingLost(t, s)
+		wantNoLostWrites(t, s)
 	})
 }
 
@@ -112,18 +112,18 @@
 // take the renewed lease for the duty, or callers would read old data under the leases that it grants. The cause: an
 // answer to a renewal was taken for the entry's, whichever copy of the store gave it (no "duty_lost" followed on the
 // renewal, while the store had no entry).
-func TestLeaseOfARestoredStoreIsNoDuty(t *testing.T) {
-	playFleet(t, 3, 20, freshness.Latest{}, func(s *fakeSite, f *fakeFleet) {
+func TestLeaseInRestoredStoreDoesNotGrantRole(t *testing.T) {
+	withFleet(t, 3, 20, freshness.Latest{}, func(s *fakeSite, f *fakeFleet) {
 		holder := f.holderOf()
 		d := holder.dutyOf(testGroup)
 		b := s.backup()
 		delete(b.items, holder.dutyKey(testGroup))
 		s.restore(b)
-		renewNow(holder, d)
+		renewLeaseNow(holder, d)
 		if d.certain(time.Now()) {
 			t.Error("the host counts on a duty that is gone")
 		}
-		time.Sleep(leadership.RenewalPause + dutyPoll + 50*time.Millisecond)
+		time.Sleep(leadership.RenewalPause + coordinatorPollInterval + 50*time.Millisecond)
 		d.mu.Lock()
 		token := d.token
 		d.mu.Unlock()
@@ -138,10 +138,10 @@
 // promotes another member must wait as after any other holder that may not know of its end: a host that the one before
 // reaches alone would read old data under its leases. The cause: what the copy said of the last holder was believed,
 // whoever had held the duty since ("a lease on the old primary holds for 580ms more").
-func TestHandedBackInACopyIsNotHandedBack(t *testing.T) {
-	playFleet(t, 4, 20, freshness.Latest{}, func(s *fakeSite, f *fakeFleet) {
+func TestHandBackInRestoredCopyIsIgnored(t *testing.T) {
+	withFleet(t, 4, 20, freshness.Latest{}, func(s *fakeSite, f *fakeFleet) {
 		for _, h := range f.all() {
-			do(h, Write{})
+			exec(h, Write{})
 		}
 		first := f.holderOf()
 		first.Stop()
@@ -157,7 +157,7 @@
 		if second == nil || second == first {
 			t.Fatal("nobody else took the duty")
 		}
-		wantOutwaited(t, s, f, second, func() { s.restore(b) })
+		wantLeasesWaitedOut(t, s, f, second, func() { s.restore(b) })
 	})
 }
 
@@ -165,22 +165,22 @@
 // primary, and the store comes back from the copy: there the duty is the first host's, whose new process takes it up
 // again. It may not take that for a duty which nobody had since: it must outwait the leases of the one in between, which
 // held for 774 ms more when another member led.
-func TestDutyOfACopyIsNotOnesOwnAgain(t *testing.T) {
-	playFleet(t, 4, 20, freshness.Latest{}, func(s *fakeSite, f *fakeFleet) {
+func TestRoleInRestoredCopyIsNotReclaimed(t *testing.T) {
+	withFleet(t, 4, 20, freshness.Latest{}, func(s *fakeSite, f *fakeFleet) {
 		for _, h := range f.all() {
-			do(h, Write{})
+			exec(h, Write{})
 		}
 		first := f.holderOf()
 		b := s.backup()
 		f.stops[first.settings.Host]()
-		time.Sleep(dutyLease + time.Second)
+		time.Sleep(coordinatorLeaseTTL + time.Second)
 		f.start(int(first.settings.Peer.Addr().As4()[3]), freshness.Latest{})
 		time.Sleep(2 * time.Second)
 		second := f.holderOf()
 		if second == nil || second.settings.Host == first.settings.Host {
 			t.Fatal("nobody else took the duty")
 		}
-		wantOutwaited(t, s, f, second, func() { s.restore(b) })
+		wantLeasesWaitedOut(t, s, f, second, func() { s.restore(b) })
 	})
 }
 
@@ -189,8 +189,8 @@
 // next holder has seen the record before the store went away, and must still know of the order: if it let the old
 // primary acknowledge writes with the other replica, they would be lost. The cause: only the store's record was read
 // ("record_inherited", "ordered":"" right after a "promotion_open").
-func TestOpenOrderOutlastsTheStoresReturn(t *testing.T) {
-	playOpenOrder(t, func(s *fakeSite, b backup) {
+func TestOpenPromotionSurvivesStoreRestore(t *testing.T) {
+	testOpenPromotion(t, func(s *fakeSite, b storeBackup) {
 		delete(b.items, "own/duty/"+testGroup)
 		s.restore(b)
 	})
@@ -200,8 +200,8 @@
 // written again when a host starts that the store turns away: it learns from another one. That one must pass on the
 // configuration that is in force, or callers get in with the key that was taken away. The cause: what the store showed
 // was passed on, whatever was in force ("passes on version 1", with version 2 in force).
-func TestConfigurationOfACopyIsNotPassedOn(t *testing.T) {
-	playFleet(t, 3, 20, freshness.Latest{}, func(s *fakeSite, f *fakeFleet) {
+func TestRestoredOldConfigIsNotPropagated(t *testing.T) {
+	withFleet(t, 3, 20, freshness.Latest{}, func(s *fakeSite, f *fakeFleet) {
 		b := s.backup()
 		f.newConfig(2, 20)
 		time.Sleep(time.Second)
@@ -225,8 +225,8 @@
 // member writes again, hosts would send it new work, of which some would meet its end. And a member that was promoted
 // after the copy was made still leads. The cause: an entry of the copy was taken for news of the member, though it
 // counts fewer writes of its own than the one known.
-func TestMembersOfACopyStayAsTheyWereKnown(t *testing.T) {
-	playFleet(t, 3, 20, freshness.Latest{}, func(s *fakeSite, f *fakeFleet) {
+func TestRestoredMembersKeepKnownState(t *testing.T) {
+	withFleet(t, 3, 20, freshness.Latest{}, func(s *fakeSite, f *fakeFleet) {
 		b := s.backup()
 		s.with("a", func(m *fakeMember) { m.crashed = true })
 		time.Sleep(3 * time.Second)
@@ -256,12 +256,12 @@
 // stand, and the entries are gone: hosts that start then would share the members' connections as if they were alone, and
 // pass nothing on to the others. Each host must write its entry again with its next renewal. The cause: a renewal that
 // succeeded was taken for the entry's, whichever copy of the store answered.
-func TestHostsWriteTheirEntriesAgain(t *testing.T) {
-	playFleet(t, 5, 20, freshness.Latest{}, func(s *fakeSite, f *fakeFleet) {
+func TestHostsRewriteEntriesAfterRestore(t *testing.T) {
+	withFleet(t, 5, 20, freshness.Latest{}, func(s *fakeSite, f *fakeFleet) {
 		b := s.backup()
 		maps.DeleteFunc(b.items, func(key string, _ kv.Item) bool { return strings.HasPrefix(key, "own/hosts/") })
 		s.restore(b)
-		time.Sleep(hostRenewal + time.Second)
+		time.Sleep(hostEntryRenewInterval + time.Second)
 		for _, h := range f.all() {
 			if i, listed := h.known.Item(h.hostsPrefix() + h.settings.Host); !listed || i.Revision.Epoch() != 1 {
 				t.Errorf("%s is not listed", h.settings.Host)
@@ -274,7 +274,7 @@
 // hosts, before it hands anything out, since any of them may have held the duty and got portions of which the record that
 // is left says nothing: they would be spent beside those that it hands out.
 func TestAllHostsMayHoldPortionsAfterTheStoreWasRestored(t *testing.T) {
-	playFleet(t, 4, 20, freshness.Latest{}, func(s *fakeSite, f *fakeFleet) {
+	withFleet(t, 4, 20, freshness.Latest{}, func(s *fakeSite, f *fakeFleet) {
 		holder := f.holderOf()
 		b := s.backup()
 		delete(b.items, holder.recordKey(testGroup))
@@ -297,17 +297,17 @@
 // A holder has taken all leases back and fenced the replicas when the store comes back from a copy: it loses the duty, and
 // takes it up again at once. What it goes on to order would be under the new duty, without having waited for the leases of
 // a holder that the store forgot: a host that reaches that one alone would read old data.
-func TestOrderOfADutyThatWasLostIsNotGiven(t *testing.T) {
-	play(t, freshness.Latest{}, func(s *fakeSite, h *Host) {
-		do(h, Write{})
+func TestPromotionUnderLostRoleIsNotRequested(t *testing.T) {
+	withHost(t, freshness.Latest{}, func(s *fakeSite, h *Host) {
+		exec(h, Write{})
 		d := h.dutyOf(testGroup)
-		w := &watcher{duty: d, taken: d.takenAt()}
+		w := &groupMonitor{coordinator: d, taken: d.takenAt()}
 		s.restore(s.backup())
 		time.Sleep(time.Second)
 		if !d.isHeld() || d.takenAt().Equal(w.taken) {
 			t.Fatal("the duty was not taken up again")
 		}
-		w.promote(context.Background(), "b", choice{})
+		w.promote(context.Background(), "b", successorChoice{})
 		if orders := s.given(); len(orders) > 0 {
 			t.Errorf("%v was ordered", orders)
 		}
@@ -316,10 +316,10 @@
 
 // After the store's return every host must know of it within the 3 s in which a configuration must be in force, also in a
 // fleet in which most learn from others, and somebody must hold the duty again. The times are logged.
-func TestReturnIsKnownSoon(t *testing.T) {
+func TestRestoreIsDetectedSoon(t *testing.T) {
 	for _, hosts := range []int{3, 12, 75} {
 		t.Run(fmt.Sprint(hosts, " hosts"), func(t *testing.T) {
-			playFleet(t, hosts, 2*hosts, freshness.Latest{}, func(s *fakeSite, f *fakeFleet) {
+			withFleet(t, hosts, 2*hosts, freshness.Latest{}, func(s *fakeSite, f *fakeFleet) {
 				b := s.backup()
 				s.scribble(20)
 				time.Sleep(time.Second)
--- a/internal/gateway/serving.go
+++ b/internal/gateway/serving.go
@@ -32,19 +32,19 @@
 		return false
 	}
 	now := g.now()
-	if g.strays() && now.Sub(g.triedAt) < strayRetry {
+	if g.strays() && now.Sub(g.triedAt) < isolatedRetryInterval {
 		return false
 	}
 	g.triedAt = now
 	return true
 }
 
-// deputyTime is how long a host goes on to serve in place of others after the last statement
+// fallbackPeriod is how long a host goes on to serve in place of others after the last statement
 // that came to it for that.
-const deputyTime = 2 * time.Second
+const fallbackPeriod = 2 * time.Second
 
-// turns are the hosts that this one turns to for a group that others serve.
-type turns struct {
+// servingHosts are the hosts that this one turns to for a group that others serve.
+type servingHosts struct {
 	// servers are those that serve the group, in the order in which this host turns to them. In
 	// place of those that failed lately the next ones of the ranking serve.
 	servers []membership.Host
@@ -57,12 +57,12 @@
 
 // turnsOf returns the hosts to turn to for a group. They are worked out once for each change of the
 // list of hosts and of those that answer, since each statement that is passed on needs them.
-func (h *Host) turnsOf(g *Group) turns {
+func (h *Host) turnsOf(g *Group) servingHosts {
 	version := h.fleet.Version()
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.turns.Of(version, func() turns {
-		var out turns
+	return g.turns.Of(version, func() servingHosts {
+		var out servingHosts
 		ranked, k := g.plan.Ranked, g.plan.Servers
 		for _, o := range h.fleet.FirstUsable(ranked, k) {
 			if out.deputy = out.deputy || o.ID == h.settings.Host; o.ID != h.settings.Host {
@@ -88,7 +88,7 @@
 	if !g.deputy(now) {
 		g.log("deputy", "for", g.plan.Ranked[0].ID)
 	}
-	g.deputyUntil = now.Add(deputyTime)
+	g.deputyUntil = now.Add(fallbackPeriod)
 }
 
 // deputy reports whether the host serves the group in place of others. The group's lock is held.
@@ -112,9 +112,9 @@
 	return slices.DeleteFunc(slices.Clone(plan.Ranked), func(o membership.Host) bool { return o.ID == h.settings.Host })
 }
 
-// reachPatience is how long the primary may be silent, or unknown, until this host looks
+// primaryReachTimeout is how long the primary may be silent, or unknown, until this host looks
 // for others that reach it. Statements take up to 50 ms.
-const reachPatience = 150 * time.Millisecond
+const primaryReachTimeout = 150 * time.Millisecond
 
 // primaryUnreached reports whether this host has been without the primary for a while.
 func (g *Group) primaryUnreached() bool {
@@ -133,7 +133,7 @@
 	if m := g.members[g.leader]; m != nil {
 		since = m.silentSince
 	}
-	return !since.IsZero() && g.now().Sub(since) > reachPatience
+	return !since.IsZero() && g.now().Sub(since) > primaryReachTimeout
 }
 
 // replacing reports whether the holder of the duty has set out to replace the primary. The
@@ -142,14 +142,14 @@
 	return slices.ContainsFunc(g.order, func(m *member) bool { return m.recalled })
 }
 
-// strayAfter is how long the hosts that serve a group must have been out of reach until
+// isolationTimeout is how long the hosts that serve a group must have been out of reach until
 // a host opens a connection of its own. All of them are gone for that long when
 // everything starts again, and the members' connections are theirs then.
-const strayAfter = 400 * time.Millisecond
+const isolationTimeout = 400 * time.Millisecond
 
-// strayRetry is the pause between two statements of such a host that try the hosts that
+// isolatedRetryInterval is the pause between two statements of such a host that try the hosts that
 // serve the group again.
-const strayRetry = 500 * time.Millisecond
+const isolatedRetryInterval = 500 * time.Millisecond
 
 // reached records that a host that serves the group took a statement.
 func (g *Group) reached() {
@@ -172,7 +172,7 @@
 // strays reports whether the host serves a group that it should not, since none of the
 // hosts that should is in reach. The group's lock is held.
 func (g *Group) strays() bool {
-	return !g.unreachedSince.IsZero() && g.now().Sub(g.unreachedSince) > strayAfter
+	return !g.unreachedSince.IsZero() && g.now().Sub(g.unreachedSince) > isolationTimeout
 }
 
 // planOf says who serves a group. h.mu is held.
@@ -180,7 +180,7 @@
 	if h.ports.Peers == nil {
 		return serving.Plan{}
 	}
-	return h.fleet.Plan(name, h.config.Groups[name].Connections-controlShare)
+	return h.fleet.Plan(name, h.config.Groups[name].Connections-reservedControlConns)
 }
 
 // pooled reports whether a few hosts serve the group for all. The group's lock is held.
--- a/internal/gateway/serving_test.go
+++ b/internal/gateway/serving_test.go
@@ -16,16 +16,16 @@
 // every member, a third of them would be refused again and again. A few hosts serve, and
 // the callers of all others are answered through these.
 func TestFewHostsServeForAll(t *testing.T) {
-	playFleet(t, 30, 20, freshness.Latest{}, func(s *fakeSite, f *fakeFleet) {
+	withFleet(t, 30, 20, freshness.Latest{}, func(s *fakeSite, f *fakeFleet) {
 		here, elsewhere := f.serving()
 		if len(here) != 2 {
 			t.Fatalf("%d of %d hosts serve", len(here), len(here)+len(elsewhere))
 		}
 		for _, h := range f.all() {
-			if r := do(h, Write{}); r.Failure != nil {
+			if r := exec(h, Write{}); r.Failure != nil {
 				t.Errorf("a write at %s: %v", h.settings.Host, r.Failure)
 			}
-			if r := do(h, Read{}); row(r) != "a" {
+			if r := exec(h, Read{}); row(r) != "a" {
 				t.Errorf("a read at %s: %v", h.settings.Host, r.Failure)
 			}
 		}
@@ -38,17 +38,17 @@
 // A chef saves a recipe and looks it up, both through another host. The replicas have not
 // applied the save: the mark of the session must travel with the read.
 func TestReadSeesOwnWriteThroughAnotherHost(t *testing.T) {
-	playFleet(t, 30, 20, freshness.OwnWrites{}, func(s *fakeSite, f *fakeFleet) {
+	withFleet(t, 30, 20, freshness.OwnWrites{}, func(s *fakeSite, f *fakeFleet) {
 		for _, id := range []string{"b", "c"} {
 			s.with(id, func(m *fakeMember) { m.lagging = true })
 		}
 		_, elsewhere := f.serving()
-		chef := open(t, elsewhere[0])
-		on(chef, Write{})
+		chef := openSession(t, elsewhere[0])
+		execIn(chef, Write{})
 		if chef.mark == (group.Position{}) {
 			t.Error("the session has no mark after its write")
 		}
-		if got := row(on(chef, Read{})); got != "a" {
+		if got := row(execIn(chef, Read{})); got != "a" {
 			t.Errorf("the read after the write ran on %q", got)
 		}
 	})
@@ -57,22 +57,22 @@
 // A transaction with a session value and a prepared statement runs through another host:
 // on one connection, with the caller's own values, and nothing stays open after its end.
 func TestTransactionThroughAnotherHost(t *testing.T) {
-	playFleet(t, 30, 20, freshness.Latest{}, func(_ *fakeSite, f *fakeFleet) {
+	withFleet(t, 30, 20, freshness.Latest{}, func(_ *fakeSite, f *fakeFleet) {
 		_, elsewhere := f.serving()
-		caller := open(t, elsewhere[0])
-		on(caller, Set{"v", "7"})
-		on(caller, Prepare{"s", Shape{Writes: true, Text: "boards"}})
-		on(caller, Begin{})
-		if got := row(on(caller, Read{})); got != "a v=7" {
+		caller := openSession(t, elsewhere[0])
+		execIn(caller, Set{"v", "7"})
+		execIn(caller, Prepare{"s", PreparedStatement{Writes: true, Text: "boards"}})
+		execIn(caller, Begin{})
+		if got := row(execIn(caller, Read{})); got != "a v=7" {
 			t.Errorf("a read in the transaction gave %q", got)
 		}
-		on(caller, Execute{Name: "s"})
-		if r := on(caller, Commit{}); r.Failure != nil || r.State != Idle {
+		execIn(caller, Execute{Name: "s"})
+		if r := execIn(caller, Commit{}); r.Failure != nil || r.State != Idle {
 			t.Errorf("commit: %+v", r)
 		}
-		on(caller, Begin{})
-		on(caller, Write{})
-		if r := on(caller, Rollback{}); r.Failure != nil || r.State != Idle {
+		execIn(caller, Begin{})
+		execIn(caller, Write{})
+		if r := execIn(caller, Rollback{}); r.Failure != nil || r.State != Idle {
 			t.Errorf("rollback: %+v", r)
 		}
 		f.wantNoGuests(t)
@@ -82,15 +82,15 @@
 // A failed statement breaks a transaction that runs elsewhere: further statements are
 // refused until the caller ends it, and the connection is free at once.
 func TestBrokenTransactionThroughAnotherHost(t *testing.T) {
-	playFleet(t, 30, 20, freshness.Latest{}, func(_ *fakeSite, f *fakeFleet) {
+	withFleet(t, 30, 20, freshness.Latest{}, func(_ *fakeSite, f *fakeFleet) {
 		_, elsewhere := f.serving()
-		caller := open(t, elsewhere[0])
-		on(caller, Begin{})
-		on(caller, Read{})
-		wantCode(t, on(caller, Execute{Name: "nothing"}), UnknownStatement)
-		wantCode(t, on(caller, Read{}), Malformed)
-		wantCode(t, on(caller, Commit{}), Aborted)
-		if r := on(caller, Read{}); r.Failure != nil {
+		caller := openSession(t, elsewhere[0])
+		execIn(caller, Begin{})
+		execIn(caller, Read{})
+		wantCode(t, execIn(caller, Execute{Name: "nothing"}), UnknownStatement)
+		wantCode(t, execIn(caller, Read{}), Malformed)
+		wantCode(t, execIn(caller, Commit{}), Aborted)
+		if r := execIn(caller, Read{}); r.Failure != nil {
 			t.Errorf("after the end: %v", r.Failure)
 		}
 		f.wantNoGuests(t)
@@ -99,13 +99,13 @@
 
 // The host that serves the group goes dark. Callers of others must not wait until their
 // time is over: the next host that serves takes their statements.
-func TestDarkServerIsLeftAtOnce(t *testing.T) {
-	playFleet(t, 30, 20, freshness.Latest{}, func(_ *fakeSite, f *fakeFleet) {
+func TestUnreachableServerIsAbandonedAtOnce(t *testing.T) {
+	withFleet(t, 30, 20, freshness.Latest{}, func(_ *fakeSite, f *fakeFleet) {
 		here, elsewhere := f.serving()
 		f.set(f.dark, here[0].settings.Host, true)
 		for _, h := range elsewhere {
 			started := time.Now()
-			if r := do(h, Read{}); r.Failure != nil {
+			if r := exec(h, Read{}); r.Failure != nil {
 				t.Errorf("at %s: %v", h.settings.Host, r.Failure)
 			}
 			if took := time.Since(started); took > 450*time.Millisecond {
@@ -118,16 +118,16 @@
 // A lane to the serving host goes silent with a write on it. The write never arrived: it
 // is sent again elsewhere, and the lost one must not run when it arrives after all.
 func TestWriteThatNeverArrivedIsSentAgain(t *testing.T) {
-	playFleet(t, 30, 20, freshness.Latest{}, func(s *fakeSite, f *fakeFleet) {
+	withFleet(t, 30, 20, freshness.Latest{}, func(s *fakeSite, f *fakeFleet) {
 		here, elsewhere := f.serving()
 		h := elsewhere[0]
 		for range 3 {
-			do(h, Read{}) // the processes of both hosts are known
+			exec(h, Read{}) // the processes of both hosts are known
 			time.Sleep(10 * time.Millisecond)
 		}
 		first := h.turnsOf(h.group(testGroup)).servers[0]
 		f.set(f.deaf, first.ID, true)
-		if r := do(h, Write{}); r.Failure != nil {
+		if r := exec(h, Write{}); r.Failure != nil {
 			t.Errorf("the write: %v", r.Failure)
 		}
 		for _, server := range here {
@@ -135,7 +135,7 @@
 				continue
 			}
 			late := &PeerRequest{From: h.process, Serial: h.serial.Load() - 1, Group: testGroup, Route: Route{Class: freshness.Latest{}, Timeout: time.Second}, Request: Request{ID: "late", Statement: Write{}}}
-			if declined := server.NewGuest().Take(late); declined == nil || declined.Declined != RecalledBefore {
+			if declined := server.NewGuest().Take(late); declined == nil || declined.Declined != ReportedUnknown {
 				t.Error("the write was taken after its sender was told that it had not run")
 			}
 		}
@@ -147,14 +147,14 @@
 
 // A lane goes silent after a write has run: its answer is lost between the two hosts. The
 // caller must get it all the same, and the write must run once.
-func TestLostAnswerOfAnotherHostIsRecalled(t *testing.T) {
-	playFleet(t, 30, 20, freshness.Latest{}, func(s *fakeSite, f *fakeFleet) {
+func TestLostPeerReplyIsQueried(t *testing.T) {
+	withFleet(t, 30, 20, freshness.Latest{}, func(s *fakeSite, f *fakeFleet) {
 		here, elsewhere := f.serving()
 		for _, server := range here {
 			f.set(f.mute, server.settings.Host, true)
 		}
 		ran := len(s.ran("a"))
-		if r := do(elsewhere[0], Write{}); r.Failure != nil || r.Signature == "" {
+		if r := exec(elsewhere[0], Write{}); r.Failure != nil || r.Signature == "" {
 			t.Errorf("the write: %+v", r)
 		}
 		if got := len(s.ran("a")) - ran; got != 1 {
@@ -166,11 +166,11 @@
 // The host that serves the group ends with a write under way. Nobody can know whether it
 // ran: the caller is told so, and it is not repeated.
 func TestWriteStaysInDoubtWhenItsServerIsLost(t *testing.T) {
-	playFleet(t, 30, 20, freshness.Latest{}, func(s *fakeSite, f *fakeFleet) {
+	withFleet(t, 30, 20, freshness.Latest{}, func(s *fakeSite, f *fakeFleet) {
 		here, elsewhere := f.serving()
 		s.with("a", func(m *fakeMember) { m.work = 300 * time.Millisecond })
 		done := make(chan Reply, 1)
-		go func() { done <- do(elsewhere[0], Write{}) }()
+		go func() { done <- exec(elsewhere[0], Write{}) }()
 		time.Sleep(50 * time.Millisecond)
 		for _, server := range here {
 			f.set(f.dark, server.settings.Host, true)
@@ -182,13 +182,13 @@
 // A host can reach none of those that serve the group, but the members. Its callers are
 // served from a connection of its own after a moment.
 func TestIsolatedHostServesItself(t *testing.T) {
-	playFleet(t, 30, 20, freshness.Latest{}, func(_ *fakeSite, f *fakeFleet) {
+	withFleet(t, 30, 20, freshness.Latest{}, func(_ *fakeSite, f *fakeFleet) {
 		_, elsewhere := f.serving()
 		h := elsewhere[0]
 		f.set(f.dark, h.settings.Host, true)
 		served := 0
 		for range 10 {
-			if do(h, Read{}).Failure == nil {
+			if exec(h, Read{}).Failure == nil {
 				served++
 			}
 		}
@@ -197,7 +197,7 @@
 		}
 		f.set(f.dark, h.settings.Host, false)
 		time.Sleep(time.Second)
-		do(h, Read{})
+		exec(h, Read{})
 		time.Sleep(2 * time.Second)
 		for _, m := range h.Beliefs().Groups[0].Members {
 			if m.Connections != 0 {
@@ -209,26 +209,26 @@
 
 // A serving host is told to stop. Others turn elsewhere at once, and what is open on it
 // ends in peace.
-func TestStoppingServerEndsItsGuests(t *testing.T) {
-	playFleet(t, 30, 20, freshness.Latest{}, func(_ *fakeSite, f *fakeFleet) {
+func TestStoppingServerFinishesForwardedWork(t *testing.T) {
+	withFleet(t, 30, 20, freshness.Latest{}, func(_ *fakeSite, f *fakeFleet) {
 		here, elsewhere := f.serving()
 		var callers []*Session
 		for _, h := range elsewhere[:6] {
-			c := open(t, h)
-			on(c, Begin{})
-			on(c, Read{})
+			c := openSession(t, h)
+			execIn(c, Begin{})
+			execIn(c, Read{})
 			callers = append(callers, c)
 		}
 		stopping := here[0]
 		stopping.Stop()
 		time.Sleep(100 * time.Millisecond)
 		for _, h := range elsewhere {
-			if r := do(h, Read{}); r.Failure != nil {
+			if r := exec(h, Read{}); r.Failure != nil {
 				t.Errorf("at %s: %v", h.settings.Host, r.Failure)
 			}
 		}
 		for _, c := range callers {
-			if r := on(c, Commit{}); r.Failure != nil {
+			if r := execIn(c, Commit{}); r.Failure != nil {
 				t.Errorf("commit: %v", r.Failure)
 			}
 		}
@@ -240,8 +240,8 @@
 
 // A host dies with a transaction open on another one. That transaction must not hold its
 // connection for ever.
-func TestForsakenTransactionIsRolledBack(t *testing.T) {
-	playFleet(t, 30, 20, freshness.Latest{}, func(_ *fakeSite, f *fakeFleet) {
+func TestAbandonedTransactionIsRolledBack(t *testing.T) {
+	withFleet(t, 30, 20, freshness.Latest{}, func(_ *fakeSite, f *fakeFleet) {
 		here, _ := f.serving()
 		guest := here[0].NewGuest()
 		r := &PeerRequest{
@@ -255,7 +255,7 @@
 		if reply := guest.Run(context.Background(), r); reply.Reply.Failure != nil || !guest.Open() {
 			t.Fatalf("%+v", reply)
 		}
-		if rest := guest.Rest(); rest < defaultTransactionIdle {
+		if rest := guest.Rest(); rest < defaultTransactionIdleTimeout {
 			t.Errorf("a guest may rest for %s only", rest)
 		}
 		guest.Expire()
@@ -267,17 +267,17 @@
 
 // Every host asked who leads when it started. Those connections take places of the few
 // that a member has, and must not stay open.
-func TestConnectionsForOrdersAreClosed(t *testing.T) {
-	playFleet(t, 30, 20, freshness.Latest{}, func(s *fakeSite, f *fakeFleet) {
+func TestIdleControlConnsAreClosed(t *testing.T) {
+	withFleet(t, 30, 20, freshness.Latest{}, func(s *fakeSite, f *fakeFleet) {
 		for _, h := range f.all() {
-			h.group(testGroup).orderAll(h.group(testGroup).list()[:1], Probe{}, orderTimeout)
+			h.group(testGroup).orderAll(h.group(testGroup).list()[:1], Probe{}, controlTimeout)
 			time.Sleep(2 * time.Second)
 		}
 		here, _ := f.serving()
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		ahead := 2 * len(here) // each opens as many ahead as the member has slots
-		if conns := s.member("a").conns; conns > ahead+controlShare {
+		if conns := s.member("a").conns; conns > ahead+reservedControlConns {
 			t.Errorf("%d connections are open, with no caller", conns)
 		}
 	})
@@ -285,8 +285,8 @@
 
 // A host stops: it writes that it leaves and takes its entry back, and others learn both in
 // one message. They must not take it for a host that lapsed and may serve still.
-func TestHostThatLeftIsNotTakenForLapsed(t *testing.T) {
-	playFleet(t, 30, 20, freshness.Latest{}, func(_ *fakeSite, f *fakeFleet) {
+func TestDepartedHostIsNotTreatedAsLapsed(t *testing.T) {
+	withFleet(t, 30, 20, freshness.Latest{}, func(_ *fakeSite, f *fakeFleet) {
 		here, _ := f.serving()
 		here[0].Stop()
 		time.Sleep(50 * time.Millisecond)
@@ -303,7 +303,7 @@
 // The day's first callers come to hosts that serve for many others. If these open their
 // connections only then, each takes a slot of a member for as long as three statements.
 func TestServingHostsOpenConnectionsAhead(t *testing.T) {
-	playFleet(t, 30, 20, freshness.Latest{}, func(_ *fakeSite, f *fakeFleet) {
+	withFleet(t, 30, 20, freshness.Latest{}, func(_ *fakeSite, f *fakeFleet) {
 		here, elsewhere := f.serving()
 		for _, h := range here {
 			for _, m := range h.Beliefs().Groups[0].Members {
@@ -326,23 +326,23 @@
 // arrives, and declines it. The transaction must end there: its connection would otherwise
 // serve the statements of whoever comes next.
 func TestDeclinedStatementEndsItsTransaction(t *testing.T) {
-	playFleet(t, 30, 20, freshness.Latest{}, func(_ *fakeSite, f *fakeFleet) {
+	withFleet(t, 30, 20, freshness.Latest{}, func(_ *fakeSite, f *fakeFleet) {
 		here, elsewhere := f.serving()
 		h := elsewhere[0]
-		c := open(t, h)
-		on(c, Begin{})
-		on(c, Read{})
+		c := openSession(t, h)
+		execIn(c, Begin{})
+		execIn(c, Read{})
 		for _, server := range here {
 			server.Recall(h.process, h.serial.Load()+1)
 		}
-		wantCode(t, on(c, Write{}), Aborted)
+		wantCode(t, execIn(c, Write{}), Aborted)
 		for _, server := range here {
 			if server.Guests() != 0 {
 				t.Errorf("%s has %d guests", server.settings.Host, server.Guests())
 			}
 		}
-		wantCode(t, on(c, Commit{}), Aborted)
-		if r := on(c, Read{}); r.Failure != nil {
+		wantCode(t, execIn(c, Commit{}), Aborted)
+		if r := execIn(c, Read{}); r.Failure != nil {
 			t.Errorf("after the end: %v", r.Failure)
 		}
 	})
@@ -351,26 +351,26 @@
 // A host gives up the first statement of a transaction, and hears only then that it ran. The
 // other host has rolled the transaction back: what follows must not run by itself.
 func TestTransactionThatWasGivenUpIsNotContinued(t *testing.T) {
-	playFleet(t, 30, 20, freshness.Latest{}, func(s *fakeSite, f *fakeFleet) {
+	withFleet(t, 30, 20, freshness.Latest{}, func(s *fakeSite, f *fakeFleet) {
 		here, elsewhere := f.serving()
-		c := open(t, elsewhere[0])
+		c := openSession(t, elsewhere[0])
 		for _, server := range here {
 			f.set(f.mute, server.settings.Host, true)
 		}
-		on(c, Begin{})
-		first := on(c, Read{})
+		execIn(c, Begin{})
+		first := execIn(c, Read{})
 		for _, server := range here {
 			f.set(f.mute, server.settings.Host, false)
 		}
 		ran := len(s.ran("a"))
-		if on(c, Write{}).Failure == nil && first.Failure != nil {
+		if execIn(c, Write{}).Failure == nil && first.Failure != nil {
 			t.Error("a statement was served in a transaction whose first one failed")
 		}
 		if c.tx != nil && c.tx.away == nil && c.tx.conn == nil && len(s.ran("a")) > ran {
 			t.Error("a statement ran outside of its transaction")
 		}
-		on(c, Rollback{})
-		if r := on(c, Read{}); r.Failure != nil {
+		execIn(c, Rollback{})
+		if r := execIn(c, Read{}); r.Failure != nil {
 			t.Errorf("after the end: %v", r.Failure)
 		}
 	})
@@ -379,8 +379,8 @@
 // One host serves a group for all and is gone without a trace. The others turn to the next one
 // in the order, which opens connections of its own. If each served itself, twelve hosts would
 // fight over the six connections that a member takes.
-func TestNextHostServesInPlaceOfOneThatIsGone(t *testing.T) {
-	playFleet(t, 12, 6, freshness.Latest{}, func(_ *fakeSite, f *fakeFleet) {
+func TestFallbackHostServesForLostServer(t *testing.T) {
+	withFleet(t, 12, 6, freshness.Latest{}, func(_ *fakeSite, f *fakeFleet) {
 		here, elsewhere := f.serving()
 		if len(here) != 1 {
 			t.Fatalf("%d hosts serve", len(here))
@@ -388,13 +388,13 @@
 		gone := here[0].settings.Host
 		f.set(f.dark, gone, true)
 		for _, h := range elsewhere {
-			go do(h, Read{})
+			go exec(h, Read{})
 		}
 		time.Sleep(1500 * time.Millisecond)
 		if n := failedReads(elsewhere, 10); n > 0 {
 			t.Errorf("%d of 110 reads failed", n)
 		}
-		if n := deputies(elsewhere); n != 1 {
+		if n := countFallbacks(elsewhere); n != 1 {
 			t.Errorf("%d hosts serve in place of the one that is gone", n)
 		}
 	})
@@ -408,7 +408,7 @@
 	for _, h := range hosts {
 		wait.Go(func() {
 			for range each {
-				if r := do(h, Read{}); r.Failure != nil {
+				if r := exec(h, Read{}); r.Failure != nil {
 					failed.Add(1)
 				}
 			}
@@ -418,8 +418,8 @@
 	return failed.Load()
 }
 
-// deputies counts the hosts that serve the group in place of others.
-func deputies(hosts []*Host) int {
+// countFallbacks counts the hosts that serve the group in place of others.
+func countFallbacks(hosts []*Host) int {
 	n := 0
 	for _, h := range hosts {
 		g := h.group(testGroup)
@@ -435,19 +435,19 @@
 // One host serves a group for nine. Reads that may be a second old run on the replica of the
 // caller's own zone, without a hop; once that falls behind, or does not answer, they go by way of the
 // host that serves, and no caller notices.
-func TestReadsRunOnTheReplicaOfTheOwnZone(t *testing.T) {
-	playFleet(t, 9, 16, freshness.MaxAge{Age: time.Second}, func(s *fakeSite, f *fakeFleet) {
+func TestReadsRunOnLocalZoneReplica(t *testing.T) {
+	withFleet(t, 9, 16, freshness.MaxAge{Age: time.Second}, func(s *fakeSite, f *fakeFleet) {
 		here, elsewhere := f.serving()
 		if len(here) != 1 {
 			t.Fatalf("%d hosts serve", len(here))
 		}
-		do(here[0], Write{})
-		h, own := besideReplica(elsewhere, here[0])
-		do(h, Read{}) // the host asks where the primary's log stands
+		exec(here[0], Write{})
+		h, own := hostInReplicaZone(elsewhere, here[0])
+		exec(h, Read{}) // the host asks where the primary's log stands
 		time.Sleep(700 * time.Millisecond)
 		before := f.carriedAll()
 		for range 20 {
-			if r := do(h, Read{}); r.Failure != nil || row(r) != own {
+			if r := exec(h, Read{}); r.Failure != nil || row(r) != own {
 				t.Errorf("the read was answered with %v by %s, want %s", r.Failure, row(r), own)
 			}
 		}
@@ -456,16 +456,16 @@
 		}
 		s.with(own, func(m *fakeMember) { m.silent = true })
 		for range 5 {
-			if r := do(h, Read{}); r.Failure != nil || row(r) == own {
+			if r := exec(h, Read{}); r.Failure != nil || row(r) == own {
 				t.Errorf("the read was answered with %v by %s", r.Failure, row(r))
 			}
 		}
 	})
 }
 
-// besideReplica returns one of the hosts that is in the zone of a replica, but not of the server, and
+// hostInReplicaZone returns one of the hosts that is in the zone of a replica, but not of the server, and
 // that replica.
-func besideReplica(hosts []*Host, server *Host) (*Host, string) {
+func hostInReplicaZone(hosts []*Host, server *Host) (*Host, string) {
 	for _, h := range hosts {
 		for id, zone := range zoneOfMember {
 			if id != "a" && zone == h.settings.Zone && zone != server.settings.Zone {
--- a/internal/gateway/session.go
+++ b/internal/gateway/session.go
@@ -15,7 +15,7 @@
 	caller   account.Caller
 	// values and prepared belong to the caller until the session ends.
 	values   map[string]string
-	prepared map[string]Shape
+	prepared map[string]PreparedStatement
 	state    State
 	tx       *transaction
 	// mark is the position of the session's last write.
@@ -24,7 +24,7 @@
 	last string
 	// visit is set for a caller of another host, and decides in place of the
 	// configuration. Such a session is never passed on.
-	visit *visit
+	visit *forwardOrigin
 }
 
 // Open starts a caller's session with a database, or returns a *Failure.
@@ -64,9 +64,9 @@
 }
 
 // route returns where the session's statements go now, and for whom.
-func (s *Session) route() (target, *Failure) {
+func (s *Session) route() (routeTarget, *Failure) {
 	if s.visit != nil {
-		return s.visit.target, nil
+		return s.visit.routeTarget, nil
 	}
 	return s.host.route(s.database, s.caller)
 }
@@ -89,12 +89,12 @@
 		s.host.logFailure(s, r, arrived, &Failure{Unauthorized, "the caller's key was taken away, rolled back"})
 		s.failed(Reply{})
 		if _, ends := r.Statement.(Commit); !ends {
-			reply := fail(Aborted, "the key was taken away")
+			reply := failureReply(Aborted, "the key was taken away")
 			reply.State = s.state
 			return reply
 		}
 	}
-	if s.state == Broken {
+	if s.state == InFailedTransaction {
 		return s.doBroken(r)
 	}
 	if f := s.admit(ctx, r, arrived); f != nil {
@@ -117,10 +117,10 @@
 		s.set(st)
 	case Prepare:
 		s.prepare(st)
-	case Forget:
+	case Deallocate:
 		reply = s.forget(st)
 	default:
-		reply = fail(Malformed, "not a statement")
+		reply = failureReply(Malformed, "not a statement")
 	}
 	reply.State = s.state
 	s.note(r, arrived, reply)
@@ -151,7 +151,7 @@
 	switch {
 	case s.visit != nil && s.visit.sentBack:
 		s.host.logSentBack(s, r, arrived)
-		outcome = PrimaryUnreached.String()
+		outcome = PrimaryUnreachable.String()
 	case reply.Failure != nil:
 		outcome = reply.Failure.Code.String()
 		s.host.logFailure(s, r, arrived, reply.Failure)
@@ -165,7 +165,9 @@
 	s.host.meters.statement(s.database, outcome, s.host.now().Sub(arrived))
 }
 
-func fail(c Code, detail string) Reply { return Reply{Failure: &Failure{Code: c, Detail: detail}} }
+func failureReply(c Code, detail string) Reply {
+	return Reply{Failure: &Failure{Code: c, Detail: detail}}
+}
 
 // doBroken answers while a failed transaction waits for its end.
 func (s *Session) doBroken(r Request) Reply {
@@ -175,9 +177,9 @@
 		return Reply{}
 	case Commit:
 		s.state = Idle
-		return fail(Aborted, "the transaction had failed and was rolled back")
+		return failureReply(Aborted, "the transaction had failed and was rolled back")
 	}
-	reply := fail(Malformed, "the transaction has failed and must be ended")
+	reply := failureReply(Malformed, "the transaction has failed and must be ended")
 	reply.State = s.state
 	return reply
 }
@@ -191,14 +193,14 @@
 
 func (s *Session) prepare(st Prepare) {
 	if s.prepared == nil {
-		s.prepared = map[string]Shape{}
+		s.prepared = map[string]PreparedStatement{}
 	}
 	s.prepared[st.Name] = st.Shape
 }
 
-func (s *Session) forget(st Forget) Reply {
+func (s *Session) forget(st Deallocate) Reply {
 	if _, ok := s.prepared[st.Name]; !ok {
-		return fail(UnknownStatement, st.Name)
+		return failureReply(UnknownStatement, st.Name)
 	}
 	delete(s.prepared, st.Name)
 	return Reply{}
--- a/internal/gateway/session_test.go
+++ b/internal/gateway/session_test.go
@@ -23,7 +23,7 @@
 	}
 }
 
-func open(t *testing.T, h *Host) *Session {
+func openSession(t *testing.T, h *Host) *Session {
 	t.Helper()
 	s, failure := h.Open(testDatabase, account.Caller{})
 	if failure != nil {
@@ -35,13 +35,13 @@
 // Two callers share a connection, each with a value of its own under the same name, and
 // a third has none. Each must see its own value, and the third no one's.
 func TestSessionValuesStayWithTheirSession(t *testing.T) {
-	play(t, freshness.Latest{}, func(_ *fakeSite, h *Host) {
-		one, two, none := open(t, h), open(t, h), open(t, h)
-		on(one, Set{"v", "1"})
-		on(two, Set{"v", "2"})
+	withHost(t, freshness.Latest{}, func(_ *fakeSite, h *Host) {
+		one, two, none := openSession(t, h), openSession(t, h), openSession(t, h)
+		execIn(one, Set{"v", "1"})
+		execIn(two, Set{"v", "2"})
 		for range 3 {
 			for want, s := range map[string]*Session{"a v=1": one, "a v=2": two, "a": none} {
-				if got := row(on(s, Read{})); got != want {
+				if got := row(execIn(s, Read{})); got != want {
 					t.Errorf("read %q, want %q", got, want)
 				}
 			}
@@ -51,42 +51,42 @@
 
 // Callers give the same name to different statements. Each must run its own.
 func TestPreparedNamesStayWithTheirSession(t *testing.T) {
-	play(t, freshness.Latest{}, func(_ *fakeSite, h *Host) {
-		one, two := open(t, h), open(t, h)
-		on(one, Prepare{"s", Shape{Text: "boards"}})
-		on(two, Prepare{"s", Shape{Text: "suits"}})
+	withHost(t, freshness.Latest{}, func(_ *fakeSite, h *Host) {
+		one, two := openSession(t, h), openSession(t, h)
+		execIn(one, Prepare{"s", PreparedStatement{Text: "boards"}})
+		execIn(two, Prepare{"s", PreparedStatement{Text: "suits"}})
 		for range 3 {
-			if got := row(on(one, Execute{Name: "s"})); got != "a boards" {
+			if got := row(execIn(one, Execute{Name: "s"})); got != "a boards" {
 				t.Errorf("ran %q", got)
 			}
-			if got := row(on(two, Execute{Name: "s"})); got != "a suits" {
+			if got := row(execIn(two, Execute{Name: "s"})); got != "a suits" {
 				t.Errorf("ran %q", got)
 			}
 		}
-		on(one, Forget{"s"})
-		wantCode(t, on(one, Execute{Name: "s"}), UnknownStatement)
+		execIn(one, Deallocate{"s"})
+		wantCode(t, execIn(one, Execute{Name: "s"}), UnknownStatement)
 	})
 }
 
 // settledRow reads until the connections that reads prefer are open.
 func settledRow(h *Host) string {
 	for range 3 {
-		do(h, Read{})
+		exec(h, Read{})
 		time.Sleep(20 * time.Millisecond)
 	}
-	return row(do(h, Read{}))
+	return row(exec(h, Read{}))
 }
 
 // A chef saves a recipe and looks it up. The replicas have not applied the save yet, so
 // the primary must answer; a caller that wrote nothing is served by a replica.
 func TestReadSeesOwnWrite(t *testing.T) {
-	play(t, freshness.OwnWrites{}, func(s *fakeSite, h *Host) {
+	withHost(t, freshness.OwnWrites{}, func(s *fakeSite, h *Host) {
 		for _, id := range []string{"b", "c"} {
 			s.with(id, func(m *fakeMember) { m.lagging = true })
 		}
-		chef := open(t, h)
-		on(chef, Write{})
-		if got := row(on(chef, Read{})); got != "a" {
+		chef := openSession(t, h)
+		execIn(chef, Write{})
+		if got := row(execIn(chef, Read{})); got != "a" {
 			t.Errorf("the read after the write ran on %q", got)
 		}
 		if got := settledRow(h); got == "a" {
@@ -98,21 +98,21 @@
 // A canteen accepts an answer of two seconds' age. While the replicas are further
 // behind than that, the primary must answer.
 func TestBoundedAgeHoldsOnLaggingReplicas(t *testing.T) {
-	play(t, freshness.MaxAge{Age: 2 * time.Second}, func(s *fakeSite, h *Host) {
-		do(h, Write{})
+	withHost(t, freshness.MaxAge{Age: 2 * time.Second}, func(s *fakeSite, h *Host) {
+		exec(h, Write{})
 		if got := settledRow(h); got == "a" {
 			t.Error("a fresh replica was not used")
 		}
 		for _, id := range []string{"b", "c"} {
 			s.with(id, func(m *fakeMember) { m.lagging = true })
 		}
-		do(h, Write{})
-		do(h, Write{})
-		if got := row(do(h, Read{})); got == "a" {
+		exec(h, Write{})
+		exec(h, Write{})
+		if got := row(exec(h, Read{})); got == "a" {
 			t.Error("a replica within the age was not used")
 		}
 		time.Sleep(2500 * time.Millisecond)
-		if got := row(do(h, Read{})); got != "a" {
+		if got := row(exec(h, Read{})); got != "a" {
 			t.Errorf("data older than accepted came from %q", got)
 		}
 	})
@@ -122,8 +122,8 @@
 // off from the other members. It still says that it leads, takes transactions and answers
 // plain reads. A caller that asks for the latest must not get its old data.
 func TestLatestReadsNeverComeFromAReplacedPrimary(t *testing.T) {
-	play(t, freshness.Latest{}, func(s *fakeSite, h *Host) {
-		do(h, Write{})
+	withHost(t, freshness.Latest{}, func(s *fakeSite, h *Host) {
+		exec(h, Write{})
 		s.with("a", func(m *fakeMember) { m.cut = true })
 		s.put(h.dutyKey(testGroup), []byte("h2"), 0)
 		time.Sleep(leadership.Duration) // the other holder waits for the leases
@@ -132,7 +132,7 @@
 			t.Fatalf("%q leads", got)
 		}
 		for range 20 {
-			if r := do(h, Read{}); r.Failure == nil && row(r) != "b" {
+			if r := exec(h, Read{}); r.Failure == nil && row(r) != "b" {
 				t.Errorf("the read ran on %q", row(r))
 			}
 			time.Sleep(20 * time.Millisecond)
@@ -143,10 +143,10 @@
 // The answer to a deposit is lost after the member ran it. The caller must not be told
 // that nothing was kept, and the deposit must not run again.
 func TestLostAnswerOfAWriteIsInDoubtAndNotRepeated(t *testing.T) {
-	play(t, freshness.Latest{}, func(s *fakeSite, h *Host) {
-		do(h, Write{})
+	withHost(t, freshness.Latest{}, func(s *fakeSite, h *Host) {
+		exec(h, Write{})
 		s.with("a", func(m *fakeMember) { m.breaks = 1; m.runs = nil })
-		wantCode(t, do(h, Write{}), InDoubt)
+		wantCode(t, exec(h, Write{}), InDoubt)
 		time.Sleep(time.Second)
 		if n := len(s.ran("a")); n != 1 {
 			t.Errorf("the write ran %d times", n)
@@ -155,12 +155,12 @@
 }
 
 // The answer to a lookup is lost. Nothing was changed, so another member answers it.
-func TestLostAnswerOfAReadIsAskedElsewhere(t *testing.T) {
-	play(t, freshness.OwnWrites{}, func(s *fakeSite, h *Host) {
+func TestLostReadReplyIsRetriedElsewhere(t *testing.T) {
+	withHost(t, freshness.OwnWrites{}, func(s *fakeSite, h *Host) {
 		for _, m := range s.members {
 			s.with(m.id, func(m *fakeMember) { m.breaks = 1 })
 		}
-		if r := do(h, Read{}); r.Failure != nil {
+		if r := exec(h, Read{}); r.Failure != nil {
 			t.Errorf("the read failed: %v", r.Failure)
 		}
 	})
@@ -170,21 +170,21 @@
 // answer the transaction is begun anew; later it is aborted, which is a promise: the
 // member rolls back, and no commit was sent.
 func TestBrokenTransaction(t *testing.T) {
-	play(t, freshness.Latest{}, func(s *fakeSite, h *Host) {
-		k := open(t, h)
-		on(k, Begin{})
+	withHost(t, freshness.Latest{}, func(s *fakeSite, h *Host) {
+		k := openSession(t, h)
+		execIn(k, Begin{})
 		s.with("a", func(m *fakeMember) { m.breaks = 1 })
-		if r := on(k, Write{}); r.Failure != nil {
+		if r := execIn(k, Write{}); r.Failure != nil {
 			t.Errorf("the first statement was not offered again: %v", r.Failure)
 		}
 		s.with("a", func(m *fakeMember) { m.breaks = 1 })
-		r := on(k, Write{})
+		r := execIn(k, Write{})
 		wantCode(t, r, Aborted)
-		if r.State != Broken {
+		if r.State != InFailedTransaction {
 			t.Errorf("state %s", r.State)
 		}
-		wantCode(t, on(k, Read{}), Malformed)
-		if r := on(k, Rollback{}); r.Failure != nil || r.State != Idle {
+		wantCode(t, execIn(k, Read{}), Malformed)
+		if r := execIn(k, Rollback{}); r.Failure != nil || r.State != Idle {
 			t.Errorf("rollback: %+v", r)
 		}
 	})
@@ -197,12 +197,12 @@
 		statement Statement
 		want      Code
 	}{{Write{}, InDoubt}, {Read{}, Aborted}} {
-		play(t, freshness.Latest{}, func(s *fakeSite, h *Host) {
-			k := open(t, h)
-			on(k, Begin{})
-			on(k, c.statement)
+		withHost(t, freshness.Latest{}, func(s *fakeSite, h *Host) {
+			k := openSession(t, h)
+			execIn(k, Begin{})
+			execIn(k, c.statement)
 			s.with("a", func(m *fakeMember) { m.breaks = 1 })
-			r := on(k, Commit{})
+			r := execIn(k, Commit{})
 			wantCode(t, r, c.want)
 			if r.State != Idle {
 				t.Errorf("state %s after the commit", r.State)
@@ -213,26 +213,26 @@
 
 // An instructor opens a transaction and pauses before the first statement, and another
 // one leaves a transaction open. Neither may keep a connection for long.
-func TestRestingTransactionsHoldNoConnection(t *testing.T) {
-	play(t, freshness.Latest{}, func(_ *fakeSite, h *Host) {
-		k := open(t, h)
-		on(k, Begin{})
-		if n := inUse(h); n != 0 {
+func TestIdleTransactionsHoldNoConnection(t *testing.T) {
+	withHost(t, freshness.Latest{}, func(_ *fakeSite, h *Host) {
+		k := openSession(t, h)
+		execIn(k, Begin{})
+		if n := connsInUse(h); n != 0 {
 			t.Errorf("%d connections in use after a begin", n)
 		}
-		on(k, Write{})
-		if n := inUse(h); n != 1 {
+		execIn(k, Write{})
+		if n := connsInUse(h); n != 1 {
 			t.Errorf("%d connections in use in a transaction", n)
 		}
 		k.Expire()
-		if n := inUse(h); n != 0 {
+		if n := connsInUse(h); n != 0 {
 			t.Errorf("%d connections in use after the transaction expired", n)
 		}
-		wantCode(t, on(k, Commit{}), Aborted)
+		wantCode(t, execIn(k, Commit{}), Aborted)
 	})
 }
 
-func inUse(h *Host) int {
+func connsInUse(h *Host) int {
 	n := 0
 	for _, g := range h.Beliefs().Groups {
 		for _, m := range g.Members {
@@ -245,12 +245,12 @@
 // No primary can be had. Statements that need one are refused well before the caller's
 // time is up, told when to come back, and have certainly not run.
 func TestNoPrimaryRefusesInTime(t *testing.T) {
-	play(t, freshness.Latest{}, func(s *fakeSite, h *Host) {
+	withHost(t, freshness.Latest{}, func(s *fakeSite, h *Host) {
 		for _, m := range s.members {
 			s.with(m.id, func(m *fakeMember) { m.crashed = true; m.runs = nil })
 		}
 		started := time.Now()
-		r := do(h, Write{})
+		r := exec(h, Write{})
 		wantCode(t, r, Busy)
 		if took := time.Since(started); took > 300*time.Millisecond {
 			t.Errorf("the refusal took %s", took)
@@ -267,7 +267,7 @@
 }
 
 func TestUnknownDatabase(t *testing.T) {
-	play(t, freshness.Latest{}, func(_ *fakeSite, h *Host) {
+	withHost(t, freshness.Latest{}, func(_ *fakeSite, h *Host) {
 		if _, f := h.Open("nobody", account.Caller{}); f == nil || f.Code != NoDatabase {
 			t.Errorf("Open = %v", f)
 		}
@@ -282,7 +282,7 @@
 		var hosts []*Host
 		var stops []func()
 		for i := range 3 {
-			h, stop := hostOn(s, fmt.Sprint("h", i), freshness.OwnWrites{})
+			h, stop := startHost(s, fmt.Sprint("h", i), freshness.OwnWrites{})
 			hosts, stops = append(hosts, h), append(stops, stop)
 		}
 		time.Sleep(3 * time.Second)
@@ -330,7 +330,7 @@
 // at its limit. Another member must take over: the promoted one is up to date at once,
 // and the old primary serves reads as a replica.
 func TestOverloadedPrimaryIsRelievedWhileReplicasLag(t *testing.T) {
-	play(t, freshness.MaxAge{Age: time.Second}, func(s *fakeSite, h *Host) {
+	withHost(t, freshness.MaxAge{Age: time.Second}, func(s *fakeSite, h *Host) {
 		for _, id := range []string{"b", "c"} {
 			s.with(id, func(m *fakeMember) { m.lagging = true })
 		}
@@ -343,11 +343,11 @@
 				}
 			})
 		}
-		writeOn(h, 90)
+		sendWrites(h, 90)
 		wait.Wait()
 		if s.leader() == "a" {
 			t.Error("the overloaded primary still leads")
 		}
-		wantNothingLost(t, s)
+		wantNoLostWrites(t, s)
 	})
 }
--- a/internal/gateway/join_test.go
+++ b/internal/gateway/startup_test.go
@@ -10,8 +10,8 @@
 	"pearlatch/core/freshness"
 )
 
-// wideSite starts n hosts together before a store that holds so many further keys, in pages of a tenth of them.
-func wideSite(n, keys int) *fakeFleet {
+// largeFleet starts n hosts together before a store that holds so many further keys, in pages of a tenth of them.
+func largeFleet(n, keys int) *fakeFleet {
 	s := newFakeSite("a", "b", "c")
 	s.cap, s.pageItems = 20, keys/10
 	for i := range keys {
@@ -37,7 +37,7 @@
 // others learn from them: what all hosts together read does not grow with the fleet as its lists do.
 func TestFewHostsReadTheStoreAsAllStart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := wideSite(120, 500)
+		f := largeFleet(120, 500)
 		defer f.stopAll()
 		time.Sleep(5 * time.Second)
 		f.wantInForce(t, 1)
--- a/internal/gateway/beliefs.go
+++ b/internal/gateway/state.go
@@ -9,8 +9,8 @@
 	"pearlatch/core/kv"
 )
 
-// Beliefs are what a host believes, with the ages of its beliefs.
-type Beliefs struct {
+// HostState is what a host believes, with the ages of its beliefs.
+type HostState struct {
 	Host, Zone string
 	// Ready is true while callers are welcome, Stopping after the order to stop.
 	Ready, Stopping bool
@@ -52,9 +52,9 @@
 }
 
 // Beliefs returns what the host believes now.
-func (h *Host) Beliefs() Beliefs {
+func (h *Host) Beliefs() HostState {
 	h.mu.Lock()
-	out := Beliefs{
+	out := HostState{
 		Host: h.settings.Host, Zone: h.settings.Zone, Ready: h.Ready(), Stopping: h.Stopping(),
 		Sessions: h.Sessions(), StoreRevision: h.known.Revision(),
 	}
@@ -75,13 +75,13 @@
 	now := g.now()
 	out := GroupState{
 		Name: g.name, Primary: g.leader, Term: g.leaderTerm, Waiting: g.pool.Waiting(),
-		SampleAge: age(now, g.ages.Latest()), Share: g.share(),
+		SampleAge: elapsedSince(now, g.ages.Latest()), Share: g.share(),
 	}
 	for _, m := range g.order {
 		load := m.conns.Load()
 		out.Members = append(out.Members, MemberState{
 			ID: m.ID, Zone: m.Zone, Leaving: m.Leaving, Missing: !m.missingSince.IsZero(),
-			Suspect: now.Before(m.suspectUntil), Held: m.held, HeardAge: age(now, m.heard),
+			Suspect: now.Before(m.suspectUntil), Held: m.held, HeardAge: elapsedSince(now, m.heard),
 			Connections: load.Open, InUse: load.InUse, Running: load.Running, Idle: load.Idle,
 			Window: load.Window, Latency: load.Latency,
 		})
@@ -101,13 +101,13 @@
 		}
 	}
 	return []any{
-		"primary", g.leader, "proof_age_ms", age(now, g.ages.Latest()).Milliseconds(),
+		"primary", g.leader, "proof_age_ms", elapsedSince(now, g.ages.Latest()).Milliseconds(),
 		"waiting", g.pool.Waiting(), "usable_members", usable,
 	}
 }
 
-// age returns how long ago at was, or a negative duration when it never was.
-func age(now, at time.Time) time.Duration {
+// elapsedSince returns how long ago at was, or a negative duration when it never was.
+func elapsedSince(now, at time.Time) time.Duration {
 	if at.IsZero() {
 		return -1
 	}
--- a/internal/gateway/statement.go
+++ b/internal/gateway/statement.go
@@ -1,7 +1,7 @@
 package gateway
 
 // Statement is what a caller asks for. Its implementations are Begin, Commit,
-// Rollback, Read, Write, Set, Prepare, Execute, Forget and Unknown.
+// Rollback, Read, Write, Set, Prepare, Execute, Deallocate and Unknown.
 type Statement interface{ isStatement() }
 
 type (
@@ -23,7 +23,7 @@
 	// Prepare gives a statement a name in the caller's session.
 	Prepare struct {
 		Name  string
-		Shape Shape
+		Shape PreparedStatement
 	}
 	// Execute runs a prepared statement.
 	Execute struct {
@@ -32,26 +32,26 @@
 		// Arguments stand behind the name, as the caller wrote them.
 		Arguments string
 	}
-	// Forget drops the name of a prepared statement.
-	Forget struct{ Name string }
+	// Deallocate drops the name of a prepared statement.
+	Deallocate struct{ Name string }
 	// Unknown is anything else.
 	Unknown struct{}
 )
 
-func (Begin) isStatement()    {}
-func (Commit) isStatement()   {}
-func (Rollback) isStatement() {}
-func (Read) isStatement()     {}
-func (Write) isStatement()    {}
-func (Set) isStatement()      {}
-func (Prepare) isStatement()  {}
-func (Execute) isStatement()  {}
-func (Forget) isStatement()   {}
-func (Unknown) isStatement()  {}
+func (Begin) isStatement()      {}
+func (Commit) isStatement()     {}
+func (Rollback) isStatement()   {}
+func (Read) isStatement()       {}
+func (Write) isStatement()      {}
+func (Set) isStatement()        {}
+func (Prepare) isStatement()    {}
+func (Execute) isStatement()    {}
+func (Deallocate) isStatement() {}
+func (Unknown) isStatement()    {}
 
-// Shape is the text of a prepared statement. Callers' names for it collide, so
+// PreparedStatement is the text of a prepared statement. Callers' names for it collide, so
 // connections that callers share know it by its shape.
-type Shape struct {
+type PreparedStatement struct {
 	Writes bool
 	Text   string
 }
--- a/internal/gateway/follow_bench_test.go
+++ b/internal/gateway/store_changes_bench_test.go
@@ -13,11 +13,11 @@
 	"pearlatch/internal/follow"
 )
 
-// wideDecoder reads entries of many groups: the configuration is the number of groups, and a member's
+// manyGroupsDecoder reads entries of many groups: the configuration is the number of groups, and a member's
 // entry its group.
-type wideDecoder struct{}
+type manyGroupsDecoder struct{}
 
-func (wideDecoder) Config(value []byte) (*Config, error) {
+func (manyGroupsDecoder) Config(value []byte) (*Config, error) {
 	c := &Config{Version: 1, Routes: map[string]Route{}, Groups: map[string]GroupConfig{}}
 	for i := range int(binary.BigEndian.Uint32(value)) {
 		name := fmt.Sprint("group-", i)
@@ -27,7 +27,7 @@
 	return c, nil
 }
 
-func (wideDecoder) Member(key string, value []byte) (Member, error) {
+func (manyGroupsDecoder) Member(key string, value []byte) (Member, error) {
 	return Member{
 		ID: strings.TrimPrefix(key, "members/"), Group: string(value), Addr: netip.MustParseAddrPort("127.0.0.1:1"),
 		Zone: "zone-0", Slots: 3, Leads: strings.HasSuffix(key, "-0"),
@@ -40,7 +40,7 @@
 		{10, 20}, {195, 20}, {195, 200}, {986, 20}, {986, 250}, {986, 1000}, {2000, 2000}, {10000, 10000},
 	} {
 		b.Run(fmt.Sprintf("hosts=%d/groups=%d", c.hosts, c.groups), func(b *testing.B) {
-			h, join := wideHost(c.hosts, c.groups)
+			h, join := hostWithManyGroups(c.hosts, c.groups)
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
 				if err := h.apply(join(fmt.Sprint("new-", i%2), i)); err != nil {
@@ -51,11 +51,11 @@
 	}
 }
 
-// wideHost returns a host that knows a fleet of n before many groups, and a function that returns the
+// hostWithManyGroups returns a host that knows a fleet of n before many groups, and a function that returns the
 // news of a host that joins, or leaves again the second time.
-func wideHost(n, groups int) (*Host, func(name string, turn int) follow.News) {
+func hostWithManyGroups(n, groups int) (*Host, func(name string, turn int) follow.News) {
 	h := NewHost(Settings{Host: "host-0", Zone: "zone-0", Peer: netip.MustParseAddrPort("10.0.0.1:1")}, Ports{
-		Peers: &fakePeers{}, Decode: wideDecoder{}, Keys: Keys{Config: "config", Members: "members/", Own: "own/"},
+		Peers: &fakePeers{}, Decode: manyGroupsDecoder{}, Keys: Keys{Config: "config", Members: "members/", Own: "own/"},
 	}, testLogger(), time.Now)
 	news := follow.News{News: kv.News{Whole: true, Snapshot: kv.Snapshot{Revision: 1, Items: []kv.Item{{Key: "config", Value: binary.BigEndian.AppendUint32(nil, uint32(groups)), Revision: 1}}}}}
 	entry := func(i int) []byte { return fmt.Appendf(nil, "zone-%d 10.0.0.1:1", i%5) }
--- a/internal/gateway/handover.go
+++ b/internal/gateway/switchover.go
@@ -10,40 +10,40 @@
 // handOver replaces a leaving primary while it goes on serving: all replicas but
 // the successor are fenced, so that every write from then on is acknowledged by
 // the successor.
-func (w *watcher) handOver(ctx context.Context, primary answered, replicas []answered) {
+func (w *groupMonitor) handOver(ctx context.Context, primary controlResult, replicas []controlResult) {
 	started := w.host.now()
-	best, ok := heir(replicas)
+	best, ok := switchoverTarget(replicas)
 	if !ok {
-		w.log("no_heir", "answers", describe(replicas))
+		w.log("no_heir", "answers", formatResults(replicas))
 		return
 	}
-	term := newest(replicas) + 1
+	term := highestTerm(replicas) + 1
 	var others []Member
 	for _, r := range replicas {
 		if r.member.ID != best.ID {
 			others = append(others, r.member)
 		}
 	}
-	fenced := w.group.orderAll(others, Fence{Term: term}, orderTimeout)
+	fenced := w.group.orderAll(others, Fence{Term: term}, controlTimeout)
 	ready := w.receives(best, primary.status.Received) && w.caughtUp(ctx, best, nil, fenced)
 	if !ready && !w.demoted(ctx, term, best, fenced) {
-		w.log("heir_behind", "member", best.ID, "answers", describe(fenced))
-		w.group.orderAll(others, Release{}, orderTimeout)
+		w.log("heir_behind", "member", best.ID, "answers", formatResults(fenced))
+		w.group.orderAll(others, Release{}, controlTimeout)
 		return
 	}
 	if !w.recall(ctx, true) {
-		w.group.orderAll(others, Release{}, orderTimeout)
+		w.group.orderAll(others, Release{}, controlTimeout)
 		return
 	}
 	w.log("successor", "member", best.ID, "term", term, "planned", true)
-	if !w.promote(ctx, best.ID, choice{listed: started, held: heldBy(best.ID, replicas)}) {
-		w.group.orderAll(others, Release{}, orderTimeout)
+	if !w.promote(ctx, best.ID, successorChoice{listed: started, held: receivedBy(best.ID, replicas)}) {
+		w.group.orderAll(others, Release{}, controlTimeout)
 	}
 }
 
-// heir returns the replica that takes over from a leaving primary.
-func heir(replicas []answered) (Member, bool) {
-	var best answered
+// switchoverTarget returns the replica that takes over from a leaving primary.
+func switchoverTarget(replicas []controlResult) (Member, bool) {
+	var best controlResult
 	for _, r := range replicas {
 		if r.err != nil || r.member.Leaving {
 			continue
@@ -57,19 +57,19 @@
 
 // receives reports whether the heir has received what the primary held a moment ago. A
 // deaf heir would lack what a replica acknowledges that comes back unfenced.
-func (w *watcher) receives(heir Member, position group.Position) bool {
-	s, err := w.group.command(heir, Probe{}, orderTimeout)
+func (w *groupMonitor) receives(heir Member, position group.Position) bool {
+	s, err := w.group.command(heir, Probe{}, controlTimeout)
 	return err == nil && s.Received.Compare(position) >= 0
 }
 
-// caughtUpRounds bounds the wait for the heir to receive what others had.
-const caughtUpRounds = 10
+// maxCatchUpRounds bounds the wait for the heir to receive what others had.
+const maxCatchUpRounds = 10
 
 // caughtUp reports whether the heir lacks nothing that fenced replicas, or a demoted
 // primary, hold.
-func (w *watcher) caughtUp(ctx context.Context, heir Member, end *group.Position, fenced []answered) bool {
-	for range caughtUpRounds {
-		s, err := w.group.command(heir, Probe{}, orderTimeout)
+func (w *groupMonitor) caughtUp(ctx context.Context, heir Member, end *group.Position, fenced []controlResult) bool {
+	for range maxCatchUpRounds {
+		s, err := w.group.command(heir, Probe{}, controlTimeout)
 		if err != nil {
 			return false
 		}
@@ -80,7 +80,7 @@
 		if ok && best.Member == heir.ID {
 			return true
 		}
-		if !pause.For(ctx, leadPoll) {
+		if !pause.For(ctx, promotionPollInterval) {
 			return false
 		}
 	}
@@ -90,11 +90,11 @@
 // demoted makes a leaving primary a replica where a replica that doesn't answer leaves
 // open what was acknowledged, and reports whether the heir holds all that it held.
 // Otherwise the primary is to lead again.
-func (w *watcher) demoted(ctx context.Context, term group.Term, heir Member, fenced []answered) bool {
-	if silent(fenced) == 0 {
+func (w *groupMonitor) demoted(ctx context.Context, term group.Term, heir Member, fenced []controlResult) bool {
+	if countFailed(fenced) == 0 {
 		return false
 	}
-	s, err := w.group.command(w.primary, Demote{Term: term}, orderTimeout)
+	s, err := w.group.command(w.primary, Demote{Term: term}, controlTimeout)
 	if err != nil || s.Leads {
 		return false
 	}
@@ -102,6 +102,6 @@
 	if w.caughtUp(ctx, heir, &s.Received, fenced) {
 		return true
 	}
-	w.promote(ctx, w.primary.ID, choice{})
+	w.promote(ctx, w.primary.ID, successorChoice{})
 	return false
 }
--- a/internal/gateway/transaction.go
+++ b/internal/gateway/transaction.go
@@ -14,12 +14,12 @@
 type transaction struct {
 	readOnly bool
 	started  time.Time
-	work     work
+	work     operation
 	// conn is nil until the first statement, and while the transaction runs on
 	// another host.
-	conn *pooled
+	conn *pooledConn
 	// away is set while the transaction runs on another host.
-	away *away
+	away *remoteTransaction
 	// answered counts statements whose answers the caller has.
 	answered int
 	// wrote is true once a write was sent to the member.
@@ -28,7 +28,7 @@
 
 func (s *Session) begin(st Begin, arrived time.Time) Reply {
 	if s.state != Idle {
-		return s.failed(fail(Malformed, "a transaction is open"))
+		return s.failed(failureReply(Malformed, "a transaction is open"))
 	}
 	w, failure := s.plan(arrived, !st.ReadOnly)
 	if failure != nil {
@@ -70,7 +70,7 @@
 
 func (s *Session) rollback() Reply {
 	if s.state != InTransaction {
-		return fail(Malformed, "no transaction is open")
+		return failureReply(Malformed, "no transaction is open")
 	}
 	s.tx.rollback(s)
 	s.tx, s.state = nil, Idle
@@ -83,7 +83,7 @@
 	s.failed(Reply{})
 }
 
-func (s *Session) runInTransaction(ctx context.Context, r Request, arrived time.Time, writes bool, shape *Shape) Reply {
+func (s *Session) runInTransaction(ctx context.Context, r Request, arrived time.Time, writes bool, shape *PreparedStatement) Reply {
 	t := s.tx
 	t.work.deadline = arrived.Add(t.work.route.Timeout)
 	t.work.shape = shape
@@ -96,14 +96,14 @@
 	for {
 		if t.conn == nil {
 			err := s.attach(ctx)
-			if errors.Is(err, errSendOn) {
+			if errors.Is(err, errReroute) {
 				if reply, ok := s.sendOnInTransaction(ctx, r, arrived); ok {
 					return reply
 				}
 				continue
 			}
 			if err != nil {
-				return s.failed(Reply{Failure: failureOf(err)})
+				return s.failed(Reply{Failure: asFailure(err)})
 			}
 		}
 		reply, next := s.tryInTransaction(r, writes)
@@ -111,20 +111,20 @@
 			return reply
 		}
 		if !s.host.now().Before(t.work.deadline) {
-			return s.failed(fail(Aborted, "no time left, "+comeBack(0)))
+			return s.failed(failureReply(Aborted, "no time left, "+retryAfter(0)))
 		}
 		next.pause(ctx)
 	}
 }
 
-// failureOf returns the *Failure that err is.
-func failureOf(err error) *Failure {
+// asFailure returns the *Failure that err is.
+func asFailure(err error) *Failure {
 	var f *Failure
 	errors.As(err, &f)
 	return f
 }
 
-// attach begins the transaction on a member. The error is errSendOn or a *Failure.
+// attach begins the transaction on a member. The error is errReroute or a *Failure.
 func (s *Session) attach(ctx context.Context) error {
 	t := s.tx
 	w := &t.work
@@ -133,15 +133,15 @@
 			return f
 		}
 		if !s.proveFirst(ctx, w) {
-			return &Failure{Aborted, "the primary could not be proven to lead in time, " + comeBack(0)}
+			return &Failure{Aborted, "the primary could not be proven to lead in time, " + retryAfter(0)}
 		}
 		w.need.Deadline = w.waitUntil()
 		p, err := w.group.acquire(ctx, w.need)
-		if errors.Is(err, errSendOn) {
+		if errors.Is(err, errReroute) {
 			return err
 		}
 		if err != nil {
-			return &Failure{Aborted, "no connection in time, " + comeBack(0)}
+			return &Failure{Aborted, "no connection in time, " + retryAfter(0)}
 		}
 		next := s.open(p)
 		if next == nil {
@@ -149,7 +149,7 @@
 			return nil
 		}
 		if !w.group.now().Before(w.waitUntil()) {
-			return &Failure{Aborted, "no member could begin the transaction in time, " + comeBack(0)}
+			return &Failure{Aborted, "no member could begin the transaction in time, " + retryAfter(0)}
 		}
 		next.pause(ctx)
 	}
@@ -157,23 +157,23 @@
 
 // open begins the transaction on the connection. Nothing of the caller has run
 // yet, so any failure may be tried again.
-func (s *Session) open(p *pooled) *again {
+func (s *Session) open(p *pooledConn) *retry {
 	t := s.tx
 	w, g := &t.work, t.work.group
 	if next := s.proven(w, p); next != nil {
 		return next
 	}
 	if !t.readOnly && g.doubtful(p, g.now()) && !s.refresh(w, p) {
-		return &again{}
+		return &retry{}
 	}
 	layout, _ := p.layout(s.values, nil)
 	asked := g.now()
-	commands := append(layout, Open{ReadOnly: t.readOnly, After: w.need.After})
+	commands := append(layout, OpenTransaction{ReadOnly: t.readOnly, After: w.need.After})
 	replies, err := p.conn.Do(g.patience(p.member, w.deadline.Sub(asked), false), commands...)
 	if err != nil {
 		g.discard(p, err)
 		w.need.Avoid = p.member.ID
-		return &again{}
+		return &retry{}
 	}
 	reply := replies[len(replies)-1]
 	if reply.Failure != nil || reply.State != InTransaction {
@@ -182,7 +182,7 @@
 		}
 		_, next := s.judge(w, p, asked, reply)
 		if next == nil {
-			next = &again{wait: busyPause}
+			next = &retry{wait: busyRetryInterval}
 		}
 		return next
 	}
@@ -192,7 +192,7 @@
 }
 
 // tryInTransaction runs a statement on the transaction's connection.
-func (s *Session) tryInTransaction(r Request, writes bool) (Reply, *again) {
+func (s *Session) tryInTransaction(r Request, writes bool) (Reply, *retry) {
 	t := s.tx
 	p, w, g := t.conn, &t.work, t.work.group
 	layout, name := p.layout(s.values, w.shape)
@@ -207,9 +207,9 @@
 		if t.answered == 0 {
 			// The member rolls back what the connection began.
 			w.need.Avoid = p.member.ID
-			return Reply{}, &again{}
+			return Reply{}, &retry{}
 		}
-		return s.failed(fail(Aborted, "the connection to "+p.member.ID+" failed, "+comeBack(0))), nil
+		return s.failed(failureReply(Aborted, "the connection to "+p.member.ID+" failed, "+retryAfter(0))), nil
 	}
 	g.took(p.member, asked)
 	reply := replies[len(replies)-1]
@@ -219,13 +219,13 @@
 	}
 	if reply.Failure.Code == Busy && reply.State == InTransaction {
 		g.shed(p.member)
-		return Reply{}, &again{wait: busyPause}
+		return Reply{}, &retry{wait: busyRetryInterval}
 	}
 	if reply.Failure.Code == ReadOnly && !t.readOnly {
 		g.lostLeader(p.member.ID)
 		if t.answered == 0 {
 			t.rollback(s)
-			return Reply{}, &again{}
+			return Reply{}, &retry{}
 		}
 	}
 	return s.failed(reply), nil
@@ -234,7 +234,7 @@
 // commit ends the transaction on its member.
 func (s *Session) commit(ctx context.Context, r Request, arrived time.Time) Reply {
 	if s.state != InTransaction {
-		return fail(Malformed, "no transaction is open")
+		return failureReply(Malformed, "no transaction is open")
 	}
 	t := s.tx
 	t.work.deadline = arrived.Add(t.work.route.Timeout)
@@ -259,14 +259,14 @@
 func (s *Session) attachForCommit(ctx context.Context, r Request, arrived time.Time) (Reply, bool) {
 	for s.tx.conn == nil {
 		err := s.attach(ctx)
-		if errors.Is(err, errSendOn) {
+		if errors.Is(err, errReroute) {
 			if reply, ok := s.sendOnInTransaction(ctx, r, arrived); ok {
 				return reply, true
 			}
 			continue
 		}
 		if err != nil {
-			return Reply{Failure: failureOf(err)}, true
+			return Reply{Failure: asFailure(err)}, true
 		}
 	}
 	return Reply{}, false
@@ -284,25 +284,25 @@
 			g.discard(p, err)
 			s.host.logOffer(s, r, w, p.member.ID, "broken", err)
 			if !t.wrote {
-				return fail(Aborted, "the connection failed; nothing was written, "+comeBack(0))
+				return failureReply(Aborted, "the connection failed; nothing was written, "+retryAfter(0))
 			}
-			return fail(InDoubt, "the connection to "+p.member.ID+" failed after the commit was sent")
+			return failureReply(InDoubt, "the connection to "+p.member.ID+" failed after the commit was sent")
 		}
 		reply := replies[0]
 		if reply.Failure != nil && reply.Failure.Code == Busy && reply.State == InTransaction && g.now().Before(w.deadline) {
-			pause.For(ctx, busyPause)
+			pause.For(ctx, busyRetryInterval)
 			continue
 		}
 		s.committed(p, asked, reply)
 		if t.wrote && reply.Failure == nil && !g.stands(p.member.ID, reply.Position.Term) {
-			return fail(InDoubt, p.member.ID+" may have been replaced as it acknowledged the commit")
+			return failureReply(InDoubt, p.member.ID+" may have been replaced as it acknowledged the commit")
 		}
 		return reply
 	}
 }
 
 // committed settles the connection after a member's answer to a commit.
-func (s *Session) committed(p *pooled, asked time.Time, reply Reply) {
+func (s *Session) committed(p *pooledConn, asked time.Time, reply Reply) {
 	t, g := s.tx, s.tx.work.group
 	g.observe(p.member, asked, reply.Position)
 	if reply.Failure == nil && t.wrote {
--- a/internal/site/session.go
+++ b/internal/site/session.go
@@ -26,7 +26,7 @@
 	// writes holds the requests that wrote in the transaction.
 	writes []string
 	values map[string]string
-	shapes map[string]gateway.Shape
+	shapes map[string]gateway.PreparedStatement
 }
 
 var (
@@ -47,9 +47,9 @@
 	case groupName != g.name || id != m.id:
 		return nil, &gateway.Failure{Code: gateway.Misrouted, Detail: m.id}
 	case len(m.sessions) >= g.site.options.Connections:
-		return nil, &gateway.Failure{Code: gateway.TooMany, Detail: m.id}
+		return nil, &gateway.Failure{Code: gateway.TooManyConnections, Detail: m.id}
 	}
-	s := &session{member: m, values: map[string]string{}, shapes: map[string]gateway.Shape{}}
+	s := &session{member: m, values: map[string]string{}, shapes: map[string]gateway.PreparedStatement{}}
 	m.sessions[s] = true
 	m.peak = max(m.peak, len(m.sessions))
 	return s, nil
@@ -61,7 +61,7 @@
 }
 
 // Control implements platform.ServedSession.
-func (s *session) Control(o gateway.Order) (gateway.Status, *gateway.Failure, error) {
+func (s *session) Control(o gateway.ControlCommand) (gateway.Status, *gateway.Failure, error) {
 	m := s.member
 	m.group.mu.Lock()
 	defer m.group.mu.Unlock()
@@ -96,7 +96,7 @@
 		return gateway.Reply{}, errBroken
 	}
 	if reply.Failure != nil && s.state == gateway.InTransaction && reply.Failure.Code != gateway.Busy {
-		s.state, s.writes = gateway.Broken, nil
+		s.state, s.writes = gateway.InFailedTransaction, nil
 	}
 	reply.State = s.state
 	if reply.Position == (group.Position{}) {
@@ -112,7 +112,7 @@
 	switch c := c.(type) {
 	case gateway.Forward:
 		return s.forward(c)
-	case gateway.Open:
+	case gateway.OpenTransaction:
 		return s.open(c), nil
 	}
 	s.member.group.mu.Lock()
@@ -135,7 +135,7 @@
 	return gateway.Reply{Failure: &gateway.Failure{Code: c, Detail: detail}}
 }
 
-func (s *session) open(o gateway.Open) gateway.Reply {
+func (s *session) open(o gateway.OpenTransaction) gateway.Reply {
 	m := s.member
 	m.group.mu.Lock()
 	defer m.group.mu.Unlock()
--- a/internal/site/site_test.go
+++ b/internal/site/site_test.go
@@ -56,7 +56,7 @@
 }
 
 // order gives an order to a member.
-func order(t *testing.T, m *Member, o gateway.Order) gateway.Status {
+func order(t *testing.T, m *Member, o gateway.ControlCommand) gateway.Status {
 	t.Helper()
 	s := open(t, m)
 	defer s.Close()
--- a/internal/soak/flaw_test.go
+++ b/internal/soak/flaw_test.go
@@ -236,7 +236,7 @@
 	return replies, err
 }
 
-func (c *sharedConn) Control(timeout time.Duration, o gateway.Order) (gateway.Status, error) {
+func (c *sharedConn) Control(timeout time.Duration, o gateway.ControlCommand) (gateway.Status, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	s, err := c.Conn.Control(timeout, o)
--- a/io/operator/gateway.go
+++ b/io/operator/gateway.go
@@ -50,7 +50,7 @@
 
 // GatewayHandler shows the metrics and the beliefs of a gateway host. refresh is
 // called before the metrics are written.
-func GatewayHandler(r metrics.Registry, refresh func(), state func() gateway.Beliefs) http.Handler {
+func GatewayHandler(r metrics.Registry, refresh func(), state func() gateway.HostState) http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /metrics", func(w http.ResponseWriter, _ *http.Request) {
 		refresh()
@@ -63,7 +63,7 @@
 	return mux
 }
 
-func dumpGateway(s gateway.Beliefs) gatewayDump {
+func dumpGateway(s gateway.HostState) gatewayDump {
 	out := gatewayDump{
 		Host: s.Host, Zone: s.Zone, Ready: s.Ready, Stopping: s.Stopping, Sessions: s.Sessions,
 		ConfigVersion: s.ConfigVersion, StoreRevision: s.StoreRevision.Number(), StoreEpoch: int64(s.StoreRevision.Epoch()),
--- a/io/peer/gateway_client.go
+++ b/io/peer/gateway_client.go
@@ -28,7 +28,7 @@
 }
 
 // Lane implements gateway.Peers.
-func (c *GatewayClient) Lane(ctx context.Context, to netip.AddrPort) (gateway.Lane, error) {
+func (c *GatewayClient) Lane(ctx context.Context, to netip.AddrPort) (gateway.Stream, error) {
 	k, err := c.links.get(ctx, to)
 	if err != nil {
 		return nil, err
@@ -42,7 +42,7 @@
 
 // Recall implements gateway.Peers. It asks on the link at first, which needs no handshake
 // at a host under load, and then over a connection of its own, since the link may be silent.
-func (c *GatewayClient) Recall(ctx context.Context, to netip.AddrPort, from string, serial uint64) (gateway.Recalled, error) {
+func (c *GatewayClient) Recall(ctx context.Context, to netip.AddrPort, from string, serial uint64) (gateway.RequestOutcome, error) {
 	in := &recallRequest{from, serial}
 	if k := c.links.existing(to); k != nil {
 		if out := k.recall(ctx, in); out != nil {
@@ -57,14 +57,14 @@
 }
 
 // recalled returns the outcome that the message carries.
-func (m *recallReply) recalled() gateway.Recalled {
+func (m *recallReply) recalled() gateway.RequestOutcome {
 	switch {
 	case m.running:
-		return gateway.RecalledRunning{}
+		return gateway.OutcomeRunning{}
 	case m.reply != nil:
-		return gateway.RecalledDone{Reply: (*gateway.PeerReply)(m.reply)}
+		return gateway.OutcomeDone{Reply: (*gateway.PeerReply)(m.reply)}
 	}
-	return gateway.RecalledUnknown{Process: m.process}
+	return gateway.OutcomeUnknown{Process: m.process}
 }
 
 // Probe implements gateway.Peers.
--- a/io/peer/gateway_codec_test.go
+++ b/io/peer/gateway_codec_test.go
@@ -25,7 +25,7 @@
 func samples() map[string]message {
 	position := group.Position{Term: 3, LSN: 1207}
 	reply := laneReply{
-		Process: "h2-1f", Declined: gateway.PrimaryUnreached, Mark: position,
+		Process: "h2-1f", Declined: gateway.PrimaryUnreachable, Mark: position,
 		Reply: gateway.Reply{
 			Rows: []string{"qhzk", ""}, Signature: "7.1f3", State: gateway.InTransaction,
 			Failure: &gateway.Failure{Code: gateway.Busy, Detail: "no room"},
@@ -40,7 +40,7 @@
 				Target: 200 * time.Millisecond, Priority: 2,
 			},
 			Age: 3 * time.Millisecond, BeginAge: time.Second, Mark: position, Values: map[string]string{"v": "1"},
-			Shape: &gateway.Shape{Writes: true, Text: "q2c"}, Begin: &gateway.Begin{ReadOnly: true}, Insist: true, Continues: true,
+			Shape: &gateway.PreparedStatement{Writes: true, Text: "q2c"}, Begin: &gateway.Begin{ReadOnly: true}, Insist: true, Continues: true,
 			Request: gateway.Request{ID: "5c0e", Text: "EXEC s1 1a4", Statement: gateway.Execute{Name: "s1", Arguments: "1a4"}},
 		}}},
 		"link_close":     &linkRequest{lane: 4, closes: true},
--- a/io/peer/gateway_messages.go
+++ b/io/peer/gateway_messages.go
@@ -37,7 +37,7 @@
 }
 
 // shapeMessage is the text of a prepared statement on the wire.
-type shapeMessage gateway.Shape
+type shapeMessage gateway.PreparedStatement
 
 func (m *shapeMessage) fields(w *fieldWriter) {
 	w.bool("writes", m.Writes)
@@ -273,7 +273,7 @@
 			q.Values[v.name] = v.value
 		}
 	case "shape":
-		q.Shape = &gateway.Shape{}
+		q.Shape = &gateway.PreparedStatement{}
 		r.message((*shapeMessage)(q.Shape))
 	case "begin":
 		q.Begin = &gateway.Begin{}
@@ -383,7 +383,7 @@
 	return false
 }
 
-// recallReply is a gateway.Recalled on the wire: running, or else a reply, or else
+// recallReply is a gateway.RequestOutcome on the wire: running, or else a reply, or else
 // unknown to the process.
 type recallReply struct {
 	running bool
--- a/io/peer/gateway_server.go
+++ b/io/peer/gateway_server.go
@@ -67,11 +67,11 @@
 
 func answerRecall(h *gateway.Host, in *recallRequest) *recallReply {
 	switch got := h.Recall(in.from, in.serial).(type) {
-	case gateway.RecalledRunning:
+	case gateway.OutcomeRunning:
 		return &recallReply{running: true}
-	case gateway.RecalledDone:
+	case gateway.OutcomeDone:
 		return &recallReply{reply: (*laneReply)(got.Reply)}
-	case gateway.RecalledUnknown:
+	case gateway.OutcomeUnknown:
 		return &recallReply{process: got.Process}
 	}
 	return &recallReply{}
--- a/io/peer/link_client.go
+++ b/io/peer/link_client.go
@@ -152,7 +152,7 @@
 	id   uint64
 }
 
-var _ gateway.Lane = (*lane)(nil)
+var _ gateway.Stream = (*lane)(nil)
 
 func (k *link) newLane() *lane {
 	k.mu.Lock()
@@ -161,7 +161,7 @@
 	return &lane{link: k, id: k.lanes}
 }
 
-// Do implements gateway.Lane.
+// Do implements gateway.Stream.
 func (l *lane) Do(ctx context.Context, r *gateway.PeerRequest) (*gateway.PeerReply, error) {
 	reply, err := l.link.ask(ctx, &linkRequest{lane: l.id, laneRequest: laneRequest{version: laneVersion, PeerRequest: *r}})
 	if err != nil {
@@ -210,13 +210,13 @@
 	return reply.recalled
 }
 
-// Close implements gateway.Lane.
+// Close implements gateway.Stream.
 func (l *lane) Close() {
 	// A link that has ended takes its lanes along.
 	_ = l.link.send(&linkRequest{lane: l.id, closes: true})
 }
 
-// Mistrust implements gateway.Lane.
+// Mistrust implements gateway.Stream.
 func (l *lane) Mistrust(age time.Duration) {
 	l.link.mu.Lock()
 	silent := time.Since(l.link.heard) > age
--- a/io/peer/link_server.go
+++ b/io/peer/link_server.go
@@ -23,7 +23,7 @@
 
 // servedLane is a lane with a request under way or a transaction open.
 type servedLane struct {
-	guest *gateway.Guest
+	guest *gateway.ForwardedSession
 	// running is true while a request is under way, and closed once the other side has
 	// given the lane up.
 	running, closed bool
--- a/io/peer/link_test.go
+++ b/io/peer/link_test.go
@@ -38,7 +38,7 @@
 	return r
 }
 
-func openLane(t *testing.T, c *GatewayClient, addr netip.AddrPort) gateway.Lane {
+func openLane(t *testing.T, c *GatewayClient, addr netip.AddrPort) gateway.Stream {
 	t.Helper()
 	l, err := c.Lane(t.Context(), addr)
 	if err != nil {
@@ -51,7 +51,7 @@
 	return NewGatewayClient(netip.MustParseAddr("127.0.0.1"), &Traffic{})
 }
 
-func mustDo(t *testing.T, l gateway.Lane, r *gateway.PeerRequest) *gateway.PeerReply {
+func mustDo(t *testing.T, l gateway.Stream, r *gateway.PeerRequest) *gateway.PeerReply {
 	t.Helper()
 	out, err := l.Do(t.Context(), r)
 	if err != nil {
@@ -152,7 +152,7 @@
 		t.Fatal("a silent link answered")
 	}
 	got, err := c.Recall(t.Context(), p.addr, lost.From, lost.Serial)
-	if _, unknown := got.(gateway.RecalledUnknown); err != nil || !unknown {
+	if _, unknown := got.(gateway.OutcomeUnknown); err != nil || !unknown {
 		t.Fatalf("recalled %#v, %v", got, err)
 	}
 	l.Mistrust(50 * time.Millisecond)
@@ -184,7 +184,7 @@
 		done <- err
 	}()
 	eventually(t, "the statement runs", func() bool { return h.Guests() == 1 })
-	if got, err := c.Recall(t.Context(), h.addr, r.From, r.Serial); got != (gateway.RecalledRunning{}) {
+	if got, err := c.Recall(t.Context(), h.addr, r.From, r.Serial); got != (gateway.OutcomeRunning{}) {
 		t.Errorf("while it runs: %#v, %v", got, err)
 	}
 	close(s.hold)
@@ -192,7 +192,7 @@
 		t.Fatal(err)
 	}
 	got, err := c.Recall(t.Context(), h.addr, r.From, r.Serial)
-	if kept, ok := got.(gateway.RecalledDone); err != nil || !ok || kept.Reply.Reply.Signature != "s" {
+	if kept, ok := got.(gateway.OutcomeDone); err != nil || !ok || kept.Reply.Reply.Signature != "s" {
 		t.Errorf("afterwards: %#v, %v", got, err)
 	}
 }
--- a/io/peer/stubsite_test.go
+++ b/io/peer/stubsite_test.go
@@ -123,7 +123,7 @@
 func (c *stubConn) run(command gateway.Command) gateway.Reply {
 	r := gateway.Reply{Position: group.Position{Term: 1, LSN: 5}}
 	switch command := command.(type) {
-	case gateway.Open:
+	case gateway.OpenTransaction:
 		c.open = true
 	case gateway.Abort:
 		c.open = false
@@ -145,7 +145,7 @@
 	return r
 }
 
-func (c *stubConn) Control(time.Duration, gateway.Order) (gateway.Status, error) {
+func (c *stubConn) Control(time.Duration, gateway.ControlCommand) (gateway.Status, error) {
 	return gateway.Status{Leads: c.leads, Term: 1, Received: group.Position{Term: 1, LSN: 5}}, nil
 }
 func (c *stubConn) Alive() bool  { return true }
