--- a/internal/gateway/account_test.go
+++ b/internal/gateway/account_test.go
@@ -73,11 +73,11 @@
 		s.put("config", withAccounts(52, 20, twoAccounts...), 0)
 		time.Sleep(2 * time.Second)
 		r := &PeerRequest{From: "old", Serial: 1, Group: testGroup, Route: Route{Class: freshness.Latest{}}, Request: Request{ID: "1", Statement: Read{}}}
-		if declined := h.NewGuest().Take(r); declined == nil || declined.Declined != AccountMissing {
+		if declined := h.NewForwardedSession().Accept(r); declined == nil || declined.Declined != AccountMissing {
 			t.Errorf("got %+v", declined)
 		}
 		r.Serial, r.Route.Public = 2, true
-		if declined := h.NewGuest().Take(r); declined != nil {
+		if declined := h.NewForwardedSession().Accept(r); declined != nil {
 			t.Errorf("a public route's statement was declined: %s", declined.Declined)
 		}
 	})
@@ -152,7 +152,7 @@
 			lines = append(lines, fmt.Sprintf("a%d k%d", i, i))
 		}
 		s.mu.Lock()
-		s.cap = 6
+		s.maxConns = 6
 		s.mu.Unlock()
 		s.put("config", withAccounts(52, 6, lines...), 0)
 		time.Sleep(2 * time.Second)
@@ -161,8 +161,8 @@
 				t.Errorf("account %d: %v", n*7%10, r.Failure)
 			}
 		}
-		if s.peak > 6 {
-			t.Errorf("%d connections at once", s.peak)
+		if s.peakConns > 6 {
+			t.Errorf("%d connections at once", s.peakConns)
 		}
 		if got := s.accounts(); len(got) != 10 {
 			t.Errorf("statements by account: %v", got)
--- a/internal/gateway/acquire.go
+++ b/internal/gateway/acquire.go
@@ -13,34 +13,34 @@
 
 // acquisition is a duty that is about to be taken.
 type acquisition struct {
-	duty *coordinator
-	// entry is the revision of the entry before, or zero if there is none.
-	entry kv.Revision
+	coordinator *coordinator
+	// entryRevision is the revision of the entry before, or zero if there is none.
+	entryRevision kv.Revision
 	// record is what the record of the holder before says, and what this one leaves, if it is written along.
 	record      *inheritedRecord
 	transaction kv.Transaction
 }
 
-// take takes duties, several with a call.
-func (h *Host) take(ctx context.Context, due []*coordinator) {
+// acquireCoordinators takes duties, several with a call.
+func (h *Host) acquireCoordinators(ctx context.Context, due []*coordinator) {
 	for some := range slices.Chunk(due, acquireBatchSize) {
-		h.takeTogether(ctx, some)
+		h.acquireBatch(ctx, some)
 	}
 }
 
-// takeTogether takes duties with one call, or each by itself if not all of them are to be had.
-func (h *Host) takeTogether(ctx context.Context, due []*coordinator) {
-	lease, renewed, err := h.holding.get(ctx)
+// acquireBatch takes duties with one call, or each by itself if not all of them are to be had.
+func (h *Host) acquireBatch(ctx context.Context, due []*coordinator) {
+	lease, renewed, err := h.coordinatorLease.ensure(ctx)
 	if err != nil {
 		for _, d := range due {
-			d.notTaken(err, false)
+			d.acquireFailed(err, false)
 		}
 		return
 	}
 	var together kv.Transaction
 	var takings []acquisition
 	for _, d := range due {
-		t := d.prepare(lease)
+		t := d.prepareAcquisition(lease)
 		takings = append(takings, t)
 		together = together.And(t.transaction)
 	}
@@ -50,40 +50,40 @@
 	switch {
 	case err == nil:
 		for _, t := range takings {
-			t.duty.took(ctx, t, revision, lease, renewed)
+			t.coordinator.completeAcquisition(ctx, t, revision, lease, renewed)
 		}
 		return
 	case errors.Is(err, ErrConflict) && len(due) > 1:
 		for _, d := range due {
-			h.takeTogether(ctx, []*coordinator{d})
+			h.acquireBatch(ctx, []*coordinator{d})
 		}
 		return
 	case errors.Is(err, ErrNoLease):
-		h.holding.forget(lease)
+		h.coordinatorLease.forget(lease)
 	}
 	for _, d := range due {
-		d.notTaken(err, true)
+		d.acquireFailed(err, true)
 	}
 }
 
-// prepare returns what takes the duty. The record is written along, from what this host knows of it: if it is another
+// prepareAcquisition returns what takes the duty. The record is written along, from what this host knows of it: if it is another
 // one by now, the call fails, and the next one leaves it out.
-func (d *coordinator) prepare(lease int64) acquisition {
+func (d *coordinator) prepareAcquisition(lease int64) acquisition {
 	h := d.host
 	h.mu.Lock()
-	entry, _ := h.known.Item(h.dutyKey(d.group.name))
-	read, _ := h.known.Item(h.recordKey(d.group.name))
-	epoch := h.known.Revision().Epoch()
+	entry, _ := h.storeView.Item(h.coordinatorKey(d.group.name))
+	read, _ := h.storeView.Item(h.recordKey(d.group.name))
+	epoch := h.storeView.Revision().Epoch()
 	h.mu.Unlock()
-	t := acquisition{duty: d}
+	t := acquisition{coordinator: d}
 	if string(entry.Value) == h.settings.Host {
-		t.entry = entry.Revision
+		t.entryRevision = entry.Revision
 	}
-	t.transaction = kv.Replace(h.dutyKey(d.group.name), t.entry, []byte(h.settings.Host), lease)
-	if d.apart {
+	t.transaction = kv.Replace(h.coordinatorKey(d.group.name), t.entryRevision, []byte(h.settings.Host), lease)
+	if d.recordSeparately {
 		return t
 	}
-	i := d.inheritance(read, epoch)
+	i := d.newInheritedRecord(read, epoch)
 	value, err := encodeRecord(i.record)
 	if err != nil {
 		d.log("record_not_written", "err", err)
@@ -94,22 +94,22 @@
 	return t
 }
 
-// took records that the duty was taken.
-func (d *coordinator) took(ctx context.Context, t acquisition, revision kv.Revision, lease int64, renewed time.Time) {
+// completeAcquisition records that the duty was taken.
+func (d *coordinator) completeAcquisition(ctx context.Context, t acquisition, revision kv.Revision, lease int64, renewed time.Time) {
 	d.mu.Lock()
-	d.held, d.lease, d.token, d.since, d.renewed, d.unbroken = true, lease, revision, d.host.now(), renewed, true
-	d.reclaimed, d.handedBack, d.raisedAt = t.entry != 0 && !d.unsure, false, time.Time{}
-	d.unsure, d.first = false, 0
-	d.inherited, d.ordered, d.recordRevision, d.standing, d.grants, d.resigned = false, "", 0, primaryStatus{}, leadership.Grants{}, false
+	d.held, d.lease, d.token, d.acquiredAt, d.renewedAt, d.renewalsUnbroken = true, lease, revision, d.host.now(), renewed, true
+	d.reclaimed, d.predecessorHandedBack, d.tokenRaisedAt = t.entryRevision != 0 && !d.writeUncertain, false, time.Time{}
+	d.writeUncertain, d.firstToken = false, 0
+	d.recordInherited, d.pendingMember, d.recordRevision, d.primaryStatus, d.grants, d.resigning = false, "", 0, primaryStatus{}, leadership.Grants{}, false
 	d.mu.Unlock()
-	d.vacant, d.takePause, d.apart = time.Time{}, 0, false
+	d.vacantSince, d.acquireBackoff, d.recordSeparately = time.Time{}, 0, false
 	d.log("duty_taken", "token", int64(revision))
-	d.group.resumeAll()
+	d.group.clearAllReplacements()
 	if t.record != nil && t.record.record.Epoch == revision.Epoch() {
-		d.wrote(t.record.record, revision)
-		d.adopt(*t.record)
+		d.noteRecordWritten(t.record.record, revision)
+		d.adoptRecord(*t.record)
 	} else {
-		d.tryInherit(ctx)
+		d.tryInheritRecord(ctx)
 	}
-	d.group.wakeHolder()
+	d.group.wakeCoordinator()
 }
--- a/internal/gateway/config.go
+++ b/internal/gateway/config.go
@@ -29,8 +29,8 @@
 	Class freshness.Class
 	// Timeout bounds a statement.
 	Timeout time.Duration
-	// Target is the latency objective of a whole operation.
-	Target time.Duration
+	// LatencyTarget is the latency objective of a whole operation.
+	LatencyTarget time.Duration
 	// Priority is 0 for the most important.
 	Priority int
 	// Public routes ask callers for no account.
@@ -45,8 +45,8 @@
 	SyncReplicas int
 }
 
-// shortestAges returns, by group, the shortest age that one of its routes accepts.
-func (c *Config) shortestAges() map[string]time.Duration {
+// maxStalenessByGroup returns, by group, the shortest age that one of its routes accepts.
+func (c *Config) maxStalenessByGroup() map[string]time.Duration {
 	out := map[string]time.Duration{}
 	for _, r := range c.Routes {
 		age, ok := r.Class.(freshness.MaxAge)
@@ -57,8 +57,8 @@
 	return out
 }
 
-// describes reports whether there is such a group.
-func (c *Config) describes(group string) bool {
+// hasGroup reports whether there is such a group.
+func (c *Config) hasGroup(group string) bool {
 	_, ok := c.Groups[group]
 	return ok
 }
--- a/internal/gateway/conn_setup.go
+++ b/internal/gateway/conn_setup.go
@@ -11,10 +11,10 @@
 // preparedName is a connection's name of its n-th prepared statement.
 func preparedName(n int) string { return "p" + strconv.Itoa(n) }
 
-// layout returns the commands that bring the connection to the session's values
+// setupCommands returns the commands that bring the connection to the session's values
 // and a prepared shape, and the connection's name of that shape.
-func (p *pooledConn) layout(values map[string]string, shape *PreparedStatement) (out []Command, name string) {
-	reset := len(p.shapes) >= maxPreparedPerConn
+func (p *pooledConn) setupCommands(values map[string]string, shape *PreparedStatement) (out []Command, name string) {
+	reset := len(p.prepared) >= maxPreparedPerConn
 	for k := range p.values {
 		if _, ok := values[k]; !ok {
 			reset = true
@@ -23,7 +23,7 @@
 	if reset {
 		out = append(out, Reset{})
 		clear(p.values)
-		clear(p.shapes)
+		clear(p.prepared)
 	}
 	for k, v := range values {
 		if old, ok := p.values[k]; !ok || old != v {
@@ -34,10 +34,10 @@
 	if shape == nil {
 		return out, ""
 	}
-	name, ok := p.shapes[*shape]
+	name, ok := p.prepared[*shape]
 	if !ok {
-		name = preparedName(len(p.shapes))
-		p.shapes[*shape] = name
+		name = preparedName(len(p.prepared))
+		p.prepared[*shape] = name
 		out = append(out, Define{name, *shape})
 	}
 	return out, name
--- a/internal/gateway/connections.go
+++ b/internal/gateway/connections.go
@@ -22,12 +22,12 @@
 
 // pooledConn is a connection of a group's pool.
 type pooledConn struct {
-	conn   Conn
-	slot   *pool.Conn
-	member *member
+	conn     Conn
+	poolConn *pool.Conn
+	member   *member
 	// values and shapes are what the connection holds beyond a reset.
-	values map[string]string
-	shapes map[PreparedStatement]string
+	values   map[string]string
+	prepared map[PreparedStatement]string
 }
 
 var (
@@ -40,26 +40,26 @@
 // acquire returns a connection that fits, waiting for one until the deadline.
 func (g *Group) acquire(ctx context.Context, n pool.Need) (*pooledConn, error) {
 	g.mu.Lock()
-	if n.SendOn && g.primaryLost() {
+	if n.SendOn && g.primaryUnreachableLocked() {
 		g.mu.Unlock()
-		g.wantLeader()
+		g.ensurePrimary()
 		return nil, errReroute
 	}
 	if c := g.pool.Take(n, g.now()); c != nil {
-		p := g.links[c]
-		g.carryOut()
+		p := g.conns[c]
+		g.executePoolOrders()
 		g.mu.Unlock()
 		return p, nil
 	}
 	w, got := g.enqueue(n)
 	g.mu.Unlock()
 	if n.Primary {
-		g.wantLeader()
+		g.ensurePrimary()
 	}
 	timer := time.NewTimer(n.Deadline.Sub(g.now()))
 	defer timer.Stop()
 	queued := g.now()
-	defer func() { g.meters.wait(g.name, g.now().Sub(queued)) }()
+	defer func() { g.metrics.connWait(g.name, g.now().Sub(queued)) }()
 	select {
 	case p := <-got:
 		return connOrReroute(p)
@@ -91,52 +91,52 @@
 	got := make(chan *pooledConn, 1)
 	w := g.pool.Wait(n)
 	g.waiting[w] = got
-	g.queuedAt = g.now()
-	g.waited++
+	g.lastQueuedAt = g.now()
+	g.waitCount++
 	g.dispatch()
-	if !g.ticking {
-		g.ticking = true
-		time.AfterFunc(waiterRecheckInterval, g.tick)
+	if !g.recheckScheduled {
+		g.recheckScheduled = true
+		time.AfterFunc(waiterRecheckInterval, g.recheckWaiters)
 	}
 	return w, got
 }
 
-// tick looks at the waiting statements again while there are any.
-func (g *Group) tick() {
+// recheckWaiters looks at the waiting statements again while there are any.
+func (g *Group) recheckWaiters() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.dispatch()
-	g.ticking = g.pool.Waiting() > 0
-	if g.ticking {
-		time.AfterFunc(waiterRecheckInterval, g.tick)
+	g.recheckScheduled = g.pool.Waiting() > 0
+	if g.recheckScheduled {
+		time.AfterFunc(waiterRecheckInterval, g.recheckWaiters)
 	}
 }
 
 // dispatch gives idle connections to statements that wait, and opens more where it may.
 func (g *Group) dispatch() {
-	g.pool.Dispatch(g.now(), g.primaryLost())
-	g.carryOut()
+	g.pool.Dispatch(g.now(), g.primaryUnreachableLocked())
+	g.executePoolOrders()
 }
 
-// carryOut does what the pool has decided.
-func (g *Group) carryOut() {
+// executePoolOrders does what the pool has decided.
+func (g *Group) executePoolOrders() {
 	for _, o := range g.pool.Orders() {
 		switch o := o.(type) {
 		case pool.Give:
-			g.waiting[o.To] <- g.links[o.Conn]
+			g.waiting[o.To] <- g.conns[o.Conn]
 			delete(g.waiting, o.To)
 		case pool.Open:
 			m := g.members[o.Member]
 			go g.dial(m, m.Member, o.Account)
 		case pool.Close:
-			g.closeLater(g.links[o.Conn])
-			delete(g.links, o.Conn)
+			g.closeAsync(g.conns[o.Conn])
+			delete(g.conns, o.Conn)
 		}
 	}
 }
 
-// closeLater closes a connection without holding the lock up.
-func (g *Group) closeLater(p *pooledConn) {
+// closeAsync closes a connection without holding the lock up.
+func (g *Group) closeAsync(p *pooledConn) {
 	go func() {
 		if err := p.conn.Close(); err != nil {
 			g.log("member_close", "member", p.member.ID, "err", err)
@@ -151,23 +151,23 @@
 	conn, err := g.dialer.Dial(ctx, target, account)
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.opened(m, account, conn, err)
+	g.addConn(m, account, conn, err)
 	g.dispatch()
 }
 
-// opened takes over a connection, or the reason why there is none. It returns nil without one.
-func (g *Group) opened(m *member, account string, conn Conn, err error) *pooledConn {
+// addConn takes over a connection, or the reason why there is none. It returns nil without one.
+func (g *Group) addConn(m *member, account string, conn Conn, err error) *pooledConn {
 	if err != nil {
 		g.dialFailed(m, account, err)
 		return nil
 	}
-	p := &pooledConn{conn: conn, member: m, values: map[string]string{}, shapes: map[PreparedStatement]string{}}
-	p.slot = g.pool.Opened(m.conns, account, g.now())
-	if p.slot == nil {
-		g.closeLater(p)
+	p := &pooledConn{conn: conn, member: m, values: map[string]string{}, prepared: map[PreparedStatement]string{}}
+	p.poolConn = g.pool.Opened(m.poolMember, account, g.now())
+	if p.poolConn == nil {
+		g.closeAsync(p)
 		return nil
 	}
-	g.links[p.slot] = p
+	g.conns[p.poolConn] = p
 	m.silentSince = time.Time{}
 	return p
 }
@@ -177,52 +177,52 @@
 	var failure *Failure
 	switch {
 	case !errors.As(err, &failure):
-		g.pool.Failed(m.conns, account, false, now)
-		g.suspect(m, now, err)
+		g.pool.Failed(m.poolMember, account, false, now)
+		g.markSuspect(m, now, err)
 	case failure.Code == Misrouted:
 		g.log("member_replaced", "member", m.ID, "err", err)
-		g.pool.Refused(m.conns, account)
-		g.drop(m)
+		g.pool.Refused(m.poolMember, account)
+		g.dropMember(m)
 	default:
-		g.pool.Failed(m.conns, account, true, now)
+		g.pool.Failed(m.poolMember, account, true, now)
 	}
 }
 
-// drop gives up a member whose address belongs to another one, or that is no longer there.
-func (g *Group) drop(m *member) {
+// dropMember gives up a member whose address belongs to another one, or that is no longer there.
+func (g *Group) dropMember(m *member) {
 	m.gone = true
-	g.pool.Drop(m.conns)
-	g.carryOut()
+	g.pool.Drop(m.poolMember)
+	g.executePoolOrders()
 }
 
 // release gives a connection back after a statement or a transaction.
 func (g *Group) release(p *pooledConn) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.pool.Release(p.slot, g.now())
+	g.pool.Release(p.poolConn, g.now())
 	g.dispatch()
 }
 
-// rest records that the connection is held by a transaction between statements.
-func (g *Group) rest(p *pooledConn) {
+// markResting records that the connection is held by a transaction between statements.
+func (g *Group) markResting(p *pooledConn) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.pool.Rest(p.slot)
+	g.pool.Rest(p.poolConn)
 	g.dispatch()
 }
 
-// shed records that the member had no room for a statement.
-func (g *Group) shed(m *member) {
+// noteBusy records that the member had no room for a statement.
+func (g *Group) noteBusy(m *member) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	m.conns.Shed(g.now(), g.hosts)
+	m.poolMember.Shed(g.now(), g.hosts)
 }
 
-// grown records that the member ran a statement.
-func (g *Group) grown(m *member) {
+// noteRan records that the member ran a statement.
+func (g *Group) noteRan(m *member) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	m.conns.Ran()
+	m.poolMember.Ran()
 }
 
 // discard closes a connection in place of giving it back. err is what went wrong
@@ -230,21 +230,21 @@
 func (g *Group) discard(p *pooledConn, err error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.pool.Discard(p.slot)
+	g.pool.Discard(p.poolConn)
 	if err != nil {
-		g.suspect(p.member, g.now(), err)
+		g.markSuspect(p.member, g.now(), err)
 	}
 	g.dispatch()
 }
 
-// openAhead opens a connection to the primary if there is none, while it is being proven to
+// preopen opens a connection to the primary if there is none, while it is being proven to
 // lead.
-func (g *Group) openAhead(account string) {
+func (g *Group) preopen(account string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if m := g.members[g.leader]; m != nil {
-		g.pool.Ahead(m.conns, account, g.now())
-		g.carryOut()
+	if m := g.members[g.primaryID]; m != nil {
+		g.pool.Ahead(m.poolMember, account, g.now())
+		g.executePoolOrders()
 	}
 }
 
@@ -253,36 +253,36 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := g.now()
-	g.forget(now)
-	g.tryAdopt()
-	g.pool.Trim(now, g.hosts, g.warm)
-	g.carryOut()
+	g.forgetMembers(now)
+	g.tryAdoptFloor()
+	g.pool.Trim(now, g.hosts, g.warmConns)
+	g.executePoolOrders()
 }
 
-// warm is how many connections to a member the host keeps open though nobody uses them.
+// warmConns is how many connections to a member the host keeps open though nobody uses them.
 // A host that serves for many others needs them soon: without them, 13 in 100 statements of
 // the first two seconds of a day were late at 64 hosts, and 3 with them. Where every
 // host serves for itself, others need the connections more.
-func (g *Group) warm(m *pool.Member) int {
-	if !g.pooled() {
+func (g *Group) warmConns(m *pool.Member) int {
+	if !g.hasDedicatedServers() {
 		return 0
 	}
 	return min(g.share(), g.members[m.ID()].Slots)
 }
 
-// suspect records that the member did not answer.
-func (g *Group) suspect(m *member, now time.Time, err error) {
+// markSuspect records that the member did not answer.
+func (g *Group) markSuspect(m *member, now time.Time, err error) {
 	if now.After(m.suspectUntil) {
-		g.log("member_suspect", "member", m.ID, "leads", m.ID == g.leader, "err", err)
+		g.log("member_suspect", "member", m.ID, "leads", m.ID == g.primaryID, "err", err)
 	}
 	m.suspectUntil = now.Add(suspectPeriod)
 	if m.silentSince.IsZero() {
 		m.silentSince = now
 	}
-	if m.ID == g.leader {
-		go g.wantLeader()
-		g.wakeHolder()
-		g.askAgain()
+	if m.ID == g.primaryID {
+		go g.ensurePrimary()
+		g.wakeCoordinator()
+		g.signalLease()
 	}
 }
 
--- a/internal/gateway/coordinator.go
+++ b/internal/gateway/coordinator.go
@@ -49,119 +49,119 @@
 	// with each holder, and with each decision of one, also if the store came back from an older copy in
 	// between. It is the fencing token.
 	token kv.Revision
-	// since is when the duty was taken; renewed is when the entry was last known to be this host's.
-	since, renewed time.Time
-	// unbroken is true while each renewal of the lease since then has succeeded.
-	unbroken bool
-	// unsure is true after a write of the entry whose outcome is not known: an entry of this host may then be a later
+	// acquiredAt is when the duty was taken; renewedAt is when the entry was last known to be this host's.
+	acquiredAt, renewedAt time.Time
+	// renewalsUnbroken is true while each renewal of the lease since then has succeeded.
+	renewalsUnbroken bool
+	// writeUncertain is true after a write of the entry whose outcome is not known: an entry of this host may then be a later
 	// one than the holder's before.
-	unsure bool
-	// raisedAt is when the platform first acknowledged a token of this host since it took the duty, or
+	writeUncertain bool
+	// tokenRaisedAt is when the platform first acknowledged a token of this host since it took the duty, or
 	// zero.
-	raisedAt time.Time
+	tokenRaisedAt time.Time
 	// record is the last one that this host has written of the group, in any time that it held the duty. It lies
 	// in the store for the next holder, as written at recordRevision.
 	// That is zero while it is not known.
 	record         leadership.Found
 	recordRevision kv.Revision
-	// inherited is true once the record of the holder before was read.
-	inherited bool
-	// standing is what leases on the primary are granted on, and grants are those that may
+	// recordInherited is true once the record of the holder before was read.
+	recordInherited bool
+	// primaryStatus is what leases on the primary are granted on, and grants are those that may
 	// hold.
-	standing primaryStatus
-	grants   leadership.Grants
-	// reclaimed is true if the duty was an earlier process's of this host, and handedBack if its
+	primaryStatus primaryStatus
+	grants        leadership.Grants
+	// reclaimed is true if the duty was an earlier process's of this host, and predecessorHandedBack if its
 	// holder had given it back.
-	reclaimed, handedBack bool
-	// woken is when a question that brought no lease last woke the holder.
-	woken time.Time
-	// resigned is true once the duty is being given up while its leases end.
-	resigned bool
-	// vacant is since when nobody has held the duty, or zero. After a try to take it that failed the next
-	// one comes no sooner than retryAt, after takePause.
-	vacant, retryAt time.Time
-	takePause       time.Duration
-	// apart is true if the record is to be read and written after the duty was taken, not along with it.
-	apart bool
-	// ordered is the member named by the last order, orderedToken its token and orderedAt
+	reclaimed, predecessorHandedBack bool
+	// lastWoken is when a question that brought no lease last woke the holder.
+	lastWoken time.Time
+	// resigning is true once the duty is being given up while its leases end.
+	resigning bool
+	// vacantSince is since when nobody has held the duty, or zero. After a try to take it that failed the next
+	// one comes no sooner than nextAcquireAt, after acquireBackoff.
+	vacantSince, nextAcquireAt time.Time
+	acquireBackoff             time.Duration
+	// recordSeparately is true if the record is to be read and written after the duty was taken, not along with it.
+	recordSeparately bool
+	// pendingMember is the member named by the last order, pendingToken its token and pendingAt
 	// when it was given last, until it is seen to lead. Empty means that no order is open.
-	ordered      string
-	orderedToken kv.Revision
-	orderedAt    time.Time
-	// raised is the highest token that the platform has acknowledged: orders with
+	pendingMember string
+	pendingToken  kv.Revision
+	pendingAt     time.Time
+	// raisedToken is the highest token that the platform has acknowledged: orders with
 	// lower ones are refused from then on.
-	raised kv.Revision
-	// first is the token if the group had no holder before that could have ordered anything, or zero: the platform need
+	raisedToken kv.Revision
+	// firstToken is the token if the group had no holder before that could have ordered anything, or zero: the platform need
 	// not see it before leases are granted.
-	first kv.Revision
+	firstToken kv.Revision
 }
 
-func (h *Host) dutyKey(group string) string { return h.ports.Keys.Own + "duty/" + group }
+func (h *Host) coordinatorKey(group string) string { return h.ports.Keys.Own + "duty/" + group }
 
-// serveDuties takes duties that fall to this host, and keeps those it holds. It looks after the leases of the same
+// runCoordinators takes duties that fall to this host, and keeps those it holds. It looks after the leases of the same
 // groups, beginning as soon as there is such a group.
-func (h *Host) serveDuties(ctx context.Context) {
+func (h *Host) runCoordinators(ctx context.Context) {
 	var wait sync.WaitGroup
 	defer wait.Wait()
-	for h.awaitLook(ctx) {
+	for h.awaitCoordinatorPoll(ctx) {
 		var due []*coordinator
 		for _, g := range h.allGroups() {
-			if d := h.look(ctx, g, wait.Go); d != nil && d.tend(ctx) {
+			if d := h.startGroup(ctx, g, wait.Go); d != nil && d.step(ctx) {
 				due = append(due, d)
 			}
 		}
-		h.take(ctx, due)
-		h.dropUnneeded()
+		h.acquireCoordinators(ctx, due)
+		h.dropUnusedGroups()
 	}
-	for _, d := range h.heldDuties() {
-		d.lose("stopping")
+	for _, d := range h.heldCoordinators() {
+		d.loseRole("stopping")
 	}
-	h.holding.end()
+	h.coordinatorLease.end()
 }
 
-// heldDuties returns the duties that the host holds.
-func (h *Host) heldDuties() []*coordinator {
+// heldCoordinators returns the duties that the host holds.
+func (h *Host) heldCoordinators() []*coordinator {
 	h.mu.Lock()
-	duties := slices.Collect(maps.Values(h.duties))
+	duties := slices.Collect(maps.Values(h.coordinators))
 	h.mu.Unlock()
 	return slices.DeleteFunc(duties, func(d *coordinator) bool { return !d.isHeld() })
 }
 
-// awaitLook waits until the duties are to be looked at again, or a Group has come into being. It returns false when ctx
+// awaitCoordinatorPoll waits until the duties are to be looked at again, or a Group has come into being. It returns false when ctx
 // ended.
-func (h *Host) awaitLook(ctx context.Context) bool {
+func (h *Host) awaitCoordinatorPoll(ctx context.Context) bool {
 	due := time.NewTimer(coordinatorPollInterval)
 	defer due.Stop()
 	select {
 	case <-ctx.Done():
 		return false
-	case <-h.grouped:
+	case <-h.groupCreated:
 	case <-due.C:
 	}
 	return true
 }
 
-// tend does what is due about the duty, and reports whether it is to be taken.
-func (d *coordinator) tend(ctx context.Context) (takes bool) {
+// step does what is due about the duty, and reports whether it is to be taken.
+func (d *coordinator) step(ctx context.Context) (takes bool) {
 	now := d.host.now()
 	state, holder := d.state()
 	switch state.Next() {
 	case leadership.LoseToRestore:
-		d.lose(reasonStoreRestored)
+		d.loseRole(reasonStoreRestored)
 	case leadership.LoseToHolder:
-		d.lose("taken by " + holder)
+		d.loseRole("taken by " + holder)
 	case leadership.LoseToRemoval:
-		d.lose("entry taken away")
+		d.loseRole("entry taken away")
 	case leadership.ResignDuty:
 		d.resign(ctx)
 	case leadership.InheritRecord:
-		d.tryInherit(ctx)
+		d.tryInheritRecord(ctx)
 	case leadership.ReclaimDuty:
 		return true
 	case leadership.ForgetVacancy:
-		d.vacant, d.takePause = time.Time{}, 0
+		d.vacantSince, d.acquireBackoff = time.Time{}, 0
 	case leadership.ClaimDuty:
-		return d.claims(now)
+		return d.mayClaim(now)
 	}
 	return false
 }
@@ -170,36 +170,36 @@
 func (d *coordinator) state() (s leadership.DutyState, holder string) {
 	h := d.host
 	h.mu.Lock()
-	entry, _ := h.known.Item(h.dutyKey(d.group.name))
-	known, informed := h.known.Revision(), h.known.Recent()
+	entry, _ := h.storeView.Item(h.coordinatorKey(d.group.name))
+	known, informed := h.storeView.Revision(), h.storeView.Recent()
 	h.mu.Unlock()
 	holder = string(entry.Value)
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return leadership.DutyState{
 		Held: d.held, Token: d.token, Entry: entry.Revision, Own: holder == h.settings.Host, Known: known,
-		Stopping: h.stopping.Load(), MayServe: h.mayServe(), Candidate: h.candidate(d.group.name), Informed: informed, Inherited: d.recordRevision != 0,
+		Stopping: h.stopping.Load(), MayServe: h.mayCoordinate(), Candidate: h.isCandidate(d.group.name), Informed: informed, Inherited: d.recordRevision != 0,
 	}, holder
 }
 
-// claims reports whether nobody has held the duty for as long as hosts of a higher rank are given to take it.
-func (d *coordinator) claims(now time.Time) bool {
-	if d.vacant.IsZero() {
-		d.vacant = now
+// mayClaim reports whether nobody has held the duty for as long as hosts of a higher rank are given to take it.
+func (d *coordinator) mayClaim(now time.Time) bool {
+	if d.vacantSince.IsZero() {
+		d.vacantSince = now
 		return false
 	}
-	wait := leadership.ClaimWait(d.host.fleet.Place(d.group.name), d.host.known.Lag())
-	return now.Sub(d.vacant) >= wait && !now.Before(d.retryAt)
+	wait := leadership.ClaimWait(d.host.fleet.Place(d.group.name), d.host.storeView.Lag())
+	return now.Sub(d.vacantSince) >= wait && !now.Before(d.nextAcquireAt)
 }
 
-// candidate reports whether the host is among the first that take a group's duty when nobody holds it.
-func (h *Host) candidate(name string) bool { return h.ports.Peers == nil || h.fleet.Candidate(name) }
+// isCandidate reports whether the host is among the first that take a group's duty when nobody holds it.
+func (h *Host) isCandidate(name string) bool { return h.ports.Peers == nil || h.fleet.Candidate(name) }
 
-// mayServe reports whether the host may take on duties.
-func (h *Host) mayServe() bool { return !h.stopping.Load() && h.synced.Load() }
+// mayCoordinate reports whether the host may take on duties.
+func (h *Host) mayCoordinate() bool { return !h.stopping.Load() && h.synced.Load() }
 
-func (d *coordinator) tryInherit(ctx context.Context) {
-	if err := d.inherit(ctx); err != nil {
+func (d *coordinator) tryInheritRecord(ctx context.Context) {
+	if err := d.inheritRecord(ctx); err != nil {
 		d.log("record_not_inherited", "err", err)
 	}
 }
@@ -208,39 +208,39 @@
 // end first, since the next holder does not know them.
 func (d *coordinator) resign(ctx context.Context) {
 	d.mu.Lock()
-	again := d.resigned
-	d.resigned = true
+	again := d.resigning
+	d.resigning = true
 	d.mu.Unlock()
 	if again {
 		return
 	}
 	go func() {
 		w := &groupMonitor{coordinator: d}
-		w.recall(ctx, true)
+		w.revokeLeases(ctx, true)
 		d.host.quotas.Lost(d.group.name)
 		w.handBack()
-		d.lose("stopping")
+		d.loseRole("stopping")
 	}()
 }
 
-// notTaken puts the next try off. wrote is true if the outcome may be another one.
-func (d *coordinator) notTaken(err error, wrote bool) {
+// acquireFailed puts the next try off. wrote is true if the outcome may be another one.
+func (d *coordinator) acquireFailed(err error, wrote bool) {
 	d.log("duty_not_taken", "err", err)
 	d.mu.Lock()
-	d.unsure = d.unsure || wrote && !errors.Is(err, ErrConflict)
+	d.writeUncertain = d.writeUncertain || wrote && !errors.Is(err, ErrConflict)
 	d.mu.Unlock()
-	d.vacant, d.apart = d.host.now(), true
-	d.takePause = min(max(2*d.takePause, minAcquireBackoff), maxAcquireBackoff)
-	d.retryAt = d.vacant.Add(d.takePause)
+	d.vacantSince, d.recordSeparately = d.host.now(), true
+	d.acquireBackoff = min(max(2*d.acquireBackoff, minAcquireBackoff), maxAcquireBackoff)
+	d.nextAcquireAt = d.vacantSince.Add(d.acquireBackoff)
 }
 
 // errEntryLost means that the duty's entry is not this host's any more.
 var errEntryLost = errors.New("the duty's entry is gone or another host's")
 
-// stillOwn looks at the duty's entry.
-func (d *coordinator) stillOwn(ctx context.Context) error {
-	key := d.host.dutyKey(d.group.name)
-	i, err := d.host.read(ctx, key)
+// checkEntry looks at the duty's entry.
+func (d *coordinator) checkEntry(ctx context.Context) error {
+	key := d.host.coordinatorKey(d.group.name)
+	i, err := d.host.readKey(ctx, key)
 	if err != nil {
 		return err
 	}
@@ -258,9 +258,9 @@
 // errStoreRestored means that a write was carried out in another epoch than the duty was taken in.
 var errStoreRestored = errors.New(reasonStoreRestored)
 
-// commit carries a transaction out under the duty that was taken in an epoch, as Store.Commit does. In another epoch the
+// commitInEpoch carries a transaction out under the duty that was taken in an epoch, as Store.Commit does. In another epoch the
 // number that was compared may have stood for another content: such a write says nothing.
-func (d *coordinator) commit(ctx context.Context, taken kv.Epoch, t kv.Transaction) (kv.Revision, error) {
+func (d *coordinator) commitInEpoch(ctx context.Context, taken kv.Epoch, t kv.Transaction) (kv.Revision, error) {
 	written, err := d.host.ports.Store.Commit(ctx, t)
 	if err == nil && written.Epoch() != taken {
 		return 0, errors.Wrapf(errStoreRestored, "written at %v, taken in epoch %d", written, taken)
@@ -268,11 +268,11 @@
 	return written, err
 }
 
-// lose records that the duty is no longer this host's.
-func (d *coordinator) lose(why string) {
+// loseRole records that the duty is no longer this host's.
+func (d *coordinator) loseRole(why string) {
 	d.mu.Lock()
 	held := d.held
-	d.held, d.standing = false, primaryStatus{}
+	d.held, d.primaryStatus = false, primaryStatus{}
 	d.mu.Unlock()
 	if held {
 		d.host.quotas.Lost(d.group.name)
@@ -280,60 +280,60 @@
 	}
 }
 
-// takenAt returns when the duty was last taken.
-func (d *coordinator) takenAt() time.Time {
+// acquiredTime returns when the duty was last taken.
+func (d *coordinator) acquiredTime() time.Time {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.since
+	return d.acquiredAt
 }
 
-// heldSince returns the epoch in which the duty was taken.
-func (d *coordinator) heldSince() kv.Epoch {
+// acquiredEpoch returns the epoch in which the duty was taken.
+func (d *coordinator) acquiredEpoch() kv.Epoch {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.token.Epoch()
 }
 
-// certain reports whether nobody else can have held the duty at the given time, and replaced a primary.
-func (d *coordinator) certain(at time.Time) bool {
+// wasSoleHolder reports whether nobody else can have held the duty at the given time, and replaced a primary.
+func (d *coordinator) wasSoleHolder(at time.Time) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.held && at.Before(d.certainUntil())
+	return d.held && at.Before(d.soleHolderUntil())
 }
 
-// certainUntil returns until when this host may grant leases, and order without a token that the platform
+// soleHolderUntil returns until when this host may grant leases, and order without a token that the platform
 // checks. d.mu is held.
-func (d *coordinator) certainUntil() time.Time { return d.renewed.Add(leadership.Certainty) }
+func (d *coordinator) soleHolderUntil() time.Time { return d.renewedAt.Add(leadership.Certainty) }
 
-// unrecordedUntil returns until when an earlier holder may have ordered without a record: until
+// unrecordedPromotionsUntil returns until when an earlier holder may have ordered without a record: until
 // the platform had seen this host's token, until this process began if the holder was an earlier one of
 // the same host's, or the zero time if the holder had given the duty back. It returns false while the
 // platform has not seen it.
-func (d *coordinator) unrecordedUntil() (time.Time, bool) {
+func (d *coordinator) unrecordedPromotionsUntil() (time.Time, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	switch {
-	case d.handedBack:
+	case d.predecessorHandedBack:
 		return time.Time{}, true
 	case d.reclaimed:
 		return d.host.started, true
 	}
-	return d.raisedAt, !d.raisedAt.IsZero()
+	return d.tokenRaisedAt, !d.tokenRaisedAt.IsZero()
 }
 
-// outwaited returns when the leases have ended that earlier holders may have granted: at once if the one
+// predecessorLeasesEnd returns when the leases have ended that earlier holders may have granted: at once if the one
 // before had given the duty back, soon after its process ended if it was this host's, and else once it
 // can't be certain of its duty any more.
-func (d *coordinator) outwaited() time.Time {
+func (d *coordinator) predecessorLeasesEnd() time.Time {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	switch {
-	case d.handedBack:
+	case d.predecessorHandedBack:
 		return time.Time{}
 	case d.reclaimed:
 		return d.host.started.Add(leadership.Duration)
 	}
-	return d.since.Add(leadership.Certainty)
+	return d.acquiredAt.Add(leadership.Certainty)
 }
 
 // isHeld reports whether this host took the duty and knows of no other holder.
@@ -343,17 +343,17 @@
 	return d.held
 }
 
-// holds reports whether this host may order promotions. Where the platform checks
+// mayPromote reports whether this host may order promotions. Where the platform checks
 // fencing tokens, a holder goes on while it can't renew: whoever takes over raises
 // the token first, and its own orders are refused from then on. That lets a
 // holder act while the store is down. Elsewhere only a running lease counts.
-func (d *coordinator) holds() bool {
+func (d *coordinator) mayPromote() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if !d.held {
 		return false
 	}
-	return d.host.settings.PromotionTokens || d.host.now().Before(d.certainUntil())
+	return d.host.settings.PromotionTokens || d.host.now().Before(d.soleHolderUntil())
 }
 
 func (d *coordinator) log(event string, fields ...any) {
--- a/internal/gateway/coordinator_lease.go
+++ b/internal/gateway/coordinator_lease.go
@@ -18,16 +18,16 @@
 
 	mu    sync.Mutex
 	lease int64
-	// renewed is when the last renewal that succeeded, or the grant, was asked for; tried is when one was last tried.
-	renewed, tried time.Time
+	// renewedAt is when the last renewal that succeeded, or the grant, was asked for; triedAt is when one was last tried.
+	renewedAt, triedAt time.Time
 }
 
-// get returns the lease and when it was last renewed, after opening one if there is none. While it can't be renewed no
+// ensure returns the lease and when it was last renewed, after opening one if there is none. While it can't be renewed no
 // duty is to be taken under it. One goroutine calls it.
-func (l *coordinatorLease) get(ctx context.Context) (lease int64, renewed time.Time, err error) {
+func (l *coordinatorLease) ensure(ctx context.Context) (lease int64, renewed time.Time, err error) {
 	now := l.host.now()
 	l.mu.Lock()
-	lease, renewed = l.lease, l.renewed
+	lease, renewed = l.lease, l.renewedAt
 	l.mu.Unlock()
 	switch {
 	case lease != 0 && now.Sub(renewed) < 2*leadership.RenewalPause:
@@ -37,13 +37,13 @@
 	}
 	call, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
-	lease, err = l.host.ports.Store.Grant(call, max(coordinatorLeaseTTL, l.host.settings.LeaseFloor))
+	lease, err = l.host.ports.Store.Grant(call, max(coordinatorLeaseTTL, l.host.settings.MinLeaseTTL))
 	if err != nil {
 		return 0, time.Time{}, err
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.lease, l.renewed, l.tried = lease, now, now
+	l.lease, l.renewedAt, l.triedAt = lease, now, now
 	return lease, now, nil
 }
 
@@ -65,93 +65,93 @@
 	lease := l.lease
 	l.lease = 0
 	l.mu.Unlock()
-	l.host.endLease(lease)
+	l.host.endStoreLease(lease)
 }
 
-// due returns the lease if it is to be renewed.
-func (l *coordinatorLease) due() (lease int64, ok bool) {
+// renewalDue returns the lease if it is to be renewed.
+func (l *coordinatorLease) renewalDue() (lease int64, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.host.now()
-	return l.lease, l.lease != 0 && leadership.RenewalDue(now.Sub(l.renewed), now.Sub(l.tried))
+	return l.lease, l.lease != 0 && leadership.RenewalDue(now.Sub(l.renewedAt), now.Sub(l.triedAt))
 }
 
 // renew renews the lease and returns the epoch in which it stands, and when the renewal was asked for.
 func (l *coordinatorLease) renew(ctx context.Context, lease int64) (epoch kv.Epoch, asked time.Time, err error) {
 	asked = l.host.now()
 	l.mu.Lock()
-	l.tried = asked
+	l.triedAt = asked
 	l.mu.Unlock()
-	epoch, err = l.host.renew(ctx, lease)
+	epoch, err = l.host.renewStoreLease(ctx, lease)
 	if errors.Is(err, ErrNoLease) {
 		l.forget(lease)
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if err == nil && l.lease == lease {
-		l.renewed = asked
+		l.renewedAt = asked
 	}
 	return epoch, asked, err
 }
 
-// keepHolding renews the lease for as long as duties stand under it. It waits for nothing else, so that calls which take
+// keepCoordinatorLease renews the lease for as long as duties stand under it. It waits for nothing else, so that calls which take
 // long lose no duty.
-func (h *Host) keepHolding(ctx context.Context) {
+func (h *Host) keepCoordinatorLease(ctx context.Context) {
 	for pause.For(ctx, coordinatorPollInterval) {
-		if held := h.heldDuties(); len(held) > 0 {
-			h.renewDuties(ctx, held)
+		if held := h.heldCoordinators(); len(held) > 0 {
+			h.renewCoordinators(ctx, held)
 		}
 	}
 }
 
-// renewDuties renews the lease of the duties if that is due.
-func (h *Host) renewDuties(ctx context.Context, held []*coordinator) {
-	lease, due := h.holding.due()
+// renewCoordinators renews the lease of the duties if that is due.
+func (h *Host) renewCoordinators(ctx context.Context, held []*coordinator) {
+	lease, due := h.coordinatorLease.renewalDue()
 	if !due {
 		return
 	}
-	epoch, asked, err := h.holding.renew(ctx, lease)
+	epoch, asked, err := h.coordinatorLease.renew(ctx, lease)
 	if err != nil {
 		h.log("duties_not_renewed", "duties", len(held), "err", err)
 	}
 	var wait sync.WaitGroup
 	for _, d := range held {
-		if d.under(lease) {
-			wait.Go(func() { d.afterRenewal(ctx, asked, epoch, err) })
+		if d.usesLease(lease) {
+			wait.Go(func() { d.applyRenewal(ctx, asked, epoch, err) })
 		}
 	}
 	wait.Wait()
 }
 
-// under reports whether the duty's entry stands under the lease.
-func (d *coordinator) under(lease int64) bool {
+// usesLease reports whether the duty's entry stands under the lease.
+func (d *coordinator) usesLease(lease int64) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.held && d.lease == lease
 }
 
-// afterRenewal takes over the outcome of a renewal of the lease. After one that failed, the platform may have taken the
+// applyRenewal takes over the outcome of a renewal of the lease. After one that failed, the platform may have taken the
 // entry away and kept the lease, so that the next one succeeds: the entry itself is looked at then.
-func (d *coordinator) afterRenewal(ctx context.Context, asked time.Time, epoch kv.Epoch, err error) {
+func (d *coordinator) applyRenewal(ctx context.Context, asked time.Time, epoch kv.Epoch, err error) {
 	d.mu.Lock()
-	unbroken := d.unbroken
-	d.unbroken = unbroken && err == nil
+	unbroken := d.renewalsUnbroken
+	d.renewalsUnbroken = unbroken && err == nil
 	d.mu.Unlock()
 	switch {
 	case errors.Is(err, ErrNoLease):
-		d.lose("lease ended")
+		d.loseRole("lease ended")
 		return
 	case err != nil:
 		return
-	case epoch != d.heldSince():
+	case epoch != d.acquiredEpoch():
 		// The copy may have the lease and not the entry, so that others can take the duty meanwhile.
-		d.lose(reasonStoreRestored)
+		d.loseRole(reasonStoreRestored)
 		return
 	case !unbroken:
 		asked = d.host.now()
-		switch err := d.stillOwn(ctx); {
+		switch err := d.checkEntry(ctx); {
 		case errors.Is(err, errEntryLost):
-			d.lose("entry taken away")
+			d.loseRole("entry taken away")
 			return
 		case err != nil:
 			d.log("duty_not_renewed", "err", err)
@@ -160,6 +160,6 @@
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.unbroken, d.renewed = true, asked
+	d.renewalsUnbroken, d.renewedAt = true, asked
 	d.host.quotas.Renewed(d.group.name, asked)
 }
--- a/internal/gateway/coordinator_lease_test.go
+++ b/internal/gateway/coordinator_lease_test.go
@@ -25,7 +25,7 @@
 			h.Run(ctx)
 		}()
 		time.Sleep(2 * time.Second)
-		if n := len(h.heldDuties()); n != groups {
+		if n := len(h.heldCoordinators()); n != groups {
 			t.Errorf("the host holds %d of %d duties", n, groups)
 		}
 		test(s, h)
@@ -60,20 +60,20 @@
 func TestSlowStoreLosesNoRole(t *testing.T) {
 	withManyGroups(t, 40, func(s *fakeSite, h *Host) {
 		held := map[string]int64{}
-		for _, d := range h.heldDuties() {
+		for _, d := range h.heldCoordinators() {
 			held[d.group.name] = int64(d.token)
 		}
 		s.mu.Lock()
-		s.slow = 240 * time.Millisecond
+		s.storeDelay = 240 * time.Millisecond
 		s.mu.Unlock()
 		for range 100 {
 			time.Sleep(100 * time.Millisecond)
-			if n := len(h.heldDuties()); n != 40 {
+			if n := len(h.heldCoordinators()); n != 40 {
 				t.Fatalf("the host holds %d of 40 duties", n)
 			}
 		}
-		for _, d := range h.heldDuties() {
-			if !d.certain(time.Now()) || held[d.group.name] != int64(d.token) {
+		for _, d := range h.heldCoordinators() {
+			if !d.wasSoleHolder(time.Now()) || held[d.group.name] != int64(d.token) {
 				t.Errorf("the duty of %s is not certain, or was taken anew", d.group.name)
 			}
 		}
@@ -84,22 +84,22 @@
 // renewal must not wait for that. It did, on a lock held over the call.
 func TestRenewalDoesNotWaitForANewLease(t *testing.T) {
 	withManyGroups(t, 1, func(s *fakeSite, h *Host) {
-		h.holding.mu.Lock()
-		h.holding.renewed = time.Now().Add(-coordinatorLeaseTTL) // not to be used for a new duty
-		h.holding.mu.Unlock()
+		h.coordinatorLease.mu.Lock()
+		h.coordinatorLease.renewedAt = time.Now().Add(-coordinatorLeaseTTL) // not to be used for a new duty
+		h.coordinatorLease.mu.Unlock()
 		s.mu.Lock()
-		s.slow = 900 * time.Millisecond
+		s.storeDelay = 900 * time.Millisecond
 		s.mu.Unlock()
 		opened := make(chan struct{})
 		go func() {
 			defer close(opened)
-			_, _, _ = h.holding.get(context.Background())
+			_, _, _ = h.coordinatorLease.ensure(context.Background())
 		}()
 		time.Sleep(10 * time.Millisecond)
-		if !h.holding.mu.TryLock() {
+		if !h.coordinatorLease.mu.TryLock() {
 			t.Fatal("the lease is locked while the store is called")
 		}
-		h.holding.mu.Unlock()
+		h.coordinatorLease.mu.Unlock()
 		<-opened
 	})
 }
@@ -108,15 +108,15 @@
 func TestTakenRoleDoesNotDelayOthers(t *testing.T) {
 	withManyGroups(t, 8, func(s *fakeSite, h *Host) {
 		s.mu.Lock()
-		for _, d := range h.heldDuties() {
-			d.lose("for the test")
-			s.removeLocked(h.dutyKey(d.group.name))
+		for _, d := range h.heldCoordinators() {
+			d.loseRole("for the test")
+			s.removeLocked(h.coordinatorKey(d.group.name))
 		}
-		s.putLocked(h.dutyKey("group-3"), []byte("another"), 0)
+		s.putLocked(h.coordinatorKey("group-3"), []byte("another"), 0)
 		s.mu.Unlock()
 		time.Sleep(2 * time.Second)
 		for _, name := range []string{"group-0", "group-3", "group-7"} {
-			if held := h.dutyOf(name).isHeld(); held != (name != "group-3") {
+			if held := h.coordinatorOf(name).isHeld(); held != (name != "group-3") {
 				t.Errorf("the duty of %s is held: %t", name, held)
 			}
 		}
@@ -128,13 +128,13 @@
 // the duty until a moment ago.
 func TestRoleAcquiredWithoutReplyIsNotReclaimed(t *testing.T) {
 	withManyGroups(t, 1, func(s *fakeSite, h *Host) {
-		d := h.dutyOf("group-0")
+		d := h.coordinatorOf("group-0")
 		d.mu.Lock()
-		d.unsure = true
+		d.writeUncertain = true
 		lease := d.lease
 		d.mu.Unlock()
 		s.mu.Lock()
-		s.putLocked(h.dutyKey("group-0"), []byte("h"), lease)
+		s.putLocked(h.coordinatorKey("group-0"), []byte("h"), lease)
 		s.mu.Unlock()
 		time.Sleep(time.Second)
 		if !d.isHeld() {
@@ -142,8 +142,8 @@
 		}
 		d.mu.Lock()
 		defer d.mu.Unlock()
-		if d.reclaimed || d.handedBack || d.first != 0 {
-			t.Errorf("reclaimed %t, handed back %t, first %v", d.reclaimed, d.handedBack, d.first)
+		if d.reclaimed || d.predecessorHandedBack || d.firstToken != 0 {
+			t.Errorf("reclaimed %t, handed back %t, first %v", d.reclaimed, d.predecessorHandedBack, d.firstToken)
 		}
 	})
 }
--- a/internal/gateway/coordinator_test.go
+++ b/internal/gateway/coordinator_test.go
@@ -11,11 +11,11 @@
 	"pearlatch/core/leadership"
 )
 
-// takeAway removes the duty's entry, and leaves its lease alone.
-func (s *fakeSite) takeAway(h *Host) {
+// removeCoordinatorEntry removes the duty's entry, and leaves its lease alone.
+func (s *fakeSite) removeCoordinatorEntry(h *Host) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.removeLocked(h.dutyKey(testGroup))
+	s.removeLocked(h.coordinatorKey(testGroup))
 }
 
 func (s *fakeSite) revisionOf(key string) kv.Revision {
@@ -29,8 +29,8 @@
 	d.mu.Lock()
 	lease := d.lease
 	d.mu.Unlock()
-	epoch, asked, err := h.holding.renew(context.Background(), lease)
-	d.afterRenewal(context.Background(), asked, epoch, err)
+	epoch, asked, err := h.coordinatorLease.renew(context.Background(), lease)
+	d.applyRenewal(context.Background(), asked, epoch, err)
 }
 
 // wantLeasesWaitedOut cuts the holder of the duty off with the primary, right after a renewal, lets the store forget of it, and
@@ -42,11 +42,11 @@
 			f.set(f.severed, h.settings.Host+" a", true)
 		}
 	}
-	s.with("a", func(m *fakeMember) { m.cut = true })
-	d := holder.dutyOf(testGroup)
+	s.updateMember("a", func(m *fakeMember) { m.partitioned = true })
+	d := holder.coordinatorOf(testGroup)
 	renewLeaseNow(holder, d)
-	f.set(f.dark, holder.settings.Host, true)
-	f.set(f.turnedAway, holder.settings.Host, true)
+	f.set(f.unreachable, holder.settings.Host, true)
+	f.set(f.storeRejects, holder.settings.Host, true)
 	forget()
 	var ends time.Time
 	for until := time.Now().Add(15 * time.Second); s.leader() == "a" && time.Now().Before(until); {
@@ -71,8 +71,8 @@
 		for _, h := range f.all() {
 			exec(h, Write{})
 		}
-		holder := f.holderOf()
-		wantLeasesWaitedOut(t, s, f, holder, func() { s.takeAway(holder) })
+		holder := f.coordinatorHost()
+		wantLeasesWaitedOut(t, s, f, holder, func() { s.removeCoordinatorEntry(holder) })
 	})
 }
 
@@ -80,15 +80,15 @@
 // still stands, so that a renewal succeeds. It must not take that for the duty.
 func TestRenewedLeaseWithoutEntryLosesRole(t *testing.T) {
 	withFleet(t, 3, 20, freshness.Latest{}, func(s *fakeSite, f *fakeFleet) {
-		holder := f.holderOf()
-		f.set(f.dark, holder.settings.Host, true) // nor does it hear of it from others
-		f.set(f.turnedAway, holder.settings.Host, true)
-		s.takeAway(holder)
+		holder := f.coordinatorHost()
+		f.set(f.unreachable, holder.settings.Host, true) // nor does it hear of it from others
+		f.set(f.storeRejects, holder.settings.Host, true)
+		s.removeCoordinatorEntry(holder)
 		time.Sleep(leadership.RenewalPause + coordinatorPollInterval + storeTimeout + 50*time.Millisecond) // a renewal has failed
-		d := holder.dutyOf(testGroup)
-		f.set(f.turnedAway, holder.settings.Host, false)
+		d := holder.coordinatorOf(testGroup)
+		f.set(f.storeRejects, holder.settings.Host, false)
 		renewLeaseNow(holder, d)
-		if d.certain(time.Now()) {
+		if d.wasSoleHolder(time.Now()) {
 			t.Error("the host counts on a duty that was taken away")
 		}
 	})
@@ -105,7 +105,7 @@
 		time.Sleep(3 * time.Second)
 		old := s.revisionOf("own/duty/" + testGroup)
 		for _, id := range []string{"a", "b", "c"} {
-			s.with(id, func(m *fakeMember) { m.silent = true })
+			s.updateMember(id, func(m *fakeMember) { m.silent = true })
 		}
 		stop1()
 		_, stop2 := startHost(s, "h2", freshness.Latest{})
--- a/internal/gateway/execute.go
+++ b/internal/gateway/execute.go
@@ -10,20 +10,20 @@
 	"pearlatch/internal/pause"
 )
 
-// run answers a read or a write.
-func (s *Session) run(ctx context.Context, r Request, arrived time.Time) Reply {
+// runStatement answers a read or a write.
+func (s *Session) runStatement(ctx context.Context, r Request, arrived time.Time) Reply {
 	writes, shape, failure := s.resolve(r)
 	if failure != nil {
-		return s.failed(Reply{Failure: failure})
+		return s.failTransaction(Reply{Failure: failure})
 	}
 	if s.state == InTransaction {
 		return s.runInTransaction(ctx, r, arrived, writes, shape)
 	}
-	w, failure := s.plan(arrived, writes)
+	w, failure := s.planOperation(arrived, writes)
 	if failure != nil {
 		return Reply{Failure: failure}
 	}
-	w.shape = shape
+	w.prepared = shape
 	w.deadline = arrived.Add(w.route.Timeout)
 	return s.runSingle(ctx, r, w)
 }
@@ -31,23 +31,23 @@
 // runSingle runs a statement outside a transaction. It offers the statement
 // again only while it has certainly not run, or when it only reads.
 func (s *Session) runSingle(ctx context.Context, r Request, w operation) Reply {
-	if w.passOn {
-		if reply, ok := s.runElsewhere(ctx, r, &w); ok {
+	if w.servedElsewhere {
+		if reply, ok := s.runOnOtherHost(ctx, r, &w); ok {
 			return reply
 		}
-		w.require(s.mark)
+		w.setRequirements(s.lastWrite)
 	}
 	for {
-		if f := w.hopeless(Busy); f != nil && !w.need.SendOn {
+		if f := w.outageRefusal(Busy); f != nil && !w.need.SendOn {
 			return Reply{Failure: f}
 		}
-		if !s.proveFirst(ctx, &w) {
+		if !s.verifyPrimaryFirst(ctx, &w) {
 			return busyReply(w)
 		}
 		w.need.Deadline = w.waitUntil()
 		p, err := w.group.acquire(ctx, w.need)
 		if errors.Is(err, errReroute) {
-			if reply, ok := s.sendOn(ctx, r, &w); ok {
+			if reply, ok := s.reroute(ctx, r, &w); ok {
 				return reply
 			}
 			continue
@@ -55,23 +55,23 @@
 		if err != nil {
 			return busyReply(w)
 		}
-		reply, next := s.try(r, &w, p)
+		reply, next := s.attempt(r, &w, p)
 		if next == nil {
 			return reply
 		}
 		if !w.group.now().Before(w.waitUntil()) {
-			return next.final(w)
+			return next.finalReply(w)
 		}
-		s.host.meters.retry(w.group.name, next.reason())
+		s.host.metrics.retry(w.group.name, next.reason())
 		next.pause(ctx)
 	}
 }
 
-// runElsewhere runs a statement of a group that others serve: on the replica of this host's zone if
+// runOnOtherHost runs a statement of a group that others serve: on the replica of this host's zone if
 // it reads and that can, or on a host that serves. It returns false if none took it.
-func (s *Session) runElsewhere(ctx context.Context, r Request, w *operation) (Reply, bool) {
+func (s *Session) runOnOtherHost(ctx context.Context, r Request, w *operation) (Reply, bool) {
 	if !w.writes {
-		if reply, ok := s.runNear(ctx, r, w); ok {
+		if reply, ok := s.runOnLocalReplica(ctx, r, w); ok {
 			return reply, true
 		}
 	}
@@ -98,40 +98,40 @@
 	return a.failure.Code.String()
 }
 
-func (a *retry) final(w operation) Reply {
+func (a *retry) finalReply(w operation) Reply {
 	if a.failure != nil {
 		return Reply{Failure: a.failure}
 	}
 	return busyReply(w)
 }
 
-// try runs a statement once on the connection. It returns an answer, or why the
+// attempt runs a statement once on the connection. It returns an answer, or why the
 // statement is to be offered again.
-func (s *Session) try(r Request, w *operation, p *pooledConn) (Reply, *retry) {
+func (s *Session) attempt(r Request, w *operation, p *pooledConn) (Reply, *retry) {
 	g := w.group
-	if next := s.proven(w, p); next != nil {
+	if next := s.checkPrimary(w, p); next != nil {
 		return Reply{}, next
 	}
 	asked := g.now()
 	left := w.deadline.Sub(asked)
-	if w.writes && g.doubtful(p, asked) && !s.refresh(w, p) {
+	if w.writes && g.connDoubtful(p, asked) && !s.checkConn(w, p) {
 		return Reply{}, &retry{}
 	}
-	layout, name := p.layout(s.values, w.shape)
+	layout, name := p.setupCommands(s.values, w.prepared)
 	commands := append(layout, Forward{Request: r, After: w.need.After, Name: name})
 	ended := func(bool) {}
 	if w.writes {
-		ended = g.wrote()
+		ended = g.beginWrite()
 	}
-	replies, err := p.conn.Do(g.patience(p.member, left, w.writes), commands...)
+	replies, err := p.conn.Do(g.callTimeout(p.member, left, w.writes), commands...)
 	ended(err == nil && replies[len(replies)-1].Failure == nil)
 	if err != nil {
 		g.discard(p, err)
 		w.need.Avoid = p.member.ID
-		return s.broke(r, w, p, err)
+		return s.handleBrokenConn(r, w, p, err)
 	}
 	reply := replies[len(replies)-1]
-	return s.judge(w, p, asked, reply)
+	return s.handleReply(w, p, asked, reply)
 }
 
 const (
@@ -149,23 +149,23 @@
 	connCheckTimeout = 150 * time.Millisecond
 )
 
-// doubtful reports whether a connection may have gone silent: it was not used for a
+// connDoubtful reports whether a connection may have gone silent: it was not used for a
 // while, or its member failed to answer on another one.
-func (g *Group) doubtful(p *pooledConn, now time.Time) bool {
+func (g *Group) connDoubtful(p *pooledConn, now time.Time) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return now.Sub(p.slot.Used()) > staleConnAge || !p.member.silentSince.IsZero()
+	return now.Sub(p.poolConn.Used()) > staleConnAge || !p.member.silentSince.IsZero()
 }
 
-// patience is how long a member has to answer: all that is left, unless the statement can be
+// callTimeout is how long a member has to answer: all that is left, unless the statement can be
 // offered again elsewhere. Then it has many times as long as it usually takes: an answer that was
 // lost would else hold a read until half of its time has gone by.
-func (g *Group) patience(m *member, left time.Duration, once bool) time.Duration {
+func (g *Group) callTimeout(m *member, left time.Duration, once bool) time.Duration {
 	if once {
 		return max(left, time.Millisecond)
 	}
 	g.mu.Lock()
-	usual := m.conns.Latency()
+	usual := m.poolMember.Latency()
 	g.mu.Unlock()
 	if usual == 0 {
 		usual = minReadTimeout
@@ -173,21 +173,21 @@
 	return max(min(left, max(readTimeoutFactor*usual, minReadTimeout)), time.Millisecond)
 }
 
-// proveFirst makes sure that the primary leads, so that what it answers misses nothing that was
+// verifyPrimaryFirst makes sure that the primary leads, so that what it answers misses nothing that was
 // acknowledged before the statement arrived. That may take questions, and connections to the
 // primary are few: none is held meanwhile. It returns false when time is up.
-func (s *Session) proveFirst(ctx context.Context, w *operation) bool {
-	if !w.verify {
+func (s *Session) verifyPrimaryFirst(ctx context.Context, w *operation) bool {
+	if !w.needsPrimaryCheck {
 		return true
 	}
 	g := w.group
-	g.needsPrimary()
-	g.openAhead(w.need.Account)
+	g.notePrimaryNeeded()
+	g.preopen(w.need.Account)
 	call, cancel := context.WithTimeout(ctx, w.waitUntil().Sub(g.now()))
 	defer cancel()
-	for !w.need.SendOn || !g.primaryUnreached() {
-		leader := g.leaderMember().ID
-		if leader == "" || g.prove(call, leader, w.provenSince()) {
+	for !w.need.SendOn || !g.primaryUnreachable() {
+		leader := g.primaryMember().ID
+		if leader == "" || g.verifyPrimary(call, leader, w.primarySince()) {
 			return true
 		}
 		if !pause.For(call, verifyRetryInterval) {
@@ -197,19 +197,19 @@
 	return true
 }
 
-// provenSince returns since when the primary must be known to have led.
-func (w *operation) provenSince() time.Time {
-	if w.writes && !w.reads {
+// primarySince returns since when the primary must be known to have led.
+func (w *operation) primarySince() time.Time {
+	if w.writes && !w.freshReads {
 		return w.need.Arrived.Add(-maxWriteCheckAge) // whether it is kept is settled afterwards
 	}
 	return w.need.Arrived
 }
 
-// proven returns why the statement is to be offered again, or nil if the member is known to lead
+// checkPrimary returns why the statement is to be offered again, or nil if the member is known to lead
 // where it must.
-func (s *Session) proven(w *operation, p *pooledConn) *retry {
+func (s *Session) checkPrimary(w *operation, p *pooledConn) *retry {
 	g := w.group
-	if !w.verify || g.knownToLead(p.member.ID, w.provenSince()) {
+	if !w.needsPrimaryCheck || g.isKnownPrimary(p.member.ID, w.primarySince()) {
 		return nil
 	}
 	g.release(p)
@@ -223,21 +223,21 @@
 // verifyRetryInterval is the pause before a leadership is to be proven again that could not be.
 const verifyRetryInterval = 20 * time.Millisecond
 
-// refresh asks whether the connection still works.
-func (s *Session) refresh(w *operation, p *pooledConn) bool {
+// checkConn asks whether the connection still works.
+func (s *Session) checkConn(w *operation, p *pooledConn) bool {
 	_, err := p.conn.Do(connCheckTimeout, Reset{})
 	if err != nil {
 		w.group.discard(p, err)
 		return false
 	}
 	clear(p.values)
-	clear(p.shapes)
+	clear(p.prepared)
 	return true
 }
 
-// broke decides what a connection that failed means for a statement.
-func (s *Session) broke(r Request, w *operation, p *pooledConn, err error) (Reply, *retry) {
-	s.host.logOffer(s, r, w, p.member.ID, "broken", err)
+// handleBrokenConn decides what a connection that failed means for a statement.
+func (s *Session) handleBrokenConn(r Request, w *operation, p *pooledConn, err error) (Reply, *retry) {
+	s.host.logAttempt(s, r, w, p.member.ID, "broken", err)
 	if w.writes {
 		return failureReply(InDoubt, "the connection to "+p.member.ID+" failed after the write was sent"), nil
 	}
@@ -248,19 +248,19 @@
 // short statement's time.
 const busyRetryInterval = 8 * time.Millisecond
 
-// judge decides what a member's answer means for a statement.
-func (s *Session) judge(w *operation, p *pooledConn, asked time.Time, reply Reply) (Reply, *retry) {
+// handleReply decides what a member's answer means for a statement.
+func (s *Session) handleReply(w *operation, p *pooledConn, asked time.Time, reply Reply) (Reply, *retry) {
 	g := w.group
-	g.took(p.member, asked)
-	g.applied(p.member, reply.Position)
-	g.observe(p.member, asked, reply.Position)
+	g.noteLatency(p.member, asked)
+	g.noteApplied(p.member, reply.Position)
+	g.observePosition(p.member, asked, reply.Position)
 	if reply.Failure == nil {
-		g.grown(p.member)
+		g.noteRan(p.member)
 		if w.writes {
-			s.raise(reply.Position)
+			s.advanceLastWrite(reply.Position)
 		}
 		g.release(p)
-		if w.writes && !g.stands(p.member.ID, reply.Position.Term) {
+		if w.writes && !g.confirmWrite(p.member.ID, reply.Position.Term) {
 			return failureReply(InDoubt, p.member.ID+" may have been replaced as it acknowledged the write"), nil
 		}
 		return reply, nil
@@ -268,15 +268,15 @@
 	next := &retry{failure: reply.Failure}
 	switch reply.Failure.Code {
 	case Busy:
-		g.shed(p.member)
+		g.noteBusy(p.member)
 		w.need.Avoid = p.member.ID
 		next.wait = busyRetryInterval
 	case Lagging:
-		g.lagged(p.member, reply.Position)
+		g.noteLag(p.member, reply.Position)
 	case ReadOnly:
-		g.lostLeader(p.member.ID)
+		g.notePrimaryRefusal(p.member.ID)
 	case UnknownStatement:
-		clear(p.shapes)
+		clear(p.prepared)
 	case Failed, TimedOut:
 		if w.writes || w.need.Avoid != "" {
 			g.release(p)
@@ -291,15 +291,15 @@
 	return Reply{}, next
 }
 
-// raise lifts the session's mark.
-func (s *Session) raise(p group.Position) {
-	if p.Compare(s.mark) > 0 {
-		s.mark = p
+// advanceLastWrite lifts the session's mark.
+func (s *Session) advanceLastWrite(p group.Position) {
+	if p.Compare(s.lastWrite) > 0 {
+		s.lastWrite = p
 	}
 }
 
-// failed breaks a transaction, if there is one, and returns the reply.
-func (s *Session) failed(reply Reply) Reply {
+// failTransaction breaks a transaction, if there is one, and returns the reply.
+func (s *Session) failTransaction(reply Reply) Reply {
 	if s.tx != nil {
 		s.tx.rollback(s)
 		s.tx = nil
--- a/internal/gateway/failover_test.go
+++ b/internal/gateway/failover_test.go
@@ -33,7 +33,7 @@
 
 func wantNoLostWrites(t *testing.T, s *fakeSite) {
 	t.Helper()
-	if lost := s.lost(); len(lost) > 0 {
+	if lost := s.lostWrites(); len(lost) > 0 {
 		t.Errorf("the primary %s lacks acknowledged writes %v", s.leader(), lost)
 	}
 }
@@ -44,7 +44,7 @@
 func TestCrashedPrimaryIsReplaced(t *testing.T) {
 	withHost(t, freshness.Latest{}, func(s *fakeSite, h *Host) {
 		exec(h, Write{})
-		s.with("a", func(m *fakeMember) { m.crashed = true })
+		s.updateMember("a", func(m *fakeMember) { m.crashed = true })
 		if took := awaitWrite(t, h, 5*time.Second); took > promoteTime+500*time.Millisecond {
 			t.Errorf("the gap was %s", took)
 		}
@@ -57,7 +57,7 @@
 func TestSilentPrimaryIsReplaced(t *testing.T) {
 	withHost(t, freshness.Latest{}, func(s *fakeSite, h *Host) {
 		exec(h, Write{})
-		s.with("a", func(m *fakeMember) { m.silent = true })
+		s.updateMember("a", func(m *fakeMember) { m.silent = true })
 		if took := awaitWrite(t, h, 8*time.Second); took > promoteTime+2500*time.Millisecond {
 			t.Errorf("the gap was %s", took)
 		}
@@ -71,7 +71,7 @@
 	withHost(t, freshness.Latest{}, func(s *fakeSite, h *Host) {
 		exec(h, Write{})
 		for _, id := range []string{"b", "c"} {
-			s.with(id, func(m *fakeMember) { m.deaf = true })
+			s.updateMember(id, func(m *fakeMember) { m.receivesNothing = true })
 		}
 		if r := exec(h, Write{}); r.Failure == nil || r.Failure.Code != InDoubt {
 			t.Errorf("the hanging write was answered with %v", r.Failure)
@@ -80,7 +80,7 @@
 		if s.leader() == "a" {
 			t.Error("the primary that nobody receives from still leads")
 		}
-		if n := len(s.given()); n > 1 {
+		if n := len(s.promotionOrders()); n > 1 {
 			t.Errorf("%d orders for one change of primary", n)
 		}
 		wantNoLostWrites(t, s)
@@ -94,13 +94,13 @@
 func TestDepartedReplicaMayHoldTheOnlyCopy(t *testing.T) {
 	withHost(t, freshness.Latest{}, func(s *fakeSite, h *Host) {
 		exec(h, Write{})
-		s.with("b", func(m *fakeMember) { m.deaf = true })
+		s.updateMember("b", func(m *fakeMember) { m.receivesNothing = true })
 		s.list("c", "draining")
 		exec(h, Write{})
 		s.list("c", "")
-		s.with("c", func(m *fakeMember) { m.crashed = true })
+		s.updateMember("c", func(m *fakeMember) { m.crashed = true })
 		time.Sleep(time.Second)
-		s.with("a", func(m *fakeMember) { m.crashed = true })
+		s.updateMember("a", func(m *fakeMember) { m.crashed = true })
 		time.Sleep(6 * time.Second)
 		if s.leader() == "b" {
 			t.Error("the deaf replica was promoted")
@@ -135,12 +135,12 @@
 	withHost(t, freshness.Latest{}, func(s *fakeSite, h *Host) {
 		exec(h, Write{})
 		s.mu.Lock()
-		s.late = 1700 * time.Millisecond
+		s.promotionDelay = 1700 * time.Millisecond
 		s.mu.Unlock()
-		s.with("a", func(m *fakeMember) { m.silent = true })
+		s.updateMember("a", func(m *fakeMember) { m.silent = true })
 		time.Sleep(1500 * time.Millisecond)
-		s.with("a", func(m *fakeMember) { m.silent = false })
-		s.with("b", func(m *fakeMember) { m.deaf = true })
+		s.updateMember("a", func(m *fakeMember) { m.silent = false })
+		s.updateMember("b", func(m *fakeMember) { m.receivesNothing = true })
 		sendWrites(h, 100)
 		wantNoLostWrites(t, s)
 	})
@@ -170,9 +170,9 @@
 func TestBusyPrimaryIsNotReplaced(t *testing.T) {
 	withHost(t, freshness.Latest{}, func(s *fakeSite, h *Host) {
 		exec(h, Write{})
-		s.with("a", func(m *fakeMember) { m.full = true })
+		s.updateMember("a", func(m *fakeMember) { m.full = true })
 		sendWrites(h, 40)
-		for _, o := range s.given() {
+		for _, o := range s.promotionOrders() {
 			t.Errorf("order %q", o)
 		}
 	})
@@ -191,7 +191,7 @@
 		s.list("c", "ready")
 		time.Sleep(2 * time.Second)
 		demoted := 0
-		s.with("a", func(m *fakeMember) { demoted = m.demoted })
+		s.updateMember("a", func(m *fakeMember) { demoted = m.demoted })
 		if s.leader() != "a" || demoted > 0 {
 			t.Errorf("%q leads, and a was demoted %d times", s.leader(), demoted)
 		}
@@ -214,7 +214,7 @@
 		s.mu.Unlock()
 		stop := map[string]func(){"h1": stop1, "h2": stop2}
 		stop[holder]()
-		s.with("a", func(m *fakeMember) { m.crashed = true })
+		s.updateMember("a", func(m *fakeMember) { m.crashed = true })
 		time.Sleep(coordinatorLeaseTTL + acceptedPromotionDelay + 2*time.Second)
 		if got := s.leader(); got != "b" && got != "c" {
 			t.Errorf("%q leads", got)
@@ -234,7 +234,7 @@
 func TestSecondFailoverSkipsReplicaThatReceivesNothing(t *testing.T) {
 	withHost(t, freshness.Latest{}, func(s *fakeSite, h *Host) {
 		exec(h, Write{})
-		s.with("c", func(m *fakeMember) { m.deaf = true })
+		s.updateMember("c", func(m *fakeMember) { m.receivesNothing = true })
 		for range 5 {
 			exec(h, Write{})
 		}
@@ -243,9 +243,9 @@
 		if s.leader() != "b" {
 			t.Fatalf("%q leads, want b", s.leader())
 		}
-		s.with("a", func(m *fakeMember) { m.crashed = true })
+		s.updateMember("a", func(m *fakeMember) { m.crashed = true })
 		time.Sleep(200 * time.Millisecond)
-		s.with("b", func(m *fakeMember) { m.crashed = true })
+		s.updateMember("b", func(m *fakeMember) { m.crashed = true })
 		time.Sleep(8 * time.Second)
 		if s.leader() == "c" {
 			t.Error("the deaf replica was promoted")
@@ -258,7 +258,7 @@
 func TestSwitchoverWithDeadReplica(t *testing.T) {
 	withHost(t, freshness.Latest{}, func(s *fakeSite, h *Host) {
 		exec(h, Write{})
-		s.with("b", func(m *fakeMember) { m.crashed = true })
+		s.updateMember("b", func(m *fakeMember) { m.crashed = true })
 		s.list("a", "draining")
 		time.Sleep(2 * time.Second)
 		if s.leader() != "c" {
@@ -302,11 +302,11 @@
 		exec(h, Write{})
 		g := h.groups[testGroup]
 		w := &groupMonitor{coordinator: &coordinator{host: h, group: g, held: true, token: 1000}, primary: Member{ID: "a"}}
-		answers := g.orderAll(g.list(), Probe{}, controlTimeout)
+		answers := g.controlAll(g.listMembers(), Probe{}, controlTimeout)
 		s.lead(s.member("c"))
-		before := len(s.given())
+		before := len(s.promotionOrders())
 		w.failover(context.Background(), h.now(), answers)
-		if orders := s.given()[before:]; len(orders) > 0 {
+		if orders := s.promotionOrders()[before:]; len(orders) > 0 {
 			t.Errorf("orders %v while c leads", orders)
 		}
 		wantNoLostWrites(t, s)
@@ -320,18 +320,18 @@
 func TestHangingPrimaryIsKeptWhileAReplicaIsDead(t *testing.T) {
 	withHost(t, freshness.Latest{}, func(s *fakeSite, h *Host) {
 		exec(h, Write{})
-		s.with("b", func(m *fakeMember) { m.crashed = true })
+		s.updateMember("b", func(m *fakeMember) { m.crashed = true })
 		s.list("b", "")
 		time.Sleep(missingMemberGrace + missingMemberRetention)
 		exec(h, Write{})
-		s.with("c", func(m *fakeMember) { m.deaf = true })
+		s.updateMember("c", func(m *fakeMember) { m.receivesNothing = true })
 		wantCode(t, exec(h, Write{}), InDoubt)
 		time.Sleep(2 * time.Second)
-		s.with("b", func(m *fakeMember) { m.crashed = false })
+		s.updateMember("b", func(m *fakeMember) { m.crashed = false })
 		s.list("b", "ready")
 		awaitWrite(t, h, 3*time.Second)
 		time.Sleep(time.Second)
-		for _, o := range s.given() {
+		for _, o := range s.promotionOrders() {
 			if o != "h1 a" {
 				t.Errorf("order %q", o)
 			}
@@ -345,11 +345,11 @@
 func TestSwitchoverWaitsForTargetThatReceivesNothing(t *testing.T) {
 	withHost(t, freshness.Latest{}, func(s *fakeSite, h *Host) {
 		exec(h, Write{})
-		s.with("b", func(m *fakeMember) { m.crashed = true })
+		s.updateMember("b", func(m *fakeMember) { m.crashed = true })
 		s.list("b", "")
 		time.Sleep(missingMemberGrace + missingMemberRetention)
 		exec(h, Write{})
-		s.with("c", func(m *fakeMember) { m.deaf = true })
+		s.updateMember("c", func(m *fakeMember) { m.receivesNothing = true })
 		exec(h, Write{}) // hangs: the primary alone holds it
 		s.list("a", "draining")
 		time.Sleep(2 * time.Second)
@@ -371,9 +371,9 @@
 		}
 		heir := s.leader()
 		time.Sleep(promotionPollInterval)
-		s.with(heir, func(m *fakeMember) { m.silent = true })
+		s.updateMember(heir, func(m *fakeMember) { m.silent = true })
 		time.Sleep(probeInterval + controlTimeout + 50*time.Millisecond)
-		s.with(heir, func(m *fakeMember) { m.silent = false })
+		s.updateMember(heir, func(m *fakeMember) { m.silent = false })
 		time.Sleep(4 * time.Second)
 		if r := exec(h, Write{}); r.Failure != nil {
 			t.Errorf("a write: %v", r.Failure)
--- a/internal/gateway/fakeconn_test.go
+++ b/internal/gateway/fakeconn_test.go
@@ -13,10 +13,10 @@
 func (s *fakeSite) Dial(ctx context.Context, m Member, account string) (Conn, error) {
 	s.mu.Lock()
 	f := s.member(m.ID)
-	crashed, silent, full := f.crashed, f.silent, f.conns >= s.cap
+	crashed, silent, full := f.crashed, f.silent, f.conns >= s.maxConns
 	if !crashed && !silent && !full {
 		f.conns++
-		s.peak = max(s.peak, f.conns)
+		s.peakConns = max(s.peakConns, f.conns)
 	}
 	s.mu.Unlock()
 	switch {
@@ -29,14 +29,14 @@
 		return nil, &Failure{TooManyConnections, m.ID}
 	}
 	time.Sleep(10 * time.Millisecond)
-	return &fakeConn{site: s, m: f, born: f.born, account: account}, nil
+	return &fakeConn{site: s, m: f, incarnation: f.incarnation, account: account}, nil
 }
 
 type fakeConn struct {
 	site *fakeSite
 	m    *fakeMember
-	// born is the run of the member that the connection leads to.
-	born int
+	// incarnation is the run of the member that the connection leads to.
+	incarnation int
 	// account is the one that the connection was opened for.
 	account string
 	state   State
@@ -51,7 +51,7 @@
 func (c *fakeConn) Alive() bool {
 	c.site.mu.Lock()
 	defer c.site.mu.Unlock()
-	return !c.m.crashed && c.m.born == c.born
+	return !c.m.crashed && c.m.incarnation == c.incarnation
 }
 
 func (c *fakeConn) Close() error {
@@ -64,10 +64,10 @@
 	return nil
 }
 
-// answerless waits as a call does whose answer never comes.
-func (c *fakeConn) answerless(timeout time.Duration) error {
+// awaitNoReply waits as a call does whose answer never comes.
+func (c *fakeConn) awaitNoReply(timeout time.Duration) error {
 	c.site.mu.Lock()
-	crashed, silent := c.m.crashed || c.m.resets || c.m.born != c.born, c.m.silent
+	crashed, silent := c.m.crashed || c.m.resets || c.m.incarnation != c.incarnation, c.m.silent
 	c.site.mu.Unlock()
 	silent = silent || c.severed != nil && c.severed()
 	if crashed {
@@ -81,7 +81,7 @@
 }
 
 func (c *fakeConn) Control(timeout time.Duration, o ControlCommand) (Status, error) {
-	if err := c.answerless(timeout); err != nil {
+	if err := c.awaitNoReply(timeout); err != nil {
 		return Status{}, err
 	}
 	c.site.mu.Lock()
@@ -105,7 +105,7 @@
 			m.demoted++
 		}
 	}
-	s := Status{Leads: m.leads || m.claims, Received: m.received, Term: m.term, Fenced: m.fenced, Connections: m.conns, Running: m.running}
+	s := Status{IsPrimary: m.leads || m.claimsPrimary, Received: m.received, Term: m.term, Fenced: m.fenced, Connections: m.conns, Running: m.running}
 	if m.lagging && !m.leads {
 		s.Lag = time.Minute
 	}
@@ -115,7 +115,7 @@
 func (c *fakeConn) Do(timeout time.Duration, commands ...Command) ([]Reply, error) {
 	var out []Reply
 	for _, each := range commands {
-		if err := c.answerless(timeout); err != nil {
+		if err := c.awaitNoReply(timeout); err != nil {
 			return out, err
 		}
 		r, err := c.run(timeout, each)
@@ -148,7 +148,7 @@
 		if c.shapes == nil {
 			c.shapes = map[string]PreparedStatement{}
 		}
-		c.shapes[command.Name] = command.Shape
+		c.shapes[command.Name] = command.Prepared
 	case Reset:
 		c.values, c.shapes = nil, nil
 	}
@@ -194,9 +194,9 @@
 	}
 	c.m.runs = append(c.m.runs, f.Request.ID)
 	c.site.ranFor[f.Request.ID] = c.account
-	broken := c.m.breaks > 0
+	broken := c.m.breaksAfter > 0
 	if broken {
-		c.m.breaks--
+		c.m.breaksAfter--
 	}
 	c.site.mu.Unlock()
 	if work > timeout || broken {
@@ -243,7 +243,7 @@
 	m.applied = m.received
 	acknowledged := false
 	for _, o := range c.site.members {
-		if o == m || o.crashed || o.deaf || o.silent || o.cut || m.cut || o.fenced > m.term || o.term > m.term {
+		if o == m || o.crashed || o.receivesNothing || o.silent || o.partitioned || m.partitioned || o.fenced > m.term || o.term > m.term {
 			continue
 		}
 		o.received, acknowledged = m.received, true
--- a/internal/gateway/fakefleet_test.go
+++ b/internal/gateway/fakefleet_test.go
@@ -23,27 +23,27 @@
 	// hosts by their addresses for other hosts.
 	hosts map[netip.AddrPort]*Host
 	stops map[string]func()
-	// dark hosts answer nobody; those that are turned away get no answer of the store.
-	dark, turnedAway map[string]bool
-	// mute lanes of a host lose the answer of each request, deaf ones the request.
-	mute, deaf map[string]bool
+	// unreachable hosts answer nobody; those of storeRejects get no answer of the store.
+	unreachable, storeRejects map[string]bool
+	// losesReplies names hosts whose lanes lose the answer of each request, losesRequests those that lose the request.
+	losesReplies, losesRequests map[string]bool
 	// severed holds the ways that are cut, as "host member".
-	severed map[string]bool
-	carried map[string]int // requests by the host that took them
-	// questions counts those for leases and positions.
-	questions atomic.Int64
-	seeds     []netip.AddrPort
-	// looks counts the calls with which hosts look for news in the store, by host.
-	looks map[string]int
+	severed     map[string]bool
+	forwardedTo map[string]int // requests by the host that took them
+	// leaseRequests counts those for leases and positions.
+	leaseRequests atomic.Int64
+	seeds         []netip.AddrPort
+	// storeReads counts the calls with which hosts look for news in the store, by host.
+	storeReads map[string]int
 }
 
 // newFakeFleet starts hosts in two availability zones before members that take the
 // given number of connections.
 func newFakeFleet(s *fakeSite, n, connections int, class freshness.Class) *fakeFleet {
 	f := &fakeFleet{
-		site: s, hosts: map[netip.AddrPort]*Host{}, stops: map[string]func(){}, dark: map[string]bool{},
-		turnedAway: map[string]bool{}, mute: map[string]bool{}, deaf: map[string]bool{}, severed: map[string]bool{}, carried: map[string]int{},
-		looks: map[string]int{},
+		site: s, hosts: map[netip.AddrPort]*Host{}, stops: map[string]func(){}, unreachable: map[string]bool{},
+		storeRejects: map[string]bool{}, losesReplies: map[string]bool{}, losesRequests: map[string]bool{}, severed: map[string]bool{}, forwardedTo: map[string]int{},
+		storeReads: map[string]int{},
 	}
 	s.put("config", []byte{1, byte(connections)}, 0)
 	for i := range n {
@@ -55,7 +55,7 @@
 func (f *fakeFleet) start(i int, class freshness.Class) {
 	name, addr := fmt.Sprintf("h%d", i), addrOf(i)
 	settings := Settings{
-		Host: name, Zone: fmt.Sprintf("z%d", i%3), MemberDrain: 7 * time.Second, Grace: 6 * time.Second, PromotionTokens: true, Peer: addr, Seeds: f.seeds,
+		Host: name, Zone: fmt.Sprintf("z%d", i%3), MemberDrain: 7 * time.Second, ShutdownGrace: 6 * time.Second, PromotionTokens: true, Peer: addr, Seeds: f.seeds,
 	}
 	h := NewHost(settings, Ports{
 		Dialer: hostDialer{f, name}, Store: hostStore{f.site, f, name}, Promoter: f.site, Peers: &fakePeers{f, name}, Decode: fakeDecoder{class},
@@ -109,7 +109,7 @@
 // belief.
 func (f *fakeFleet) serving() (here, elsewhere []*Host) {
 	for _, h := range f.all() {
-		if h.group(testGroup).passesOn() {
+		if h.group(testGroup).forwards() {
 			elsewhere = append(elsewhere, h)
 		} else {
 			here = append(here, h)
@@ -124,7 +124,7 @@
 	t.Helper()
 	synctest.Test(t, func(*testing.T) {
 		s := newFakeSite("a", "b", "c")
-		s.cap = connections
+		s.maxConns = connections
 		f := newFakeFleet(s, hosts, connections, class)
 		defer time.Sleep(20 * time.Second) // timers of orders and watches end
 		defer func() {
@@ -165,22 +165,22 @@
 }
 
 func (s hostStore) reach(ctx context.Context) error {
-	if s.fleet.has(s.fleet.turnedAway, s.host) {
+	if s.fleet.has(s.fleet.storeRejects, s.host) {
 		<-ctx.Done()
 		return errStoreDown
 	}
 	return nil
 }
 
-// looked counts a look for news.
-func (s hostStore) looked() {
+// countRead counts a look for news.
+func (s hostStore) countRead() {
 	s.fleet.mu.Lock()
 	defer s.fleet.mu.Unlock()
-	s.fleet.looks[s.host]++
+	s.fleet.storeReads[s.host]++
 }
 
 func (s hostStore) List(ctx context.Context, r kv.Range) (kv.Page, error) {
-	s.looked()
+	s.countRead()
 	if err := s.reach(ctx); err != nil {
 		return kv.Page{}, err
 	}
@@ -188,7 +188,7 @@
 }
 
 func (s hostStore) Watch(ctx context.Context, prefix string, after kv.Revision, wait time.Duration) (kv.Snapshot, error) {
-	s.looked()
+	s.countRead()
 	if err := s.reach(ctx); err != nil {
 		return kv.Snapshot{}, err
 	}
@@ -231,7 +231,7 @@
 	p.fleet.mu.Lock()
 	h := p.fleet.hosts[to]
 	p.fleet.mu.Unlock()
-	if h == nil || p.fleet.has(p.fleet.dark, p.host) || p.fleet.has(p.fleet.dark, h.settings.Host) {
+	if h == nil || p.fleet.has(p.fleet.unreachable, p.host) || p.fleet.has(p.fleet.unreachable, h.settings.Host) {
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
@@ -239,20 +239,20 @@
 	return h, nil
 }
 
-func (p *fakePeers) Lane(ctx context.Context, to netip.AddrPort) (Stream, error) {
+func (p *fakePeers) OpenStream(ctx context.Context, to netip.AddrPort) (Stream, error) {
 	h, err := p.reach(ctx, to)
 	if err != nil {
 		return nil, err
 	}
-	return &fakeStream{peers: p, to: to, guest: h.NewGuest()}, nil
+	return &fakeStream{peers: p, to: to, session: h.NewForwardedSession()}, nil
 }
 
-func (p *fakePeers) Recall(ctx context.Context, to netip.AddrPort, from string, serial uint64) (RequestOutcome, error) {
+func (p *fakePeers) QueryOutcome(ctx context.Context, to netip.AddrPort, from string, serial uint64) (RequestOutcome, error) {
 	h, err := p.reach(ctx, to)
 	if err != nil {
 		return nil, err
 	}
-	return h.Recall(from, serial), nil
+	return h.OutcomeOf(from, serial), nil
 }
 
 func (p *fakePeers) Probe(ctx context.Context, to netip.AddrPort, groupName, memberID string) (Status, error) {
@@ -260,7 +260,7 @@
 	if err != nil {
 		return Status{}, err
 	}
-	return h.ProbeFor(groupName, memberID)
+	return h.ProbeForPeer(groupName, memberID)
 }
 
 func (p *fakePeers) Lease(ctx context.Context, to netip.AddrPort, r LeaseRequest) (LeaseReply, error) {
@@ -268,16 +268,16 @@
 	if err != nil {
 		return LeaseReply{}, err
 	}
-	p.fleet.questions.Add(1)
+	p.fleet.leaseRequests.Add(1)
 	return h.GrantLease(r), nil
 }
 
-func (p *fakePeers) EndLease(ctx context.Context, to netip.AddrPort, groupName, memberID string, planned bool) error {
+func (p *fakePeers) RevokeLease(ctx context.Context, to netip.AddrPort, groupName, memberID string, planned bool) error {
 	h, err := p.reach(ctx, to)
 	if err != nil {
 		return err
 	}
-	h.EndLease(groupName, memberID, planned)
+	h.RevokeLease(groupName, memberID, planned)
 	return nil
 }
 
@@ -298,9 +298,9 @@
 }
 
 type fakeStream struct {
-	peers *fakePeers
-	to    netip.AddrPort
-	guest *ForwardedSession
+	peers   *fakePeers
+	to      netip.AddrPort
+	session *ForwardedSession
 }
 
 func (l *fakeStream) Do(ctx context.Context, r *PeerRequest) (*PeerReply, error) {
@@ -309,26 +309,26 @@
 		return nil, err
 	}
 	name, f := h.settings.Host, l.peers.fleet
-	if f.has(f.deaf, name) {
+	if f.has(f.losesRequests, name) {
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
 	answer := make(chan *PeerReply, 1)
 	copied := *r
-	if declined := l.guest.Take(&copied); declined != nil {
+	if declined := l.session.Accept(&copied); declined != nil {
 		return declined, nil
 	}
-	go func() { answer <- l.guest.Run(context.Background(), &copied) }()
+	go func() { answer <- l.session.Run(context.Background(), &copied) }()
 	f.mu.Lock()
-	f.carried[name]++
+	f.forwardedTo[name]++
 	f.mu.Unlock()
-	if f.has(f.mute, name) {
+	if f.has(f.losesReplies, name) {
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
 	select {
 	case reply := <-answer:
-		if f.has(f.dark, name) {
+		if f.has(f.unreachable, name) {
 			<-ctx.Done()
 			return nil, ctx.Err()
 		}
@@ -338,9 +338,9 @@
 	}
 }
 
-func (l *fakeStream) Close() { l.guest.Close() }
+func (l *fakeStream) Close() { l.session.Close() }
 
-func (l *fakeStream) Mistrust(time.Duration) {}
+func (l *fakeStream) ReplaceIfSilent(time.Duration) {}
 
 func (p *fakePeers) Feed(ctx context.Context, to netip.AddrPort, after kv.Revision) (follow.Feed, error) {
 	h, err := p.reach(ctx, to)
@@ -386,19 +386,19 @@
 
 func (f *fakeFeed) Close() { f.cancel() }
 
-// wantNoGuests checks that no request or transaction of another host is open anywhere.
-func (f *fakeFleet) wantNoGuests(t *testing.T) {
+// wantNoForwardedWork checks that no request or transaction of another host is open anywhere.
+func (f *fakeFleet) wantNoForwardedWork(t *testing.T) {
 	t.Helper()
 	for _, h := range f.all() {
-		if h.Guests() != 0 {
-			t.Errorf("%s has %d guests", h.settings.Host, h.Guests())
+		if h.ForwardedCount() != 0 {
+			t.Errorf("%s has %d guests", h.settings.Host, h.ForwardedCount())
 		}
 	}
 }
 
-// dutyOf returns the host's part in the promotions of a group.
-func (h *Host) dutyOf(group string) *coordinator {
+// coordinatorOf returns the host's part in the promotions of a group.
+func (h *Host) coordinatorOf(group string) *coordinator {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.duties[group]
+	return h.coordinators[group]
 }
--- a/internal/gateway/fakesite_test.go
+++ b/internal/gateway/fakesite_test.go
@@ -39,61 +39,61 @@
 	term     group.Term
 	received group.Position
 	// applied trails received while lagging is true.
-	applied group.Position
-	fenced  group.Term
-	crashed bool // connections are refused
-	silent  bool // nothing is answered
-	deaf    bool // receives nothing
-	resets  bool // resets connections for questions, as a full member does
-	cut     bool // parted from the other members: if replaced, it leads on in its term
-	born    int  // which run of the member this is
-	written int  // how often it wrote its entry
-	lagging bool // applies nothing
-	full    bool // its queue has no room
-	demoted int  // how often it was demoted
-	claims  bool // says that it leads, though it was replaced
-	running int
-	breaks  int // how many statements run before their connection breaks
-	conns   int
-	runs    []string // identifiers of callers' statements that ran
-	work    time.Duration
+	applied         group.Position
+	fenced          group.Term
+	crashed         bool // connections are refused
+	silent          bool // nothing is answered
+	receivesNothing bool // receives nothing
+	resets          bool // resets connections for questions, as a full member does
+	partitioned     bool // parted from the other members: if replaced, it leads on in its term
+	incarnation     int  // which run of the member this is
+	written         int  // how often it wrote its entry
+	lagging         bool // applies nothing
+	full            bool // its queue has no room
+	demoted         int  // how often it was demoted
+	claimsPrimary   bool // says that it leads, though it was replaced
+	running         int
+	breaksAfter     int // how many statements run before their connection breaks
+	conns           int
+	runs            []string // identifiers of callers' statements that ran
+	work            time.Duration
 }
 
 // fakeSite is a group of members with the platform's store and promotions.
 type fakeSite struct {
-	mu      sync.Mutex
-	members []*fakeMember
-	cap     int
-	peak    int // connections to one member at once
-	probes  int // questions for a member's status
+	mu        sync.Mutex
+	members   []*fakeMember
+	maxConns  int
+	peakConns int // connections to one member at once
+	probes    int // questions for a member's status
 	// items and revision are the store's.
-	items    map[string]kv.Item
-	revision kv.Revision
-	changed  chan struct{}
-	leases   map[int64]time.Time
-	keyLease map[string]int64
-	down     bool // the store answers nothing
-	refusing bool // the store refuses all calls at once
+	items         map[string]kv.Item
+	revision      kv.Revision
+	changed       chan struct{}
+	leases        map[int64]time.Time
+	keyLease      map[string]int64
+	storeDown     bool // the store answers nothing
+	storeRefusing bool // the store refuses all calls at once
 	// pages counts the pages that were read. Each holds pageItems items at most, if that is set.
 	pages, pageItems int
 	// commits counts the transactions, and renewals those of leases.
 	commits, renewals int
-	slow              time.Duration // each call takes so long
-	// tokens holds the highest token of a promotion; late holds back orders.
-	token  int64
-	orders []string
-	late   time.Duration
-	// unfenced is true for a platform that checks no tokens.
-	unfenced bool
-	history  []group.Position // acknowledged writes
-	dropped  []group.Position // those that a promoted member did not hold
+	storeDelay        time.Duration // each call takes so long
+	// tokens holds the highest token of a promotion; promotionDelay holds back orders.
+	token          int64
+	orders         []string
+	promotionDelay time.Duration
+	// ignoresTokens is true for a platform that checks no tokens.
+	ignoresTokens bool
+	history       []group.Position // acknowledged writes
+	dropped       []group.Position // those that a promoted member did not hold
 	// ranFor holds the account of the connection on which each statement ran.
 	ranFor map[string]string
 }
 
 func newFakeSite(ids ...string) *fakeSite {
 	s := &fakeSite{
-		cap: 20, items: map[string]kv.Item{}, changed: make(chan struct{}),
+		maxConns: 20, items: map[string]kv.Item{}, changed: make(chan struct{}),
 		leases: map[int64]time.Time{}, keyLease: map[string]int64{}, ranFor: map[string]string{},
 	}
 	for i, id := range ids {
@@ -119,20 +119,20 @@
 // entry returns what the member writes into the store.
 func (m *fakeMember) entry(state, role string) []byte {
 	m.written++
-	return fmt.Appendf(nil, "%s %s %d %d", state, role, m.born, m.written)
+	return fmt.Appendf(nil, "%s %s %d %d", state, role, m.incarnation, m.written)
 }
 
 // restart ends a member and starts it again under its identifier, with nothing of before.
 func (s *fakeSite) restart(id string) {
-	s.with(id, func(m *fakeMember) {
-		m.born++
+	s.updateMember(id, func(m *fakeMember) {
+		m.incarnation++
 		m.received, m.applied, m.fenced, m.leads = group.Position{}, group.Position{}, 0, false
 	})
 	s.list(id, "ready")
 }
 
-// with changes a member.
-func (s *fakeSite) with(id string, change func(*fakeMember)) {
+// updateMember changes a member.
+func (s *fakeSite) updateMember(id string, change func(*fakeMember)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	change(s.member(id))
@@ -145,18 +145,18 @@
 	return slices.Clone(s.member(id).runs)
 }
 
-// given returns the promotions that were ordered.
-func (s *fakeSite) given() []string {
+// promotionOrders returns the promotions that were ordered.
+func (s *fakeSite) promotionOrders() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.Clone(s.orders)
 }
 
-// most returns how many connections one member had at once.
-func (s *fakeSite) most() int {
+// peakConnections returns how many connections one member had at once.
+func (s *fakeSite) peakConnections() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.peak
+	return s.peakConns
 }
 
 // leader returns the member that leads in the highest term.
@@ -181,7 +181,7 @@
 
 func (s *fakeSite) Promote(ctx context.Context, holder string, token int64, _, id string) error {
 	s.mu.Lock()
-	late := s.late
+	late := s.promotionDelay
 	s.mu.Unlock()
 	if late > 0 {
 		time.AfterFunc(late, func() { _ = s.carryOut(holder, token, id) })
@@ -191,8 +191,8 @@
 	return s.carryOut(holder, token, id)
 }
 
-// Raise implements Promoter.
-func (s *fakeSite) Raise(_ context.Context, _ string, token int64, _ string) error {
+// RaiseToken implements Promoter.
+func (s *fakeSite) RaiseToken(_ context.Context, _ string, token int64, _ string) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.token = max(s.token, token)
@@ -203,7 +203,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	m := s.member(id)
-	if token < s.token && !s.unfenced || m.crashed {
+	if token < s.token && !s.ignoresTokens || m.crashed {
 		return ErrFenced
 	}
 	s.token = token
@@ -229,7 +229,7 @@
 	for _, o := range s.members {
 		wasLeading := o.leads
 		o.fenced = 0
-		if o.cut && o != m {
+		if o.partitioned && o != m {
 			continue
 		}
 		o.leads = o == m
@@ -251,8 +251,8 @@
 	m.applied = m.received
 }
 
-// lost returns acknowledged writes that the primary lacks.
-func (s *fakeSite) lost() []group.Position {
+// lostWrites returns acknowledged writes that the primary lacks.
+func (s *fakeSite) lostWrites() []group.Position {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	m := s.leaderLocked()
@@ -292,7 +292,7 @@
 	return &Config{
 		Version: int64(value[0]), Accounts: accounts,
 		Routes: map[string]Route{testDatabase: {
-			Name: "r", Group: testGroup, Class: d.class, Timeout: 800 * time.Millisecond, Target: 200 * time.Millisecond,
+			Name: "r", Group: testGroup, Class: d.class, Timeout: 800 * time.Millisecond, LatencyTarget: 200 * time.Millisecond,
 		}},
 		Groups: map[string]GroupConfig{testGroup: {Connections: connections, SyncReplicas: 1}},
 	}, nil
@@ -333,13 +333,13 @@
 	}
 	return Member{
 		ID: strings.TrimPrefix(key, "members/"), Group: testGroup, Addr: netip.MustParseAddrPort("127.0.0.1:1"),
-		Zone: zoneOfMember[strings.TrimPrefix(key, "members/")], Slots: 2, Leaving: state == "draining", Leads: role == "primary", Born: born, Sequence: written,
+		Zone: zoneOfMember[strings.TrimPrefix(key, "members/")], Slots: 2, Leaving: state == "draining", IsPrimary: role == "primary", Incarnation: born, Sequence: written,
 	}, nil
 }
 
 // startHost starts a host on the site. The returned function stops it.
 func startHost(s *fakeSite, name string, class freshness.Class) (*Host, func()) {
-	settings := Settings{Host: name, Zone: "z", MemberDrain: 7 * time.Second, Grace: 6 * time.Second, PromotionTokens: !s.unfenced}
+	settings := Settings{Host: name, Zone: "z", MemberDrain: 7 * time.Second, ShutdownGrace: 6 * time.Second, PromotionTokens: !s.ignoresTokens}
 	h := NewHost(settings, Ports{
 		Dialer: s, Store: s, Promoter: s, Decode: fakeDecoder{class},
 		Keys: Keys{Config: "config", Members: "members/", Own: "own/"},
--- a/internal/gateway/fakestore_test.go
+++ b/internal/gateway/fakestore_test.go
@@ -117,7 +117,7 @@
 
 func (s *fakeSite) reach(ctx context.Context) error {
 	s.mu.Lock()
-	down, refusing, slow := s.down, s.refusing, s.slow
+	down, refusing, slow := s.storeDown, s.storeRefusing, s.storeDelay
 	s.expire()
 	s.mu.Unlock()
 	if slow > 0 && !pause.For(ctx, slow) {
@@ -261,12 +261,12 @@
 func (s *fakeSite) setDown(down bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.down = down
+	s.storeDown = down
 }
 
 // setRefusing makes the store refuse all calls at once.
 func (s *fakeSite) setRefusing(refusing bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.refusing = refusing
+	s.storeRefusing = refusing
 }
--- a/internal/gateway/floor.go
+++ b/internal/gateway/floor.go
@@ -8,9 +8,9 @@
 	"pearlatch/core/leadership"
 )
 
-// left records that a replica may have gone with its log.
-func (g *Group) left(at time.Time) {
-	g.departed, g.departedRevision = laterTime(g.departed, at), kv.Revision(g.revision.Load())
+// noteDeparture records that a replica may have gone with its log.
+func (g *Group) noteDeparture(at time.Time) {
+	g.departedAt, g.departedRevision = laterTime(g.departedAt, at), kv.Revision(g.storeRevision.Load())
 }
 
 func laterTime(a, b time.Time) time.Time {
@@ -24,82 +24,82 @@
 // missing: they may have left. One that is back under the same birth took nothing along, so that
 // entries which lapsed while the store was away cost no more than that.
 func (g *Group) floorValid() bool {
-	if g.floor == (group.Position{}) || !g.floorAt.After(g.departed) {
+	if g.floor == (group.Position{}) || !g.floorAt.After(g.departedAt) {
 		return false
 	}
-	for _, m := range g.order {
-		if left := m.mayHaveLeft(); !left.IsZero() && !g.floorAt.After(left) {
+	for _, m := range g.sortedMembers {
+		if left := m.possiblyLeftAt(); !left.IsZero() && !g.floorAt.After(left) {
 			return false
 		}
 	}
 	return true
 }
 
-// missedPrimaries counts members as replicas that the platform lost sight of while they led:
+// settleMissingPrimaries counts members as replicas that the platform lost sight of while they led:
 // since another one leads, they have acknowledged for that one.
-func (g *Group) missedPrimaries(leader string) {
-	for _, m := range g.missing() {
+func (g *Group) settleMissingPrimaries(leader string) {
+	for _, m := range g.missingMembers() {
 		if m.ID != leader {
-			m.missedLeading = false
+			m.missingAsPrimary = false
 		}
 	}
 }
 
-// complete reports whether a log that ends at p holds everything that members
+// coversDeparted reports whether a log that ends at p holds everything that members
 // acknowledged which have left since.
-func (g *Group) complete(p group.Position) bool {
+func (g *Group) coversDeparted(p group.Position) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.floorValid() && p.Compare(g.floor) >= 0
 }
 
-// adoptFloor takes over what the record of an earlier holder says of the log that a
+// inheritFloor takes over what the record of an earlier holder says of the log that a
 // successor must have.
-func (g *Group) adoptFloor(r leadership.Record, revision kv.Revision) {
+func (g *Group) inheritFloor(r leadership.Record, revision kv.Revision) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.inherited, g.inheritedRevision = r, revision
-	g.tryAdopt()
+	g.inheritedRecord, g.inheritedRevision = r, revision
+	g.tryAdoptFloor()
 }
 
-// tryAdopt adopts the inherited floor once all its members are listed, unless one has left since.
-func (g *Group) tryAdopt() {
-	if g.inheritedRevision == 0 || g.departedRevision >= g.inheritedRevision || g.floorValid() || !g.inherited.Covers(g.lifetimes()) {
+// tryAdoptFloor adopts the inherited floor once all its members are listed, unless one has left since.
+func (g *Group) tryAdoptFloor() {
+	if g.inheritedRevision == 0 || g.departedRevision >= g.inheritedRevision || g.floorValid() || !g.inheritedRecord.Covers(g.listedLifetimes()) {
 		return
 	}
-	for _, m := range g.order {
-		if !m.mayHaveLeft().IsZero() {
+	for _, m := range g.sortedMembers {
+		if !m.possiblyLeftAt().IsZero() {
 			return
 		}
 	}
-	g.floor, g.floorAt = g.inherited.Floor, g.now()
+	g.floor, g.floorAt = g.inheritedRecord.Floor, g.now()
 	g.log("floor_adopted", "position", g.floor, "revision", g.inheritedRevision)
 	g.inheritedRevision = 0
 }
 
-// lifetimes returns the members that are listed.
-func (g *Group) lifetimes() []leadership.Lifetime {
+// listedLifetimes returns the members that are listed.
+func (g *Group) listedLifetimes() []leadership.Lifetime {
 	var out []leadership.Lifetime
-	for _, m := range g.order {
+	for _, m := range g.sortedMembers {
 		if m.missingSince.IsZero() && !m.gone {
-			out = append(out, leadership.Lifetime{Member: m.ID, Born: m.Born})
+			out = append(out, leadership.Lifetime{Member: m.ID, Born: m.Incarnation})
 		}
 	}
 	return out
 }
 
-// successorNeeds returns what a successor of the primary must hold, as it is to be
+// successorRequirements returns what a successor of the primary must hold, as it is to be
 // recorded, or false while that is not known.
-func (g *Group) successorNeeds() (leadership.Record, bool) {
+func (g *Group) successorRequirements() (leadership.Record, bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return leadership.Record{Term: g.leaderTerm, Members: g.lifetimes(), Floor: g.floor}, g.floorValid() && len(g.missing()) == 0
+	return leadership.Record{Term: g.primaryTerm, Members: g.listedLifetimes(), Floor: g.floor}, g.floorValid() && len(g.missingMembers()) == 0
 }
 
-// missing returns the members that the platform has lost sight of.
-func (g *Group) missing() []*member {
+// missingMembers returns the members that the platform has lost sight of.
+func (g *Group) missingMembers() []*member {
 	var out []*member
-	for _, m := range g.order {
+	for _, m := range g.sortedMembers {
 		if !m.missingSince.IsZero() {
 			out = append(out, m)
 		}
@@ -107,12 +107,12 @@
 	return out
 }
 
-// renewed records that a primary leads which was chosen among the members listed at
+// renewFloor records that a primary leads which was chosen among the members listed at
 // some time: its log then held whatever members had acknowledged that left before.
-func (g *Group) renewed(c successorChoice) {
+func (g *Group) renewFloor(c successorChoice) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if c.held != (group.Position{}) && g.departed.Before(c.listed) {
-		g.floor, g.floorAt = c.held, c.listed
+	if c.received != (group.Position{}) && g.departedAt.Before(c.listedAt) {
+		g.floor, g.floorAt = c.received, c.listedAt
 	}
 }
--- a/internal/gateway/forward.go
+++ b/internal/gateway/forward.go
@@ -44,15 +44,15 @@
 // remoteTransaction is a transaction's part on another host.
 type remoteTransaction struct {
 	server membership.Host
-	lane   Stream
+	stream Stream
 }
 
-// peerRequest describes a statement to another host.
-func (s *Session) peerRequest(r Request, arrived time.Time, w *operation) *PeerRequest {
+// newPeerRequest describes a statement to another host.
+func (s *Session) newPeerRequest(r Request, arrived time.Time, w *operation) *PeerRequest {
 	h := s.host
 	return &PeerRequest{
-		From: h.process, Serial: h.serial.Add(1), Group: w.group.name, Database: s.database, Route: w.route, Account: w.need.Account,
-		Age: h.now().Sub(arrived), Mark: s.mark, Values: s.values, Shape: w.shape, Request: r,
+		From: h.processID, Serial: h.requestSerial.Add(1), Group: w.group.name, Database: s.database, Route: w.route, Account: w.need.Account,
+		Age: h.now().Sub(arrived), LastWrite: s.lastWrite, Values: s.values, Prepared: w.prepared, Request: r,
 	}
 }
 
@@ -60,13 +60,13 @@
 // group. It returns false if none took it.
 func (s *Session) forwardSingle(ctx context.Context, r Request, w *operation) (reply Reply, ok bool) {
 	arrived := w.deadline.Add(-w.route.Timeout)
-	s.eachServer(ctx, w, func(server membership.Host, insist bool) error {
-		req := s.peerRequest(r, arrived, w)
-		req.Insist = insist
+	s.tryServers(ctx, w, func(server membership.Host, insist bool) error {
+		req := s.newPeerRequest(r, arrived, w)
+		req.WaitForPrimary = insist
 		got, _, err := s.forward(ctx, server, req, w.deadline)
 		switch {
 		case err == nil:
-			s.raise(got.Mark)
+			s.advanceLastWrite(got.LastWrite)
 			reply, ok = got.Reply, true
 		case errors.Is(err, errOutcomeUnknown) && w.writes:
 			reply, ok = failureReply(InDoubt, "host "+server.ID+" was lost with the write"), true
@@ -80,34 +80,34 @@
 // attemptFunc offers a statement to another host. The error is nil once the statement is settled.
 type attemptFunc func(server membership.Host, insist bool) error
 
-// eachServer turns to one host after the other that serves the group until the statement
+// tryServers turns to one host after the other that serves the group until the statement
 // is settled, has waited for long enough, or this host is to serve the group itself.
-func (s *Session) eachServer(ctx context.Context, w *operation, settle attemptFunc) {
-	if !w.passOn {
-		s.eachDetour(w, settle)
+func (s *Session) tryServers(ctx context.Context, w *operation, settle attemptFunc) {
+	if !w.servedElsewhere {
+		s.tryAlternatives(w, settle)
 		return
 	}
-	for s.onePass(w, settle) {
+	for s.tryServersOnce(w, settle) {
 		if !pause.For(ctx, peerRetryInterval) {
 			return
 		}
 	}
 }
 
-// onePass offers a statement once to each host that serves the group. It returns true if
+// tryServersOnce offers a statement once to each host that serves the group. It returns true if
 // the statement is to be offered again.
-func (s *Session) onePass(w *operation, settle attemptFunc) bool {
+func (s *Session) tryServersOnce(w *operation, settle attemptFunc) bool {
 	g, h := w.group, s.host
 	var without []membership.Host // those that can't reach the primary
-	for _, server := range h.turnsOf(g).servers {
+	for _, server := range h.serversFor(g).servers {
 		err := settle(server, false)
 		switch {
 		case err == nil:
-			g.reached()
+			g.noteServerReached()
 			return false
 		case errors.Is(err, errPeerPrimaryUnreachable):
 			without = append(without, server)
-		case g.unreached():
+		case g.noteServerUnreached():
 			return false
 		}
 		if !h.now().Before(w.waitUntil()) {
@@ -120,7 +120,7 @@
 	// Where several hosts miss the primary it is most likely being replaced, and the
 	// statement waits for the next one.
 	if len(without) > 0 && settle(without[0], true) == nil {
-		g.reached()
+		g.noteServerReached()
 		return false
 	}
 	return true
@@ -130,10 +130,10 @@
 // partition that leaves a majority on the other side is crossed by two of three.
 const maxAlternatives = 2
 
-// eachDetour offers a statement to hosts that may reach the primary while this one, which
+// tryAlternatives offers a statement to hosts that may reach the primary while this one, which
 // serves the group, can't.
-func (s *Session) eachDetour(w *operation, settle attemptFunc) {
-	detours := s.host.fleet.Usable(s.host.detours(w.group))
+func (s *Session) tryAlternatives(w *operation, settle attemptFunc) {
+	detours := s.host.fleet.Usable(s.host.alternativeHosts(w.group))
 	for _, server := range detours[:min(len(detours), 1+maxAlternatives)] {
 		if settle(server, false) == nil || !s.host.now().Before(w.waitUntil()) {
 			return
@@ -147,7 +147,7 @@
 	h := s.host
 	call, cancel := context.WithTimeout(ctx, openStreamTimeout)
 	defer cancel()
-	lane, err := h.ports.Peers.Lane(call, server.Peer)
+	lane, err := h.ports.Peers.OpenStream(call, server.Peer)
 	if err != nil {
 		h.peerFailed(server.ID, err)
 		h.logForward(s, r, server.ID, "not reached", err)
@@ -167,7 +167,7 @@
 	call, cancel := context.WithTimeout(ctx, deadline.Sub(h.now())+peerReplyMargin)
 	defer cancel()
 	sent := h.now()
-	watch := time.AfterFunc(outcomeQueryDelay, func() { h.watchPeer(call, cancel, server, r) })
+	watch := time.AfterFunc(outcomeQueryDelay, func() { h.watchRequest(call, cancel, server, r) })
 	reply, err := lane.Do(call, r)
 	watch.Stop()
 	if err != nil {
@@ -176,10 +176,10 @@
 		if errors.Is(err, ErrNotSent) || r.repeatable() {
 			return nil, errNotRun
 		}
-		reply, err = h.settle(ctx, server, r, deadline)
+		reply, err = h.resolveOutcome(ctx, server, r, deadline)
 		switch {
 		case errors.Is(err, errNotRun):
-			lane.Mistrust(h.now().Sub(sent))
+			lane.ReplaceIfSilent(h.now().Sub(sent))
 		case err == nil && reply.Reply.State == InTransaction:
 			// With its lane, the transaction was rolled back.
 			return nil, errNotRun
@@ -198,15 +198,15 @@
 		}
 		return nil, errNotRun
 	}
-	h.meters.forward(r.Group, "answered")
+	h.metrics.forward(r.Group, "answered")
 	return reply, nil
 }
 
-// watchPeer asks a host whether it has a request that takes long, and ends the wait
+// watchRequest asks a host whether it has a request that takes long, and ends the wait
 // when it does not answer or has it no longer: the connection may have gone silent.
-func (h *Host) watchPeer(ctx context.Context, giveUp func(), server membership.Host, r *PeerRequest) {
+func (h *Host) watchRequest(ctx context.Context, giveUp func(), server membership.Host, r *PeerRequest) {
 	for missed := 0; ctx.Err() == nil; {
-		switch got, err := h.recall(ctx, server, r); got.(type) {
+		switch got, err := h.queryOutcome(ctx, server, r); got.(type) {
 		case OutcomeRunning:
 			missed = 0
 		default:
@@ -228,17 +228,17 @@
 	}
 }
 
-// recall asks a host what became of a request.
-func (h *Host) recall(ctx context.Context, server membership.Host, r *PeerRequest) (RequestOutcome, error) {
+// queryOutcome asks a host what became of a request.
+func (h *Host) queryOutcome(ctx context.Context, server membership.Host, r *PeerRequest) (RequestOutcome, error) {
 	call, cancel := context.WithTimeout(ctx, outcomeQueryTimeout)
 	defer cancel()
-	return h.ports.Peers.Recall(call, server.Peer, r.From, r.Serial)
+	return h.ports.Peers.QueryOutcome(call, server.Peer, r.From, r.Serial)
 }
 
-// settle finds out what became of a request whose lane broke.
-func (h *Host) settle(ctx context.Context, server membership.Host, r *PeerRequest, deadline time.Time) (*PeerReply, error) {
+// resolveOutcome finds out what became of a request whose lane broke.
+func (h *Host) resolveOutcome(ctx context.Context, server membership.Host, r *PeerRequest, deadline time.Time) (*PeerReply, error) {
 	for missed := 0; h.now().Before(deadline) && missed < maxMissedOutcomeQueries; {
-		got, err := h.recall(ctx, server, r)
+		got, err := h.queryOutcome(ctx, server, r)
 		if err != nil {
 			missed++
 			continue
@@ -265,12 +265,12 @@
 		return
 	}
 	h.log("peer_lost", "peer", id, "err", err)
-	go h.regain(id)
+	go h.probeUntilRegained(id)
 }
 
-// regain asks a host that failed until it answers or is no longer listed, so that no
+// probeUntilRegained asks a host that failed until it answers or is no longer listed, so that no
 // caller has to find out.
-func (h *Host) regain(id string) {
+func (h *Host) probeUntilRegained(id string) {
 	ctx, cancel := contextUntil(context.Background(), h.ended)
 	defer cancel()
 	for next := serving.RegainPause(0, 1); pause.For(ctx, next); next = serving.RegainPause(next, h.fleet.Suspects()) {
@@ -279,7 +279,7 @@
 			return
 		}
 		call, cancel := context.WithTimeout(ctx, outcomeQueryTimeout)
-		got, err := h.ports.Peers.Recall(call, addr, h.process, 0)
+		got, err := h.ports.Peers.QueryOutcome(call, addr, h.processID, 0)
 		cancel()
 		if known, ok := got.(OutcomeUnknown); ok && err == nil {
 			h.peerAnswered(id, known.Process)
@@ -295,33 +295,33 @@
 	}
 }
 
-// sendOn runs a statement by way of another host, since this one can't reach the primary.
+// reroute runs a statement by way of another host, since this one can't reach the primary.
 // A caller of another host goes back there. It returns false if no host took it: then the
 // statement waits here.
-func (s *Session) sendOn(ctx context.Context, r Request, w *operation) (Reply, bool) {
-	if s.sendBack() {
+func (s *Session) reroute(ctx context.Context, r Request, w *operation) (Reply, bool) {
+	if s.returnToOrigin() {
 		return busyReply(*w), true
 	}
 	w.need.SendOn = false
 	return s.forwardSingle(ctx, r, w)
 }
 
-// sendOnInTransaction does the same for a transaction that has run nothing yet.
-func (s *Session) sendOnInTransaction(ctx context.Context, r Request, arrived time.Time) (Reply, bool) {
-	if s.sendBack() {
-		return s.failed(busyReply(s.tx.work)), true
+// rerouteInTransaction does the same for a transaction that has run nothing yet.
+func (s *Session) rerouteInTransaction(ctx context.Context, r Request, arrived time.Time) (Reply, bool) {
+	if s.returnToOrigin() {
+		return s.failTransaction(busyReply(s.tx.op)), true
 	}
-	s.tx.work.need.SendOn = false
+	s.tx.op.need.SendOn = false
 	return s.forwardInTransaction(ctx, r, arrived)
 }
 
-// sendBack makes the answer to another host say that this one can't reach the primary. It
+// returnToOrigin makes the answer to another host say that this one can't reach the primary. It
 // returns false for this host's own callers.
-func (s *Session) sendBack() bool {
-	if s.visit == nil {
+func (s *Session) returnToOrigin() bool {
+	if s.origin == nil {
 		return false
 	}
-	s.visit.sentBack = true
+	s.origin.returned = true
 	return true
 }
 
@@ -329,53 +329,53 @@
 func (h *Host) logForward(s *Session, r *PeerRequest, server, outcome string, err error) {
 	h.log("forward", "request", r.Request.ID, "database", s.database, "group", r.Group, "peer", server,
 		"outcome", outcome, "age_ms", r.Age.Milliseconds(), "err", err)
-	h.meters.forward(r.Group, "failed")
+	h.metrics.forward(r.Group, "failed")
 }
 
 // forwardInTransaction passes a statement of a transaction, or its commit, on. The first
 // one opens the transaction on the other host. It returns false if no host took it.
 func (s *Session) forwardInTransaction(ctx context.Context, r Request, arrived time.Time) (reply Reply, ok bool) {
 	t := s.tx
-	if t.away != nil {
-		return s.continueAway(ctx, r, arrived), true
+	if t.remote != nil {
+		return s.continueRemote(ctx, r, arrived), true
 	}
-	s.eachServer(ctx, &t.work, func(server membership.Host, insist bool) error {
-		req := s.peerRequest(r, arrived, &t.work)
+	s.tryServers(ctx, &t.op, func(server membership.Host, insist bool) error {
+		req := s.newPeerRequest(r, arrived, &t.op)
 		req.Begin, req.BeginAge = &Begin{ReadOnly: t.readOnly}, s.host.now().Sub(t.started)
-		req.Insist = insist
+		req.WaitForPrimary = insist
 		// If the answer is lost the other host rolls back, so another one may begin.
-		got, lane, err := s.forward(ctx, server, req, t.work.deadline)
+		got, lane, err := s.forward(ctx, server, req, t.op.deadline)
 		if err != nil {
 			return err
 		}
-		t.away = &remoteTransaction{server, lane}
-		reply, ok = s.taken(r, got), true
+		t.remote = &remoteTransaction{server, lane}
+		reply, ok = s.applyRemoteReply(r, got), true
 		return nil
 	})
 	return reply, ok
 }
 
-// continueAway runs a further statement of a transaction on its host.
-func (s *Session) continueAway(ctx context.Context, r Request, arrived time.Time) Reply {
+// continueRemote runs a further statement of a transaction on its host.
+func (s *Session) continueRemote(ctx context.Context, r Request, arrived time.Time) Reply {
 	t := s.tx
-	server := t.away.server
-	req := s.peerRequest(r, arrived, &t.work)
+	server := t.remote.server
+	req := s.newPeerRequest(r, arrived, &t.op)
 	req.Continues = true
-	reply, err := s.send(ctx, server, t.away.lane, req, t.work.deadline)
+	reply, err := s.send(ctx, server, t.remote.stream, req, t.op.deadline)
 	if err == nil {
-		return s.taken(r, reply)
+		return s.applyRemoteReply(r, reply)
 	}
-	t.away = nil
+	t.remote = nil
 	if _, ends := r.Statement.(Commit); ends && !t.readOnly && errors.Is(err, errOutcomeUnknown) {
 		s.tx, s.state = nil, Idle
 		return failureReply(InDoubt, "host "+server.ID+" was lost with the commit")
 	}
-	return s.failed(failureReply(Aborted, "host "+server.ID+" was lost, "+retryAfter(0)))
+	return s.failTransaction(failureReply(Aborted, "host "+server.ID+" was lost, "+retryAfter(0)))
 }
 
-// taken takes over what another host answered to a statement of a transaction.
-func (s *Session) taken(r Request, reply *PeerReply) Reply {
-	s.raise(reply.Mark)
+// applyRemoteReply takes over what another host answered to a statement of a transaction.
+func (s *Session) applyRemoteReply(r Request, reply *PeerReply) Reply {
+	s.advanceLastWrite(reply.LastWrite)
 	if reply.Reply.State != InTransaction {
 		s.tx = nil
 	}
@@ -386,16 +386,16 @@
 	return reply.Reply
 }
 
-// rollbackAway ends a transaction on another host.
-func (t *transaction) rollbackAway(s *Session) {
-	a := t.away
-	t.away = nil
+// rollbackRemote ends a transaction on another host.
+func (t *transaction) rollbackRemote(s *Session) {
+	a := t.remote
+	t.remote = nil
 	ctx, cancel := context.WithTimeout(context.Background(), rollbackTimeout)
 	defer cancel()
-	r := s.peerRequest(Request{ID: s.last, Statement: Rollback{}}, s.host.now(), &t.work)
+	r := s.newPeerRequest(Request{ID: s.lastRequestID, Statement: Rollback{}}, s.host.now(), &t.op)
 	r.Continues = true
-	reply, err := a.lane.Do(ctx, r)
+	reply, err := a.stream.Do(ctx, r)
 	if err != nil || reply.Declined != Accepted || reply.Reply.State != Idle {
-		a.lane.Close()
+		a.stream.Close()
 	}
 }
--- a/internal/gateway/forwarded_session.go
+++ b/internal/gateway/forwarded_session.go
@@ -23,46 +23,46 @@
 type forwardOrigin struct {
 	from string
 	routeTarget
-	// insist is true when the caller's statement waits for the primary here, and
-	// sentBack is set when it does not and this host can't reach it.
-	insist, sentBack bool
+	// waitForPrimary is true when the caller's statement waits for the primary here, and
+	// returned is set when it does not and this host can't reach it.
+	waitForPrimary, returned bool
 }
 
-// NewGuest returns a ForwardedSession without a caller.
-func (h *Host) NewGuest() *ForwardedSession { return &ForwardedSession{host: h} }
+// NewForwardedSession returns a ForwardedSession without a caller.
+func (h *Host) NewForwardedSession() *ForwardedSession { return &ForwardedSession{host: h} }
 
-// Take decides whether to run a request of another host, and records it, so that the host
+// Accept decides whether to run a request of another host, and records it, so that the host
 // can answer for it from then on. It returns the answer to a request that is declined.
-func (g *ForwardedSession) Take(r *PeerRequest) (declined *PeerReply) {
+func (g *ForwardedSession) Accept(r *PeerRequest) (declined *PeerReply) {
 	h := g.host
-	why := g.declines(r)
-	if why == Accepted && !h.recent.Admit(recall.Key{From: r.From, Serial: r.Serial}, h.now()) {
+	why := g.declineReason(r)
+	if why == Accepted && !h.recentRequests.Admit(recall.Key{From: r.From, Serial: r.Serial}, h.now()) {
 		why = ReportedUnknown
 	}
 	if why == Accepted {
-		h.guests.Add(1)
+		h.forwardedCount.Add(1)
 		return nil
 	}
-	return &PeerReply{Process: h.process, Declined: why}
+	return &PeerReply{Process: h.processID, Declined: why}
 }
 
 // Run runs a request that was taken.
 func (g *ForwardedSession) Run(ctx context.Context, r *PeerRequest) *PeerReply {
 	h := g.host
-	defer h.guests.Add(-1)
+	defer h.forwardedCount.Add(-1)
 	if group := h.group(r.Group); group != nil {
-		group.deputize()
+		group.startFallback()
 	}
 	reply := g.run(ctx, r)
-	g.count()
-	h.recent.Done(recall.Key{From: r.From, Serial: r.Serial}, reply)
+	g.updateCount()
+	h.recentRequests.Done(recall.Key{From: r.From, Serial: r.Serial}, reply)
 	return reply
 }
 
-// declines says why the request is not to run here. Once a transaction is open its
+// declineReason says why the request is not to run here. Once a transaction is open its
 // statements run here or nowhere.
-func (g *ForwardedSession) declines(r *PeerRequest) DeclineReason {
-	if r.To != "" && r.To != g.host.process {
+func (g *ForwardedSession) declineReason(r *PeerRequest) DeclineReason {
+	if r.To != "" && r.To != g.host.processID {
 		return OtherProcess
 	}
 	switch {
@@ -79,9 +79,9 @@
 	switch {
 	case group == nil:
 		return GroupUnknown
-	case r.Account == "" && !r.Route.Public && g.host.asksForAccounts():
+	case r.Account == "" && !r.Route.Public && g.host.requiresAccounts():
 		return AccountMissing
-	case !r.Insist && r.needsPrimary() && group.primaryUnreached():
+	case !r.WaitForPrimary && r.needsPrimary() && group.primaryUnreachable():
 		return PrimaryUnreachable
 	}
 	return Accepted
@@ -96,11 +96,11 @@
 		return !r.Begin.ReadOnly
 	}
 	_, writes := r.Request.Statement.(Write)
-	return writes || r.Shape != nil && r.Shape.Writes
+	return writes || r.Prepared != nil && r.Prepared.Writes
 }
 
-// asksForAccounts reports whether callers need an account by this host's configuration.
-func (h *Host) asksForAccounts() bool {
+// requiresAccounts reports whether callers need an account by this host's configuration.
+func (h *Host) requiresAccounts() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.config != nil && h.config.Accounts != nil
@@ -109,13 +109,13 @@
 // Open reports whether a transaction is open.
 func (g *ForwardedSession) Open() bool { return g.session != nil && g.session.state == InTransaction }
 
-// count tells the host whether a transaction is open.
-func (g *ForwardedSession) count() {
+// updateCount tells the host whether a transaction is open.
+func (g *ForwardedSession) updateCount() {
 	switch open := g.Open(); {
 	case open && !g.counted:
-		g.host.guests.Add(1)
+		g.host.forwardedCount.Add(1)
 	case !open && g.counted:
-		g.host.guests.Add(-1)
+		g.host.forwardedCount.Add(-1)
 	}
 	g.counted = g.Open()
 }
@@ -127,14 +127,14 @@
 	h := g.host
 	now := h.now()
 	if !g.Open() {
-		g.session = &Session{host: h, database: r.Database, visit: &forwardOrigin{from: r.From, routeTarget: routeTarget{r.Route, h.group(r.Group), &account.Account{Name: r.Account}}}}
+		g.session = &Session{host: h, database: r.Database, origin: &forwardOrigin{from: r.From, routeTarget: routeTarget{r.Route, h.group(r.Group), &account.Account{Name: r.Account}}}}
 	}
 	s := g.session
-	s.visit.insist, s.visit.sentBack = r.Insist, false
+	s.origin.waitForPrimary, s.origin.returned = r.WaitForPrimary, false
 	s.values = r.Values
-	s.raise(r.Mark)
-	if e, ok := r.Request.Statement.(Execute); ok && r.Shape != nil {
-		s.prepared = map[string]PreparedStatement{e.Name: *r.Shape}
+	s.advanceLastWrite(r.LastWrite)
+	if e, ok := r.Request.Statement.(Execute); ok && r.Prepared != nil {
+		s.prepared = map[string]PreparedStatement{e.Name: *r.Prepared}
 	}
 	if r.Begin != nil {
 		s.begin(*r.Begin, now.Add(-r.BeginAge))
@@ -144,8 +144,8 @@
 		// The caller's own host keeps the state of a failed transaction.
 		s.state = Idle
 	}
-	out := &PeerReply{Process: h.process, Reply: reply, Mark: s.mark}
-	if s.visit.sentBack {
+	out := &PeerReply{Process: h.processID, Reply: reply, LastWrite: s.lastWrite}
+	if s.origin.returned {
 		out.Declined = PrimaryUnreachable
 	}
 	return out
@@ -158,11 +158,11 @@
 		g.session.Expire()
 	}
 	g.session = nil
-	g.count()
+	g.updateCount()
 }
 
-// Rest is how long the next request may take to come while a transaction is open.
-func (g *ForwardedSession) Rest() time.Duration {
+// IdleTimeout is how long the next request may take to come while a transaction is open.
+func (g *ForwardedSession) IdleTimeout() time.Duration {
 	return g.host.TransactionIdle() + forwardedIdleMargin
 }
 
@@ -175,19 +175,19 @@
 		g.session.abandon()
 	}
 	g.session = nil
-	g.count()
+	g.updateCount()
 }
 
-// Recall says what became of a request of another host.
-func (h *Host) Recall(from string, serial uint64) RequestOutcome {
-	switch outcome, reply := h.recent.Recall(recall.Key{From: from, Serial: serial}, h.now()); outcome {
+// OutcomeOf says what became of a request of another host.
+func (h *Host) OutcomeOf(from string, serial uint64) RequestOutcome {
+	switch outcome, reply := h.recentRequests.Recall(recall.Key{From: from, Serial: serial}, h.now()); outcome {
 	case recall.Answered:
 		return OutcomeDone{reply}
 	case recall.Running:
 		return OutcomeRunning{}
 	}
-	return OutcomeUnknown{h.process}
+	return OutcomeUnknown{h.processID}
 }
 
-// Guests returns how many requests and transactions of other hosts are open here.
-func (h *Host) Guests() int64 { return h.guests.Load() }
+// ForwardedCount returns how many requests and transactions of other hosts are open here.
+func (h *Host) ForwardedCount() int64 { return h.forwardedCount.Load() }
--- a/internal/gateway/group.go
+++ b/internal/gateway/group.go
@@ -22,120 +22,120 @@
 
 // Group is a database group as one host serves it. Use newGroup.
 type Group struct {
-	name   string
-	zone   string
-	dialer Dialer
-	logger log.Logger
-	now    func() time.Time
-	meters hostMetrics
-	// drainBound is how long a leaving primary may still get new work.
-	drainBound time.Duration
+	name    string
+	zone    string
+	dialer  Dialer
+	logger  log.Logger
+	now     func() time.Time
+	metrics hostMetrics
+	// maxDrain is how long a leaving primary may still get new work.
+	maxDrain time.Duration
 
 	mu sync.Mutex
-	// members holds every member of the list; order holds them by ID.
-	members map[string]*member
-	order   []*member
-	// connections is the most that a member takes from all hosts; hosts is how
+	// members holds every member of the list; sortedMembers holds them by ID.
+	members       map[string]*member
+	sortedMembers []*member
+	// maxConnections is the most that a member takes from all hosts; hosts is how
 	// many hosts share them.
-	connections, hosts int
+	maxConnections, hosts int
 	// plan says who serves the group. While others do, this host serves in their place until
-	// deputyUntil.
-	plan        serving.Plan
-	deputyUntil time.Time
-	// turns are the hosts to turn to while others serve.
-	turns fleet.Versioned[servingHosts]
-	// unreachedSince is since when none of the servers has answered, or zero.
-	unreachedSince time.Time
-	// triedAt is when a statement last tried the servers.
-	triedAt time.Time
-	// age is the shortest age that a route of the group accepts, or zero.
-	age time.Duration
-	// pool decides on connections; links holds them, and waiting whom the pool is to give one.
+	// fallbackUntil.
+	plan          serving.Plan
+	fallbackUntil time.Time
+	// servingHosts are the hosts to turn to while others serve.
+	servingHosts fleet.Versioned[servingHosts]
+	// serversLostSince is since when none of the servers has answered, or zero.
+	serversLostSince time.Time
+	// serversTriedAt is when a statement last tried the servers.
+	serversTriedAt time.Time
+	// maxStaleness is the shortest age that a route of the group accepts, or zero.
+	maxStaleness time.Duration
+	// pool decides on connections; conns holds them, and waiting whom the pool is to give one.
 	pool    *pool.Pool
-	links   map[*pool.Conn]*pooledConn
+	conns   map[*pool.Conn]*pooledConn
 	waiting map[*pool.Waiter]chan *pooledConn
-	// ticking is true while waiting statements are looked at again and again.
-	ticking bool
-	// leader is the ID of the primary as believed, or empty; leaderlessSince is since
+	// recheckScheduled is true while waiting statements are looked at again and again.
+	recheckScheduled bool
+	// primaryID is the ID of the primary as believed, or empty; noPrimarySince is since
 	// when it has been empty.
-	leader          string
-	leaderlessSince time.Time
-	// formerLeader is the one believed in before, while leader is empty.
-	formerLeader string
-	// leaderTerm is the highest term in which a member was seen to lead.
-	leaderTerm group.Term
-	// ages samples the primary's position.
-	ages freshness.Ages
-	// lease is this host's lease on the primary; leaseAlarm asks for one at once, and
-	// primaryNeeded is when a statement last needed the primary.
+	primaryID      string
+	noPrimarySince time.Time
+	// lastPrimaryID is the one believed in before, while primaryID is empty.
+	lastPrimaryID string
+	// primaryTerm is the highest term in which a member was seen to lead.
+	primaryTerm group.Term
+	// samples holds samples of the primary's position.
+	samples freshness.Ages
+	// lease is this host's lease on the primary; leaseSignal asks for one at once, and
+	// primaryNeededAt is when a statement last needed the primary.
 	lease leadership.Lease
-	// handed is the lease for writes on the primary before, if the change was planned.
-	handed leadership.Lease
-	// recalledAt is when the holder last took a lease back: one asked for until then is void.
-	recalledAt    time.Time
-	leaseAlarm    chan struct{}
-	primaryNeeded time.Time
-	// proof is the question to all other members whether the primary leads that is under
-	// way, or nil. proven is the last one that was answered well.
-	proof  *primaryCheck
-	proven primaryCheck
-	// disproof is the last one if it proved nothing, or nil. The next is put no sooner than at
-	// proveAt, after proofPause.
-	disproof   *primaryCheck
-	proveAt    time.Time
-	proofPause time.Duration
-	// sampledFrom is the member that the newest of ages was taken from.
-	sampledFrom string
-	// unprovenSince is since when the primary could not be proven to lead, or zero, and
-	// outages what was learned of its outages.
-	unprovenSince time.Time
-	outages       outage.Forecast
-	// writing counts writes without an answer; writingSince is since when none of them has
-	// been acknowledged, or zero. lackedAt is when a replica was last seen far behind, and queuedAt
+	// writeLease is the lease for writes on the primary before, if the change was planned.
+	writeLease leadership.Lease
+	// leaseRevokedAt is when the holder last took a lease back: one asked for until then is void.
+	leaseRevokedAt  time.Time
+	leaseSignal     chan struct{}
+	primaryNeededAt time.Time
+	// check is the question to all other members whether the primary leads that is under
+	// way, or nil. passedCheck is the last one that was answered well.
+	check       *primaryCheck
+	passedCheck primaryCheck
+	// failedCheck is the last one if it proved nothing, or nil. The next is put no sooner than at
+	// nextCheckAt, after checkBackoff.
+	failedCheck  *primaryCheck
+	nextCheckAt  time.Time
+	checkBackoff time.Duration
+	// sampleSource is the member that the newest of samples was taken from.
+	sampleSource string
+	// unverifiedSince is since when the primary could not be proven to lead, or zero, and
+	// outageForecast what was learned of its outages.
+	unverifiedSince time.Time
+	outageForecast  outage.Forecast
+	// pendingWrites counts writes without an answer; noAckSince is since when none of them has
+	// been acknowledged, or zero. replicaLaggedAt is when a replica was last seen far behind, and lastQueuedAt
 	// when a statement last had to wait.
-	writing      int
-	writingSince time.Time
-	lackedAt     time.Time
-	queuedAt     time.Time
-	// waited counts the statements that had to wait for a connection.
-	waited int
-	// reportedCalm is when another host that serves the group last said that it is well there, and
-	// leaseAsked when one last asked for a lease or a position.
-	reportedCalm, leaseAsked time.Time
+	pendingWrites   int
+	noAckSince      time.Time
+	replicaLaggedAt time.Time
+	lastQueuedAt    time.Time
+	// waitCount counts the statements that had to wait for a connection.
+	waitCount int
+	// peerHealthyAt is when another host that serves the group last said that it is well there, and
+	// peerAskedAt when one last asked for a lease or a position.
+	peerHealthyAt, peerAskedAt time.Time
 	// searching is true while the members are asked who leads.
-	searching bool
-	controls  map[string]*controlConn
-	// holding is true while this host holds the group's duty.
-	holding bool
-	// departed is when a member last left the list, or the list was first read. It
+	searching    bool
+	controlConns map[string]*controlConn
+	// coordinated is true while this host holds the group's duty.
+	coordinated bool
+	// departedAt is when a member last left the list, or the list was first read. It
 	// may have taken along the only other copy of what it acknowledged until then.
-	departed time.Time
-	// revision is the store's up to which this host knows its changes, and departedRevision the
+	departedAt time.Time
+	// storeRevision is the store's up to which this host knows its changes, and departedRevision the
 	// one at which a member was last seen to leave, or zero.
-	revision         *atomic.Int64
+	storeRevision    *atomic.Int64
 	departedRevision kv.Revision
 	// floor is a position of the primary, seen at floorAt: what holds it holds all that members
 	// had acknowledged which left before, see floorValid.
 	floor   group.Position
 	floorAt time.Time
-	// inherited is what an earlier holder recorded, at inheritedRevision, until it is adopted.
-	inherited         leadership.Record
+	// inheritedRecord is what an earlier holder recorded, at inheritedRevision, until it is adopted.
+	inheritedRecord   leadership.Record
 	inheritedRevision kv.Revision
-	// alarm wakes the holder of the group's duty when the primary is suspect.
-	alarm chan struct{}
+	// probeSignal wakes the holder of the group's duty when the primary is suspect.
+	probeSignal chan struct{}
 
-	// neededAt is when something last needed the Group, and end stops what looks after it. The host's lock guards them.
-	neededAt time.Time
-	end      context.CancelFunc
+	// lastNeededAt is when something last needed the Group, and cancel stops what looks after it. The host's lock guards them.
+	lastNeededAt time.Time
+	cancel       context.CancelFunc
 }
 
 func newGroup(name string, h *Host) *Group {
 	g := &Group{
 		name: name, zone: h.settings.Zone, dialer: h.ports.Dialer, logger: log.With(h.logger, "group", name),
-		now: h.now, meters: h.meters, revision: &h.seen, drainBound: h.settings.MemberDrain - drainMargin,
-		members: map[string]*member{}, connections: 1, hosts: 1, controls: map[string]*controlConn{},
-		alarm: make(chan struct{}, 1), leaseAlarm: make(chan struct{}, 1),
-		links: map[*pool.Conn]*pooledConn{}, waiting: map[*pool.Waiter]chan *pooledConn{},
+		now: h.now, metrics: h.metrics, storeRevision: &h.knownRevision, maxDrain: h.settings.MemberDrain - drainMargin,
+		members: map[string]*member{}, maxConnections: 1, hosts: 1, controlConns: map[string]*controlConn{},
+		probeSignal: make(chan struct{}, 1), leaseSignal: make(chan struct{}, 1),
+		conns: map[*pool.Conn]*pooledConn{}, waiting: map[*pool.Waiter]chan *pooledConn{},
 	}
 	g.pool = pool.New(poolView{g})
 	return g
@@ -150,11 +150,11 @@
 func (g *Group) configure(c GroupConfig, age time.Duration, p serving.Plan, hosts int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.age = age
+	g.maxStaleness = age
 	if p.Servers > 0 {
 		hosts = p.Servers
 	}
-	g.connections, g.hosts = max(1, c.Connections), max(1, hosts)
+	g.maxConnections, g.hosts = max(1, c.Connections), max(1, hosts)
 	if p.Elsewhere != g.plan.Elsewhere {
 		g.log("serving", "here", !p.Elsewhere, "hosts", hosts)
 	}
@@ -162,16 +162,16 @@
 	g.dispatch()
 }
 
-// update takes over the list of members.
-func (g *Group) update(list memberChange) {
+// updateMembers takes over the list of members.
+func (g *Group) updateMembers(list memberChange) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.departed.IsZero() {
-		g.departed = g.now()
+	if g.departedAt.IsZero() {
+		g.departedAt = g.now()
 	}
 	for _, id := range list.lapsed {
 		if m := g.members[id]; m != nil {
-			g.miss(m)
+			g.markMissing(m)
 		}
 	}
 	listed := map[string]bool{}
@@ -181,136 +181,136 @@
 	}
 	for id, m := range g.members {
 		if !listed[id] {
-			g.miss(m)
+			g.markMissing(m)
 		}
 	}
-	g.order = g.order[:0]
+	g.sortedMembers = g.sortedMembers[:0]
 	for _, m := range g.members {
-		g.order = append(g.order, m)
+		g.sortedMembers = append(g.sortedMembers, m)
 	}
-	slices.SortFunc(g.order, func(a, b *member) int { return strings.Compare(a.ID, b.ID) })
-	g.tryAdopt()
+	slices.SortFunc(g.sortedMembers, func(a, b *member) int { return strings.Compare(a.ID, b.ID) })
+	g.tryAdoptFloor()
 	g.dispatch()
 }
 
 func (g *Group) updateMember(each Member) {
 	m := g.members[each.ID]
-	if m != nil && m.Born != each.Born {
-		g.reborn(m)
+	if m != nil && m.Incarnation != each.Incarnation {
+		g.replaceRestarted(m)
 		m = nil
 	}
 	if m == nil {
-		m = &member{Member: each, conns: g.pool.Add(each.ID, each.Slots)}
-		m.Leads, m.Leaving = false, false
+		m = &member{Member: each, poolMember: g.pool.Add(each.ID, each.Slots)}
+		m.IsPrimary, m.Leaving = false, false
 		g.members[each.ID] = m
-		g.log("member_listed", "member", each.ID, "addr", each.Addr, "leads", each.Leads)
+		g.log("member_listed", "member", each.ID, "addr", each.Addr, "leads", each.IsPrimary)
 	}
 	before := m.Member
 	// An instance keeps all else for life, so the rest is read without the lock.
-	m.Leads, m.Leaving = each.Leads, each.Leaving
+	m.IsPrimary, m.Leaving = each.IsPrimary, each.Leaving
 	if !m.missingSince.IsZero() {
 		m.missingSince = time.Time{}
 		g.log("member_back", "member", each.ID)
 	}
 	if each.Leaving && !before.Leaving {
-		m.leavingAt = g.now()
-		g.log("member_leaving", "member", each.ID, "leads", each.Leads)
-		g.closeIdle(m)
+		m.leavingSince = g.now()
+		g.log("member_leaving", "member", each.ID, "leads", each.IsPrimary)
+		g.closeIdleConns(m)
 	}
-	if each.Leads && !before.Leads && g.leader != each.ID {
-		g.setLeader(each.ID, "listed")
+	if each.IsPrimary && !before.IsPrimary && g.primaryID != each.ID {
+		g.setPrimary(each.ID, "listed")
 	}
-	if !each.Leads && before.Leads && g.leader == each.ID {
-		g.setLeader("", "listed")
+	if !each.IsPrimary && before.IsPrimary && g.primaryID == each.ID {
+		g.setPrimary("", "listed")
 	}
 }
 
-// miss records that the platform no longer lists the member.
-func (g *Group) miss(m *member) {
+// markMissing records that the platform no longer lists the member.
+func (g *Group) markMissing(m *member) {
 	if !m.missingSince.IsZero() {
 		return
 	}
-	g.log("member_missing", "member", m.ID, "leads", m.ID == g.leader)
+	g.log("member_missing", "member", m.ID, "leads", m.ID == g.primaryID)
 	m.missingSince = g.now()
 	// What a primary held without any replica was never acknowledged.
-	m.missedLeading = m.ID == g.leader
-	if m.Born == 0 && !m.missedLeading {
-		m.doubtedSince, m.heldBefore = m.missingSince, m.received
+	m.missingAsPrimary = m.ID == g.primaryID
+	if m.Incarnation == 0 && !m.missingAsPrimary {
+		m.restartDoubtedSince, m.receivedBeforeMissing = m.missingSince, m.received
 	}
 }
 
-// reborn forgets a member that was started again under its identifier: it holds nothing
+// replaceRestarted forgets a member that was started again under its identifier: it holds nothing
 // of before, not even the fence that kept it from receiving, and its connections are gone.
-func (g *Group) reborn(m *member) {
-	g.log("member_reborn", "member", m.ID, "born", m.Born, "leads", m.ID == g.leader)
-	g.drop(m)
+func (g *Group) replaceRestarted(m *member) {
+	g.log("member_reborn", "member", m.ID, "born", m.Incarnation, "leads", m.ID == g.primaryID)
+	g.dropMember(m)
 	delete(g.members, m.ID)
-	g.left(g.now())
-	if g.leader == m.ID {
-		g.setLeader("", "started again")
+	g.noteDeparture(g.now())
+	if g.primaryID == m.ID {
+		g.setPrimary("", "started again")
 	}
 }
 
-// forget drops members that have been missing for long.
-func (g *Group) forget(now time.Time) {
+// forgetMembers drops members that have been missing for long.
+func (g *Group) forgetMembers(now time.Time) {
 	for id, m := range g.members {
-		if !m.forgotten(now) && !m.gone {
+		if !m.isForgotten(now) && !m.gone {
 			continue
 		}
-		g.log("member_gone", "member", id, "leads", id == g.leader)
+		g.log("member_gone", "member", id, "leads", id == g.primaryID)
 		if m.missingSince.IsZero() {
 			m.missingSince = now
 		}
-		if !m.missedLeading {
-			g.left(laterTime(m.missingSince, m.answered))
+		if !m.missingAsPrimary {
+			g.noteDeparture(laterTime(m.missingSince, m.statusAt))
 		}
-		g.drop(m)
+		g.dropMember(m)
 		delete(g.members, id)
-		g.order = slices.DeleteFunc(g.order, func(o *member) bool { return o == m })
-		if g.leader == id {
-			g.setLeader("", "gone")
+		g.sortedMembers = slices.DeleteFunc(g.sortedMembers, func(o *member) bool { return o == m })
+		if g.primaryID == id {
+			g.setPrimary("", "gone")
 		}
 	}
 }
 
-// closeIdle closes connections that nobody uses, but for those to the primary.
-func (g *Group) closeIdle(m *member) {
-	if m.ID == g.leader && !m.gone {
+// closeIdleConns closes connections that nobody uses, but for those to the primary.
+func (g *Group) closeIdleConns(m *member) {
+	if m.ID == g.primaryID && !m.gone {
 		return
 	}
-	g.pool.CloseIdle(m.conns)
-	g.carryOut()
+	g.pool.CloseIdle(m.poolMember)
+	g.executePoolOrders()
 }
 
-// setLeader changes the belief about who leads.
-func (g *Group) setLeader(id, why string) {
-	if g.leader == id {
+// setPrimary changes the belief about who leads.
+func (g *Group) setPrimary(id, why string) {
+	if g.primaryID == id {
 		return
 	}
-	g.log("leader", "member", id, "before", g.leader, "why", why)
+	g.log("leader", "member", id, "before", g.primaryID, "why", why)
 	if id != "" {
-		g.missedPrimaries(id)
-		if g.leader == "" {
-			g.primaryBack()
+		g.settleMissingPrimaries(id)
+		if g.primaryID == "" {
+			g.noteOutageEnd()
 		}
 	}
-	if g.leader != "" {
-		g.formerLeader = g.leader
+	if g.primaryID != "" {
+		g.lastPrimaryID = g.primaryID
 	}
-	g.leader = id
-	g.askAgain()
+	g.primaryID = id
+	g.signalLease()
 	g.dispatch()
 	if id == "" {
-		g.leaderlessSince = g.now()
-		go g.wantLeader()
+		g.noPrimarySince = g.now()
+		go g.ensurePrimary()
 	}
 }
 
-// leaderMember returns the primary as believed, or the zero Member.
-func (g *Group) leaderMember() Member {
+// primaryMember returns the primary as believed, or the zero Member.
+func (g *Group) primaryMember() Member {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if m := g.members[g.leader]; m != nil {
+	if m := g.members[g.primaryID]; m != nil {
 		return m.Member
 	}
 	return Member{}
@@ -321,7 +321,7 @@
 func (g *Group) primaryToWatch() Member {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	for _, id := range []string{g.leader, g.formerLeader} {
+	for _, id := range []string{g.primaryID, g.lastPrimaryID} {
 		if m := g.members[id]; m != nil {
 			return m.Member
 		}
@@ -329,137 +329,137 @@
 	return Member{}
 }
 
-// primaryMissing returns for how long the platform has not listed the primary.
-func (g *Group) primaryMissing() time.Duration {
+// primaryMissingFor returns for how long the platform has not listed the primary.
+func (g *Group) primaryMissingFor() time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	m := g.members[g.leader]
+	m := g.members[g.primaryID]
 	if m == nil || m.missingSince.IsZero() {
 		return 0
 	}
 	return g.now().Sub(m.missingSince)
 }
 
-// lostLeader records that the member answered that it does not lead.
-func (g *Group) lostLeader(id string) {
+// notePrimaryRefusal records that the member answered that it does not lead.
+func (g *Group) notePrimaryRefusal(id string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if m := g.members[id]; m != nil {
-		m.refusedTerm = max(m.term, g.leaderTerm)
+		m.refusedTerm = max(m.term, g.primaryTerm)
 	}
-	if g.leader == id {
-		g.setLeader("", "refused")
+	if g.primaryID == id {
+		g.setPrimary("", "refused")
 	}
 }
 
-// observe records the position that a member answered with to what was sent at the given
+// observePosition records the position that a member answered with to what was sent at the given
 // time, if it was certainly the primary then. A replaced primary that does not know it
 // answers with positions too, which say nothing of what was acknowledged elsewhere.
-func (g *Group) observe(m *member, at time.Time, p group.Position) {
+func (g *Group) observePosition(m *member, at time.Time, p group.Position) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	switch {
 	case p == (group.Position{}):
 	case g.lease.Covers(m.ID, at):
-		g.sampled(m.ID, at, p)
-	case g.proven.primary == m.ID && !at.Before(g.proven.started):
-		g.sampled(m.ID, g.proven.started, p)
+		g.addSample(m.ID, at, p)
+	case g.passedCheck.primary == m.ID && !at.Before(g.passedCheck.started):
+		g.addSample(m.ID, g.passedCheck.started, p)
 	}
 }
 
-// sampled records the primary's position at or after the given time.
-func (g *Group) sampled(from string, at time.Time, p group.Position) {
-	if at.After(g.ages.Latest()) {
-		g.ages.Observe(at, p)
-		g.sampledFrom = from
+// addSample records the primary's position at or after the given time.
+func (g *Group) addSample(from string, at time.Time, p group.Position) {
+	if at.After(g.samples.Latest()) {
+		g.samples.Observe(at, p)
+		g.sampleSource = from
 	}
-	if !g.floorValid() && at.After(g.departed) {
+	if !g.floorValid() && at.After(g.departedAt) {
 		g.floor, g.floorAt = p, at
 	}
 }
 
-// ledAt records where the log of the primary stood when the holder of the duty asked it.
-func (g *Group) ledAt(s primaryStatus) {
+// samplePrimary records where the log of the primary stood when the holder of the duty asked it.
+func (g *Group) samplePrimary(s primaryStatus) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if s.position != (group.Position{}) {
-		g.sampled(s.member, s.heard, s.position)
+		g.addSample(s.member, s.heardAt, s.position)
 	}
 }
 
-// ledIn records a term in which a member has led, as an earlier holder knew.
-func (g *Group) ledIn(t group.Term) {
+// noteTerm records a term in which a member has led, as an earlier holder knew.
+func (g *Group) noteTerm(t group.Term) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.leaderTerm = max(g.leaderTerm, t)
+	g.primaryTerm = max(g.primaryTerm, t)
 }
 
-// heardFrom returns when a member last answered a statement of this host.
-func (g *Group) heardFrom(id string) (time.Time, bool) {
+// lastHeard returns when a member last answered a statement of this host.
+func (g *Group) lastHeard(id string) (time.Time, bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	m := g.members[id]
 	if m == nil {
 		return time.Time{}, false
 	}
-	return m.heard, !m.heard.IsZero()
+	return m.heardAt, !m.heardAt.IsZero()
 }
 
-// shortestAge returns the shortest age that a route of the group accepts, or zero.
-func (g *Group) shortestAge() time.Duration {
+// maxReadStaleness returns the shortest age that a route of the group accepts, or zero.
+func (g *Group) maxReadStaleness() time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.age
+	return g.maxStaleness
 }
 
-// covering returns what a member must hold to know everything acknowledged
+// positionCovering returns what a member must hold to know everything acknowledged
 // before the given time.
-func (g *Group) covering(at time.Time) (group.Position, bool) {
+func (g *Group) positionCovering(at time.Time) (group.Position, bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	// A lease keeps samples coming, which keep reads at the replicas.
 	now := g.now()
-	if now.Sub(g.primaryNeeded) >= leaseIdleTimeout {
-		g.askAgain()
+	if now.Sub(g.primaryNeededAt) >= leaseIdleTimeout {
+		g.signalLease()
 	}
-	g.primaryNeeded = now
-	return g.ages.Covering(at)
+	g.primaryNeededAt = now
+	return g.samples.Covering(at)
 }
 
-// lagged records that the member's log ends at a position that was not enough.
-func (g *Group) lagged(m *member, held group.Position) {
+// noteLag records that the member's log ends at a position that was not enough.
+func (g *Group) noteLag(m *member, held group.Position) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := g.now()
-	m.held = held
+	m.applied = held
 	pause := maxLagRetry
-	since := g.ages.Since(held)
+	since := g.samples.Since(held)
 	if !since.IsZero() {
 		pause = min(maxLagRetry, max(minLagRetry, now.Sub(since)/lagRetryDivisor))
 	}
-	if now.Sub(since) > g.age/2 {
-		g.lackedAt = now // far enough behind for the primary to need relief soon
+	if now.Sub(since) > g.maxStaleness/2 {
+		g.replicaLaggedAt = now // far enough behind for the primary to need relief soon
 	}
-	m.lacksUntil = now.Add(pause)
+	m.lagUntil = now.Add(pause)
 }
 
-// applied records how far the member has applied the log.
-func (g *Group) applied(m *member, p group.Position) {
+// noteApplied records how far the member has applied the log.
+func (g *Group) noteApplied(m *member, p group.Position) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if p.Compare(m.held) > 0 {
-		m.held = p
+	if p.Compare(m.applied) > 0 {
+		m.applied = p
 	}
 }
 
-// took records how long a statement that was sent at the given time took on the
+// noteLatency records how long a statement that was sent at the given time took on the
 // member.
-func (g *Group) took(m *member, asked time.Time) {
+func (g *Group) noteLatency(m *member, asked time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	m.heard, m.silentSince = g.now(), time.Time{}
-	m.conns.Observe(m.heard.Sub(asked))
-	g.meters.work(g.name, m.ID, m.ID == g.leader, m.heard.Sub(asked))
+	m.heardAt, m.silentSince = g.now(), time.Time{}
+	m.poolMember.Observe(m.heardAt.Sub(asked))
+	g.metrics.memberCall(g.name, m.ID, m.ID == g.primaryID, m.heardAt.Sub(asked))
 }
 
 // heardSince reports whether the member has answered anything since.
@@ -467,38 +467,38 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	m := g.members[id]
-	return m != nil && m.heard.After(since)
+	return m != nil && m.heardAt.After(since)
 }
 
-// departedFor reports whether a member that does not answer has certainly ended: it had said
+// hasEnded reports whether a member that does not answer has certainly ended: it had said
 // that it leaves, or its process refuses connections. One that only vanished may be parted
 // from the store and from this host, and acknowledge for the primary all the same.
-func (g *Group) departedFor(a controlResult) bool {
+func (g *Group) hasEnded(a controlResult) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	m := g.members[a.member.ID]
 	return m == nil || m.Leaving || connRefused(a.err)
 }
 
-// lost returns the members that the platform has not listed for long.
-func (g *Group) lost() map[string]bool {
+// lostMembers returns the members that the platform has not listed for long.
+func (g *Group) lostMembers() map[string]bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	out := map[string]bool{}
 	now := g.now()
 	for id, m := range g.members {
-		if m.lost(now) {
+		if m.isLost(now) {
 			out[id] = true
 		}
 	}
 	return out
 }
 
-// seenTerm returns the highest term in which a member was seen to lead.
-func (g *Group) seenTerm() group.Term {
+// highestSeenTerm returns the highest term in which a member was seen to lead.
+func (g *Group) highestSeenTerm() group.Term {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.leaderTerm
+	return g.primaryTerm
 }
 
 func (g *Group) log(event string, fields ...any) {
--- a/internal/gateway/group_monitor.go
+++ b/internal/gateway/group_monitor.go
@@ -39,47 +39,47 @@
 // groupMonitor is what the holder of a duty remembers between its rounds.
 type groupMonitor struct {
 	*coordinator
-	// taken is when the duty was taken under which this round acts.
-	taken time.Time
+	// roundAcquiredAt is when the duty was taken under which this round acts.
+	roundAcquiredAt time.Time
 	// primary is the member that led last.
 	primary Member
-	// silent counts rounds without an answer of the primary.
-	silent int
-	// written is a position of the primary that no replica had received at
-	// writtenAt and has not since, or zero.
-	written   group.Position
-	writtenAt time.Time
-	// relief says when the primary is at its limit; waits is how many statements had waited by the last round.
-	relief group.Relief
-	waits  int
-	// asked is when all members were last asked and all was well, or zero.
-	asked time.Time
-	// The token is shown to the platform no sooner than at raiseAt, raisePause after a try that failed.
-	raiseAt    time.Time
-	raisePause time.Duration
+	// silentRounds counts rounds without an answer of the primary.
+	silentRounds int
+	// unreceivedPosition is a position of the primary that no replica had received at
+	// unreceivedSince and has not since, or zero.
+	unreceivedPosition group.Position
+	unreceivedSince    time.Time
+	// relief says when the primary is at its limit; lastWaitCount is how many statements had waited by the last round.
+	relief        group.Relief
+	lastWaitCount int
+	// lastHealthyProbe is when all members were last asked and all was well, or zero.
+	lastHealthyProbe time.Time
+	// The token is shown to the platform no sooner than at nextRaiseAt, raiseBackoff after a try that failed.
+	nextRaiseAt  time.Time
+	raiseBackoff time.Duration
 }
 
-// watch looks after the group while this host holds the duty.
-func (d *coordinator) watch(ctx context.Context) {
+// monitor looks after the group while this host holds the duty.
+func (d *coordinator) monitor(ctx context.Context) {
 	w := &groupMonitor{coordinator: d}
-	for w.wait(ctx) {
-		d.group.hold(d.holds())
-		w.taken = d.takenAt()
-		if !d.holds() {
-			w.silent, w.written, w.primary = 0, group.Position{}, Member{}
+	for w.awaitRound(ctx) {
+		d.group.setCoordinated(d.mayPromote())
+		w.roundAcquiredAt = d.acquiredTime()
+		if !d.mayPromote() {
+			w.silentRounds, w.unreceivedPosition, w.primary = 0, group.Position{}, Member{}
 			continue
 		}
-		w.round(ctx)
+		w.runRound(ctx)
 	}
 }
 
-// wait waits for the next round, or until the host takes the duty. A primary that didn't answer is
+// awaitRound waits for the next round, or until the host takes the duty. A primary that didn't answer is
 // asked again soon. It returns false when ctx ended.
-func (w *groupMonitor) wait(ctx context.Context) bool {
+func (w *groupMonitor) awaitRound(ctx context.Context) bool {
 	var due <-chan time.Time
-	if w.group.holds() || w.isHeld() {
+	if w.group.isCoordinated() || w.isHeld() {
 		pause := probeInterval
-		if w.silent > 0 && w.silent < maxSilentRounds {
+		if w.silentRounds > 0 && w.silentRounds < maxSilentRounds {
 			pause = silentProbeInterval
 		}
 		timer := time.NewTimer(pause)
@@ -89,24 +89,24 @@
 	select {
 	case <-ctx.Done():
 		return false
-	case <-w.group.alarm:
-		w.asked = time.Time{}
+	case <-w.group.probeSignal:
+		w.lastHealthyProbe = time.Time{}
 	case <-due:
 	}
 	return true
 }
 
-// round asks all members and acts on the answers.
-func (w *groupMonitor) round(ctx context.Context) {
+// runRound asks all members and acts on the answers.
+func (w *groupMonitor) runRound(ctx context.Context) {
 	started := w.host.now()
-	if w.spared(started) {
+	if w.canSkipProbe(started) {
 		return
 	}
-	w.asked = time.Time{}
-	w.raise(ctx)
+	w.lastHealthyProbe = time.Time{}
+	w.raiseToken(ctx)
 	answers := w.probeAll(ctx)
-	if w.group.adopt(answers) {
-		w.led(ctx, answers)
+	if w.group.adoptPrimary(answers) {
+		w.actOnPrimary(ctx, answers)
 		return
 	}
 	if w.primary.ID == "" {
@@ -114,33 +114,33 @@
 	}
 	if w.group.heardSince(w.primary.ID, started) {
 		// It serves statements, and its queue is too full for questions.
-		w.silent = 0
-		w.alive(started)
+		w.silentRounds = 0
+		w.notePrimaryAlive(started)
 		return
 	}
 	quiet := silentRoundsOf(w.primary, answers)
 	if quiet == 0 {
-		w.alive(started)
+		w.notePrimaryAlive(started)
 	}
-	w.silent += quiet
-	if w.silent >= maxSilentRounds && w.settled() {
-		w.log("primary_lost", "member", w.primary.ID, "rounds", w.silent)
+	w.silentRounds += quiet
+	if w.silentRounds >= maxSilentRounds && w.promotionsSettled() {
+		w.log("primary_lost", "member", w.primary.ID, "rounds", w.silentRounds)
 		w.failover(ctx, started, answers)
 	}
 }
 
-// spared reports whether the members need not be asked in this round, since callers' own
+// canSkipProbe reports whether the members need not be asked in this round, since callers' own
 // statements have shown that all is well, or there are no callers.
-func (w *groupMonitor) spared(now time.Time) bool {
-	if w.asked.IsZero() || w.primaryLed() == "" {
+func (w *groupMonitor) canSkipProbe(now time.Time) bool {
+	if w.lastHealthyProbe.IsZero() || w.leasedPrimary() == "" {
 		return false
 	}
-	asked := now.Sub(w.asked)
-	if asked <= healthyProbeInterval && w.group.calm() {
-		w.alive(now.Add(-probeInterval))
+	asked := now.Sub(w.lastHealthyProbe)
+	if asked <= healthyProbeInterval && w.group.healthy() {
+		w.notePrimaryAlive(now.Add(-probeInterval))
 		return true
 	}
-	return asked <= idleProbeInterval && w.group.unused()
+	return asked <= idleProbeInterval && w.group.isIdle()
 }
 
 // silentRoundsOf returns how much a round without a primary says against the one before.
@@ -162,84 +162,84 @@
 	return maxSilentRounds // the platform no longer lists it
 }
 
-// settled reports whether no order of an earlier holder can surprise this one. It knows of
+// promotionsSettled reports whether no order of an earlier holder can surprise this one. It knows of
 // all that were recorded. Where the platform checks tokens, a holder that does not reach the
 // store orders without a record, until it ends or its token is overtaken: an order that was
 // accepted by then must have been carried out.
-func (w *groupMonitor) settled() bool {
-	if !w.knowsOrders() {
+func (w *groupMonitor) promotionsSettled() bool {
+	if !w.knowsPromotions() {
 		return false
 	}
-	until, known := w.unrecordedUntil()
+	until, known := w.unrecordedPromotionsUntil()
 	return !w.host.settings.PromotionTokens || known && w.host.now().Sub(until) >= acceptedPromotionDelay
 }
 
-// led acts on a round in which a primary answered.
-func (w *groupMonitor) led(ctx context.Context, answers []controlResult) {
-	w.silent = 0
-	w.primary = w.group.leaderMember()
+// actOnPrimary acts on a round in which a primary answered.
+func (w *groupMonitor) actOnPrimary(ctx context.Context, answers []controlResult) {
+	w.silentRounds = 0
+	w.primary = w.group.primaryMember()
 	primary, replicas := splitPrimary(w.primary.ID, answers)
-	if open := w.openOrder(); open != "" && open != w.primary.ID {
-		if w.orderExpired() && !w.answers(open) {
+	if open := w.pendingPromotion(); open != "" && open != w.primary.ID {
+		if w.pendingPromotionExpired() && !w.isReachable(open) {
 			w.log("order_expired", "member", open)
-			w.settledOrder()
+			w.clearPendingPromotion()
 			return
 		}
-		w.finishOrder(ctx, open, primary, replicas)
+		w.finishPromotion(ctx, open, primary, replicas)
 		return
 	}
-	w.settledOrder()
-	if !w.settled() || !w.current() {
+	w.clearPendingPromotion()
+	if !w.promotionsSettled() || !w.tokenCurrent() {
 		return
 	}
-	w.stand(primary)
-	w.demoteReplaced(primary, answers)
-	w.releaseLeftovers(primary, replicas)
-	w.keepRecord(ctx)
-	stuck := w.stuck(primary, replicas)
-	if countFailed(replicas) == 0 && !w.relief.Doubtful() && w.written == (group.Position{}) {
-		w.asked = primary.asked
+	w.recordPrimaryAnswer(primary)
+	w.demoteStalePrimaries(primary, answers)
+	w.releaseStaleFences(primary, replicas)
+	w.updateRecord(ctx)
+	stuck := w.writesStuck(primary, replicas)
+	if countFailed(replicas) == 0 && !w.relief.Doubtful() && w.unreceivedPosition == (group.Position{}) {
+		w.lastHealthyProbe = primary.asked
 	}
 	switch {
-	case w.primary.Leaving || w.group.primaryMissing() > missingMemberGrace:
-		w.handOver(ctx, primary, replicas)
-	case w.relieves(primary, replicas):
-		w.handOver(ctx, primary, replicas)
+	case w.primary.Leaving || w.group.primaryMissingFor() > missingMemberGrace:
+		w.switchOver(ctx, primary, replicas)
+	case w.shouldRelieve(primary, replicas):
+		w.switchOver(ctx, primary, replicas)
 	case stuck && canReplacePrimary(replicas):
 		w.log("primary_cut_off", "member", w.primary.ID, "position", primary.status.Received, "answers", formatResults(replicas))
 		w.failover(ctx, w.host.now(), answers)
 	}
 }
 
-// stand records what the primary answered, on which leases are granted. Nobody else can
+// recordPrimaryAnswer records what the primary answered, on which leases are granted. Nobody else can
 // have promoted another member, so its position is a sample.
-func (w *groupMonitor) stand(primary controlResult) {
-	if !w.certain(primary.asked) {
+func (w *groupMonitor) recordPrimaryAnswer(primary controlResult) {
+	if !w.wasSoleHolder(primary.asked) {
 		return // another holder may have promoted another member meanwhile
 	}
-	s := primaryStatus{member: primary.member.ID, term: primary.status.Term, heard: primary.asked, position: primary.status.Received}
-	w.stands(s)
-	w.group.ledAt(s)
+	s := primaryStatus{member: primary.member.ID, term: primary.status.Term, heardAt: primary.asked, position: primary.status.Received}
+	w.setPrimaryStatus(s)
+	w.group.samplePrimary(s)
 }
 
-// demoteReplaced ends the leadership of members that were replaced while they were cut off.
+// demoteStalePrimaries ends the leadership of members that were replaced while they were cut off.
 // They go on to answer reads from an old log until they learn of it.
-func (w *groupMonitor) demoteReplaced(primary controlResult, answers []controlResult) {
+func (w *groupMonitor) demoteStalePrimaries(primary controlResult, answers []controlResult) {
 	for _, a := range answers {
-		if a.err != nil || !a.status.Leads || a.member.ID == primary.member.ID || a.status.Term >= primary.status.Term {
+		if a.err != nil || !a.status.IsPrimary || a.member.ID == primary.member.ID || a.status.Term >= primary.status.Term {
 			continue
 		}
-		_, err := w.group.command(a.member, Demote{Term: primary.status.Term}, controlTimeout)
+		_, err := w.group.control(a.member, Demote{Term: primary.status.Term}, controlTimeout)
 		w.log("replaced_primary_demoted", "member", a.member.ID, "term", a.status.Term, "err", err)
 	}
 }
 
-// raise makes the platform refuse orders of earlier holders. It comes before all else, also where no
+// raiseToken makes the platform refuse orders of earlier holders. It comes before all else, also where no
 // primary is known: a holder before that can't reach the store may still order, and what it orders would
 // be carried out while this one grants leases on another member.
-func (w *groupMonitor) raise(ctx context.Context) {
+func (w *groupMonitor) raiseToken(ctx context.Context) {
 	now := w.host.now()
-	if w.current() || now.Before(w.raiseAt) {
+	if w.tokenCurrent() || now.Before(w.nextRaiseAt) {
 		return
 	}
 	w.mu.Lock()
@@ -247,19 +247,19 @@
 	w.mu.Unlock()
 	call, cancel := context.WithTimeout(ctx, promoteCallTimeout)
 	defer cancel()
-	if err := w.host.ports.Promoter.Raise(call, w.host.settings.Host, int64(token), w.group.name); err != nil {
-		w.raisePause = leadership.RaisePause(w.raisePause, rand.Float64())
-		w.raiseAt = now.Add(w.raisePause)
-		w.log("token_not_raised", "token", int64(token), "again_ms", w.raisePause.Milliseconds(), "err", err)
+	if err := w.host.ports.Promoter.RaiseToken(call, w.host.settings.Host, int64(token), w.group.name); err != nil {
+		w.raiseBackoff = leadership.RaisePause(w.raiseBackoff, rand.Float64())
+		w.nextRaiseAt = now.Add(w.raiseBackoff)
+		w.log("token_not_raised", "token", int64(token), "again_ms", w.raiseBackoff.Milliseconds(), "err", err)
 		return
 	}
-	w.raisePause = 0
-	w.acknowledged(token)
+	w.raiseBackoff = 0
+	w.noteTokenRaised(token)
 }
 
-// refused settles whether the duty is still ours after the platform refused its
+// handleRefusedToken settles whether the duty is still ours after the platform refused its
 // token: only then a higher one is to be had.
-func (w *groupMonitor) refused(ctx context.Context) {
+func (w *groupMonitor) handleRefusedToken(ctx context.Context) {
 	if err := w.renewToken(ctx); err != nil {
 		w.log("duty_doubtful", "err", err)
 	}
@@ -278,9 +278,9 @@
 	return p, rest
 }
 
-// stuck reports whether the replicas have received nothing of what the primary
+// writesStuck reports whether the replicas have received nothing of what the primary
 // wrote for too long: it waits for their acknowledgement, and so do its callers.
-func (w *groupMonitor) stuck(primary controlResult, replicas []controlResult) bool {
+func (w *groupMonitor) writesStuck(primary controlResult, replicas []controlResult) bool {
 	var best group.Position
 	for _, r := range replicas {
 		if isMemberFailure(r.err) {
@@ -295,14 +295,14 @@
 	if len(replicas) == 0 {
 		return false
 	}
-	if w.written == (group.Position{}) || best.Compare(w.written) >= 0 {
-		w.written, w.writtenAt = group.Position{}, now
+	if w.unreceivedPosition == (group.Position{}) || best.Compare(w.unreceivedPosition) >= 0 {
+		w.unreceivedPosition, w.unreceivedSince = group.Position{}, now
 		if primary.status.Received.Compare(best) > 0 {
-			w.written = primary.status.Received
+			w.unreceivedPosition = primary.status.Received
 		}
 		return false
 	}
-	return now.Sub(w.writtenAt) > stuckWriteTimeout
+	return now.Sub(w.unreceivedSince) > stuckWriteTimeout
 }
 
 // canReplacePrimary reports whether another member can do better than a primary that answers
@@ -314,8 +314,8 @@
 	return len(replicas) >= 2 && countFailed(replicas) == 0
 }
 
-// releaseLeftovers ends fences that an earlier holder left behind.
-func (w *groupMonitor) releaseLeftovers(primary controlResult, replicas []controlResult) {
+// releaseStaleFences ends fences that an earlier holder left behind.
+func (w *groupMonitor) releaseStaleFences(primary controlResult, replicas []controlResult) {
 	var fenced []Member
 	for _, r := range replicas {
 		if r.err == nil && r.status.Fenced > primary.status.Term {
@@ -326,7 +326,7 @@
 		return
 	}
 	w.log("fences_released", "members", len(fenced))
-	w.group.orderAll(fenced, Release{}, controlTimeout)
+	w.group.controlAll(fenced, Release{}, controlTimeout)
 }
 
 // countFailed counts the members without an answer.
--- a/internal/gateway/groups.go
+++ b/internal/gateway/groups.go
@@ -20,85 +20,85 @@
 func (h *Host) group(name string) *Group {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.need(name)
+	return h.ensureGroup(name)
 }
 
-// existing returns the Group of a name if there is one.
-func (h *Host) existing(name string) *Group {
+// existingGroup returns the Group of a name if there is one.
+func (h *Host) existingGroup(name string) *Group {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.groups[name]
 }
 
-// need is group with h.mu held.
-func (h *Host) need(name string) *Group {
+// ensureGroup is group with h.mu held.
+func (h *Host) ensureGroup(name string) *Group {
 	g := h.groups[name]
 	if g == nil {
-		if h.config == nil || !h.config.describes(name) {
+		if h.config == nil || !h.config.hasGroup(name) {
 			return nil
 		}
-		g = h.begin(name)
+		g = h.createGroup(name)
 	}
-	g.neededAt = h.now()
+	g.lastNeededAt = h.now()
 	return g
 }
 
-// begin brings a Group into being, and wakes what looks after duties and leases. h.mu is held.
-func (h *Host) begin(name string) *Group {
+// createGroup brings a Group into being, and wakes what looks after duties and leases. h.mu is held.
+func (h *Host) createGroup(name string) *Group {
 	g := newGroup(name, h)
 	h.groups[name] = g
-	g.update(memberChange{members: h.members.list(name)})
-	g.configure(h.config.Groups[name], h.ages[name], h.planOf(name), h.fleet.Seen())
+	g.updateMembers(memberChange{members: h.members.list(name)})
+	g.configure(h.config.Groups[name], h.maxStaleness[name], h.servingPlan(name), h.fleet.Seen())
 	select {
-	case h.grouped <- struct{}{}:
+	case h.groupCreated <- struct{}{}:
 	default:
 	}
 	return g
 }
 
-// concerns reports whether the host may serve a group, or hold its duty, now or next. h.mu is held.
-func (h *Host) concerns(name string) bool {
-	if h.candidate(name) {
+// isRelevant reports whether the host may serve a group, or hold its duty, now or next. h.mu is held.
+func (h *Host) isRelevant(name string) bool {
+	if h.isCandidate(name) {
 		return true
 	}
-	entry, ok := h.known.Item(h.dutyKey(name))
+	entry, ok := h.storeView.Item(h.coordinatorKey(name))
 	return ok && string(entry.Value) == h.settings.Host
 }
 
-// needConcerned brings the Groups into being that concern this host. After a change of the list of hosts or of the
+// ensureRelevantGroups brings the Groups into being that concern this host. After a change of the list of hosts or of the
 // configuration that is looked at for all groups, and else for those whose duties changed. h.mu is held.
-func (h *Host) needConcerned(all bool, changed []kv.Item) {
+func (h *Host) ensureRelevantGroups(all bool, changed []kv.Item) {
 	if all {
 		for name := range h.config.Groups {
-			if h.groups[name] == nil && h.concerns(name) {
-				h.need(name)
+			if h.groups[name] == nil && h.isRelevant(name) {
+				h.ensureGroup(name)
 			}
 		}
 		return
 	}
 	for _, i := range changed {
-		if name, ok := strings.CutPrefix(i.Key, h.dutyKey("")); ok && h.groups[name] == nil && string(i.Value) == h.settings.Host {
-			h.need(name)
+		if name, ok := strings.CutPrefix(i.Key, h.coordinatorKey("")); ok && h.groups[name] == nil && string(i.Value) == h.settings.Host {
+			h.ensureGroup(name)
 		}
 	}
 }
 
-// dropUnneeded drops the Groups that nothing depends on any more. Duties are taken by the same goroutine, so that none
+// dropUnusedGroups drops the Groups that nothing depends on any more. Duties are taken by the same goroutine, so that none
 // is taken meanwhile.
-func (h *Host) dropUnneeded() {
+func (h *Host) dropUnusedGroups() {
 	for _, g := range h.allGroups() {
 		h.mu.Lock()
-		d := h.duties[g.name]
+		d := h.coordinators[g.name]
 		h.mu.Unlock()
 		if d == nil || d.isHeld() || g.inUse() {
 			continue
 		}
 		h.mu.Lock()
-		if h.now().Sub(g.neededAt) >= groupRetention && !(h.config.describes(g.name) && h.concerns(g.name)) {
+		if h.now().Sub(g.lastNeededAt) >= groupRetention && !(h.config.hasGroup(g.name) && h.isRelevant(g.name)) {
 			delete(h.groups, g.name)
-			delete(h.duties, g.name)
+			delete(h.coordinators, g.name)
 			h.fleet.Forget(g.name)
-			g.end()
+			g.cancel()
 		}
 		h.mu.Unlock()
 	}
@@ -108,24 +108,24 @@
 func (g *Group) inUse() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return len(g.links) > 0 || len(g.controls) > 0 || g.pool.Waiting() > 0
+	return len(g.conns) > 0 || len(g.controlConns) > 0 || g.pool.Waiting() > 0
 }
 
-// look starts what looks after a Group, which ends with ctx or once the Group is dropped.
-func (h *Host) look(ctx context.Context, g *Group, start func(func())) *coordinator {
+// startGroup starts what looks after a Group, which ends with ctx or once the Group is dropped.
+func (h *Host) startGroup(ctx context.Context, g *Group, start func(func())) *coordinator {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if d := h.duties[g.name]; d != nil {
+	if d := h.coordinators[g.name]; d != nil {
 		return d
 	}
 	if h.groups[g.name] != g {
 		return nil // dropped meanwhile
 	}
 	d := &coordinator{host: h, group: g}
-	h.duties[g.name] = d
-	ctx, g.end = context.WithCancel(ctx)
-	start(func() { d.watch(ctx) })
-	start(func() { h.keepLease(ctx, g) })
+	h.coordinators[g.name] = d
+	ctx, g.cancel = context.WithCancel(ctx)
+	start(func() { d.monitor(ctx) })
+	start(func() { h.maintainLease(ctx, g) })
 	return d
 }
 
--- a/internal/gateway/groups_test.go
+++ b/internal/gateway/groups_test.go
@@ -17,7 +17,7 @@
 func TestHostKeepsRelevantGroups(t *testing.T) {
 	for _, n := range []int{150, 300, 600} {
 		h, join := hostWithManyGroups(n, n)
-		if err := h.apply(join("new", 1)); err != nil {
+		if err := h.applyChanges(join("new", 1)); err != nil {
 			t.Fatal(err)
 		}
 		if kept := len(h.allGroups()); kept == 0 || kept > 60 {
@@ -32,25 +32,25 @@
 		h, _ := hostWithManyGroups(300, 300)
 		far := ""
 		for name := range h.config.Groups {
-			if !h.concerns(name) {
+			if !h.isRelevant(name) {
 				far = name
 			}
 		}
-		if h.existing(far) != nil {
+		if h.existingGroup(far) != nil {
 			t.Fatalf("%s is kept without need", far)
 		}
 		at, err := h.route(far, account.Caller{})
-		if err != nil || at.group == nil || len(at.group.list()) != 3 || !at.group.elsewhere() {
+		if err != nil || at.group == nil || len(at.group.listMembers()) != 3 || !at.group.servedElsewhere() {
 			t.Fatalf("the route leads to %+v, %v", at, err)
 		}
-		h.look(t.Context(), at.group, func(func()) {})
-		h.dropUnneeded()
-		if h.existing(far) != at.group {
+		h.startGroup(t.Context(), at.group, func(func()) {})
+		h.dropUnusedGroups()
+		if h.existingGroup(far) != at.group {
 			t.Error("the group is dropped at once")
 		}
 		time.Sleep(groupRetention)
-		h.dropUnneeded()
-		if h.existing(far) != nil {
+		h.dropUnusedGroups()
+		if h.existingGroup(far) != nil {
 			t.Error("the group is kept though nothing needs it")
 		}
 	})
@@ -62,14 +62,14 @@
 	h, _ := hostWithManyGroups(300, 300)
 	for i := range 300 {
 		name := fmt.Sprint("group-", i)
-		if h.existing(name) != nil {
+		if h.existingGroup(name) != nil {
 			continue
 		}
-		entry := kv.Item{Key: h.dutyKey(name), Value: []byte(h.settings.Host), Revision: 2}
-		if err := h.apply(follow.News{News: kv.News{Snapshot: kv.Snapshot{Revision: 2, Items: []kv.Item{entry}}}}); err != nil {
+		entry := kv.Item{Key: h.coordinatorKey(name), Value: []byte(h.settings.Host), Revision: 2}
+		if err := h.applyChanges(follow.News{News: kv.News{Snapshot: kv.Snapshot{Revision: 2, Items: []kv.Item{entry}}}}); err != nil {
 			t.Fatal(err)
 		}
-		if h.existing(name) == nil {
+		if h.existingGroup(name) == nil {
 			t.Error("the group of the duty is not kept")
 		}
 		return
--- a/internal/gateway/health.go
+++ b/internal/gateway/health.go
@@ -26,106 +26,106 @@
 	lagHealthWindow = time.Second
 )
 
-// calm reports whether statements show that the primary serves, writes are acknowledged and
+// healthy reports whether statements show that the primary serves, writes are acknowledged and
 // replicas keep up, so that the holder of the duty need not ask: its own, or those of a host that
 // said so when it asked for its lease.
-func (g *Group) calm() bool {
+func (g *Group) healthy() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := g.now()
-	if m := g.members[g.leader]; m == nil || !m.silentSince.IsZero() || len(g.missing()) > 0 {
+	if m := g.members[g.primaryID]; m == nil || !m.silentSince.IsZero() || len(g.missingMembers()) > 0 {
 		return false
 	}
-	return g.calmHere(now) || now.Sub(g.reportedCalm) < leaseRenewInterval+probeInterval
+	return g.locallyHealthy(now) || now.Sub(g.peerHealthyAt) < leaseRenewInterval+probeInterval
 }
 
-// hear takes over what another host that serves the group says of it. A primary that fails to
+// notePeerReport takes over what another host that serves the group says of it. A primary that fails to
 // answer there is looked at once, and not only when the members are asked next.
-func (g *Group) hear(r LeaseRequest) {
+func (g *Group) notePeerReport(r LeaseRequest) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.leaseAsked = g.now()
-	if r.Calm {
-		g.reportedCalm = g.now()
+	g.peerAskedAt = g.now()
+	if r.Healthy {
+		g.peerHealthyAt = g.now()
 	}
-	if r.Suspects {
-		g.reportedCalm = time.Time{}
-		g.wakeHolder()
+	if r.SuspectsPrimary {
+		g.peerHealthyAt = time.Time{}
+		g.wakeCoordinator()
 	}
 }
 
-// wakeHolder makes the holder of the duty ask the members now, if this host is it.
-func (g *Group) wakeHolder() {
+// wakeCoordinator makes the holder of the duty ask the members now, if this host is it.
+func (g *Group) wakeCoordinator() {
 	select {
-	case g.alarm <- struct{}{}:
+	case g.probeSignal <- struct{}{}:
 	default:
 	}
 }
 
-// report says whether this host's own statements show that all is well, and whether the
+// healthReport says whether this host's own statements show that all is well, and whether the
 // primary failed to answer them.
-func (g *Group) report() (calm, suspects bool) {
+func (g *Group) healthReport() (calm, suspects bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := g.now()
-	m := g.members[g.leader]
+	m := g.members[g.primaryID]
 	// A host that has not used the primary since would report its old failure for ever.
 	suspects = m != nil && !m.silentSince.IsZero() && now.Sub(m.silentSince) < suspicionReportPeriod
-	return g.calmHere(now), suspects
+	return g.locallyHealthy(now), suspects
 }
 
-// calmHere reports whether this host's own statements show that all is well.
-func (g *Group) calmHere(now time.Time) bool {
-	m := g.members[g.leader]
+// locallyHealthy reports whether this host's own statements show that all is well.
+func (g *Group) locallyHealthy(now time.Time) bool {
+	m := g.members[g.primaryID]
 	switch {
 	case m == nil || m.Leaving || !m.missingSince.IsZero() || !m.silentSince.IsZero():
 		return false
-	case now.Sub(m.heard) > probeInterval:
+	case now.Sub(m.heardAt) > probeInterval:
 		return false
-	case !g.writingSince.IsZero() && now.Sub(g.writingSince) > hangingWriteTimeout:
+	case !g.noAckSince.IsZero() && now.Sub(g.noAckSince) > hangingWriteTimeout:
 		return false
 	}
-	lacking := now.Sub(g.lackedAt) <= lagHealthWindow && now.Sub(g.queuedAt) <= lagHealthWindow
-	return len(g.missing()) == 0 && !lacking
+	lacking := now.Sub(g.replicaLaggedAt) <= lagHealthWindow && now.Sub(g.lastQueuedAt) <= lagHealthWindow
+	return len(g.missingMembers()) == 0 && !lacking
 }
 
-// unused reports whether nobody has needed the group lately, here or at a host that asks for leases,
+// isIdle reports whether nobody has needed the group lately, here or at a host that asks for leases,
 // and its members are believed to be well. The holder of the duty then asks them seldom.
-func (g *Group) unused() bool {
+func (g *Group) isIdle() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	m := g.members[g.leader]
-	if m == nil || m.Leaving || !m.silentSince.IsZero() || len(g.missing()) > 0 {
+	m := g.members[g.primaryID]
+	if m == nil || m.Leaving || !m.silentSince.IsZero() || len(g.missingMembers()) > 0 {
 		return false
 	}
 	now := g.now()
-	return now.Sub(g.primaryNeeded) > leaseIdleTimeout && now.Sub(g.leaseAsked) > leaseIdleTimeout
+	return now.Sub(g.primaryNeededAt) > leaseIdleTimeout && now.Sub(g.peerAskedAt) > leaseIdleTimeout
 }
 
-// wrote records that a write was sent to the primary. The returned function records the end
+// beginWrite records that a write was sent to the primary. The returned function records the end
 // of it, and whether it was acknowledged.
-func (g *Group) wrote() func(acknowledged bool) {
+func (g *Group) beginWrite() func(acknowledged bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.writing++; g.writing == 1 {
-		g.writingSince = g.now()
+	if g.pendingWrites++; g.pendingWrites == 1 {
+		g.noAckSince = g.now()
 	}
 	return func(acknowledged bool) {
 		g.mu.Lock()
 		defer g.mu.Unlock()
-		g.writing--
+		g.pendingWrites--
 		switch {
-		case g.writing == 0:
-			g.writingSince = time.Time{}
+		case g.pendingWrites == 0:
+			g.noAckSince = time.Time{}
 		case acknowledged:
-			g.writingSince = g.now()
+			g.noAckSince = g.now()
 		}
 	}
 }
 
-// sample returns the newest position of the primary that is known, and when it was taken.
-func (g *Group) sample() (group.Position, time.Time) {
+// newestSample returns the newest position of the primary that is known, and when it was taken.
+func (g *Group) newestSample() (group.Position, time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.ages.Newest()
+	return g.samples.Newest()
 }
--- a/internal/gateway/health_test.go
+++ b/internal/gateway/health_test.go
@@ -7,8 +7,8 @@
 	"pearlatch/core/freshness"
 )
 
-// asked returns how often the members were asked for their status.
-func (s *fakeSite) asked() int {
+// probeCount returns how often the members were asked for their status.
+func (s *fakeSite) probeCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.probes
@@ -20,20 +20,20 @@
 func TestCoordinatorProbesRarelyWhileTrafficIsHealthy(t *testing.T) {
 	withHost(t, freshness.Latest{}, func(s *fakeSite, h *Host) {
 		busy := func() int {
-			before := s.asked()
+			before := s.probeCount()
 			for range 100 {
 				exec(h, Write{})
 				time.Sleep(40 * time.Millisecond)
 			}
-			return s.asked() - before
+			return s.probeCount() - before
 		}
 		exec(h, Write{})
 		if n := busy(); n > 15 {
 			t.Errorf("%d questions in five seconds with callers", n)
 		}
-		before := s.asked()
+		before := s.probeCount()
 		time.Sleep(5 * time.Second)
-		if n := s.asked() - before; n < 9 || n > 18 {
+		if n := s.probeCount() - before; n < 9 || n > 18 {
 			t.Errorf("%d questions in five seconds without callers", n)
 		}
 	})
@@ -44,7 +44,7 @@
 	withHost(t, freshness.Latest{}, func(s *fakeSite, h *Host) {
 		exec(h, Write{})
 		for _, id := range []string{"b", "c"} {
-			s.with(id, func(m *fakeMember) { m.deaf = true })
+			s.updateMember(id, func(m *fakeMember) { m.receivesNothing = true })
 		}
 		go exec(h, Write{})
 		for range 60 {
@@ -66,13 +66,13 @@
 		g.mu.Lock()
 		g.members["a"].silentSince = g.now()
 		g.mu.Unlock()
-		if _, suspects := g.report(); !suspects {
+		if _, suspects := g.healthReport(); !suspects {
 			t.Error("a fresh failure is not told")
 		}
 		g.mu.Lock()
 		g.members["a"].silentSince = g.now().Add(-2 * suspicionReportPeriod)
 		g.mu.Unlock()
-		if _, suspects := g.report(); suspects {
+		if _, suspects := g.healthReport(); suspects {
 			t.Error("an old failure is told")
 		}
 	})
--- a/internal/gateway/host.go
+++ b/internal/gateway/host.go
@@ -32,13 +32,13 @@
 	Zone string
 	// MemberDrain is how long a leaving member still serves.
 	MemberDrain time.Duration
-	// Grace is how long a host has between the order to stop and its end.
-	Grace time.Duration
+	// ShutdownGrace is how long a host has between the order to stop and its end.
+	ShutdownGrace time.Duration
 	// PromotionTokens is true when the platform refuses promotions with an
 	// older fencing token.
 	PromotionTokens bool
-	// LeaseFloor is the shortest lease that the store grants.
-	LeaseFloor time.Duration
+	// MinLeaseTTL is the shortest lease that the store grants.
+	MinLeaseTTL time.Duration
 	// Quotas say how far an account may exceed its quota while hosts disagree.
 	Quotas quota.Terms
 	// Peer is the host's address for other hosts. Without one the host serves its own
@@ -87,48 +87,48 @@
 	ports    Ports
 	logger   log.Logger
 	now      func() time.Time
-	meters   hostMetrics
+	metrics  hostMetrics
 
 	mu     sync.Mutex
 	config *Config
-	// ages holds the shortest age that a route of a group accepts, by group.
-	ages map[string]time.Duration
-	// groups holds the Groups that something depends on, and grouped gets a token when one comes into being.
-	groups  map[string]*Group
-	grouped chan struct{}
-	// known is what the host knows of the store, kept up to date by follower and passed on by feeder.
-	known    *follow.Knowledge
-	follower *follow.Follower
-	feeder   *follow.Feeder
-	// seen is the revision of known, for groups.
-	seen atomic.Int64
+	// maxStaleness holds the shortest age that a route of a group accepts, by group.
+	maxStaleness map[string]time.Duration
+	// groups holds the Groups that something depends on, and groupCreated gets a token when one comes into being.
+	groups       map[string]*Group
+	groupCreated chan struct{}
+	// storeView is what the host knows of the store, kept up to date by follower and passed on by feeder.
+	storeView *follow.Knowledge
+	follower  *follow.Follower
+	feeder    *follow.Feeder
+	// knownRevision is the revision of storeView, for groups.
+	knownRevision atomic.Int64
 	// configRevision is that of the configuration's item that was read last.
 	configRevision kv.Revision
 	members        memberTable
-	// duties holds this host's part in the promotions of each group, by group.
-	duties map[string]*coordinator
-	// holding is the lease of those that this host holds.
-	holding coordinatorLease
-	// remembered holds, by group, the newest record known from before the store last came back from an older copy.
-	remembered map[string]leadership.Found
+	// coordinators holds this host's part in the promotions of each group, by group.
+	coordinators map[string]*coordinator
+	// coordinatorLease is the lease of those that this host holds.
+	coordinatorLease coordinatorLease
+	// formerRecords holds, by group, the newest record known from before the store last came back from an older copy.
+	formerRecords map[string]leadership.Found
 
 	quotas *quotas.Keeper
-	// granters holds the last entry seen of each duty.
-	granters map[string]kv.Item
-
-	// process names this run of the host: what it knew is lost with it. It began at started.
-	process string
-	started time.Time
-	fleet   *fleet.Hosts
-	// recent holds the requests of other hosts that came lately.
-	recent recall.Log[*PeerReply]
-	// serial numbers the requests to other hosts.
-	serial atomic.Uint64
-	// guests counts the requests and transactions of other hosts that are open here.
-	guests atomic.Int64
-
-	// informed is closed with the first news, and configured with the first configuration.
-	informed, configured chan struct{}
+	// coordinatorEntries holds the last entry seen of each duty.
+	coordinatorEntries map[string]kv.Item
+
+	// processID names this run of the host: what it knew is lost with it. It began at started.
+	processID string
+	started   time.Time
+	fleet     *fleet.Hosts
+	// recentRequests holds the requests of other hosts that came lately.
+	recentRequests recall.Log[*PeerReply]
+	// requestSerial numbers the requests to other hosts.
+	requestSerial atomic.Uint64
+	// forwardedCount counts the requests and transactions of other hosts that are open here.
+	forwardedCount atomic.Int64
+
+	// storeRead is closed with the first news, and configured with the first configuration.
+	storeRead, configured chan struct{}
 	// reconfigured is closed and replaced with each configuration.
 	reconfigured chan struct{}
 
@@ -143,21 +143,21 @@
 // while the machine is suspended.
 func NewHost(s Settings, p Ports, logger log.Logger, now func() time.Time) *Host {
 	m := hostMetrics{p.Metrics}
-	p.Store = instrumentedStore{store: p.Store, meters: m, now: now}
+	p.Store = instrumentedStore{store: p.Store, metrics: m, now: now}
 	h := &Host{
-		started: now(), meters: m, settings: s, ports: p, logger: log.With(logger, "host", s.Host), now: now,
-		groups: map[string]*Group{}, grouped: make(chan struct{}, 1), members: newMemberTable(), informed: make(chan struct{}), configured: make(chan struct{}), reconfigured: make(chan struct{}),
-		stopped: make(chan struct{}), ended: make(chan struct{}), duties: map[string]*coordinator{}, process: fmt.Sprintf("%s-%08x", s.Host, rand.Uint32()),
+		started: now(), metrics: m, settings: s, ports: p, logger: log.With(logger, "host", s.Host), now: now,
+		groups: map[string]*Group{}, groupCreated: make(chan struct{}, 1), members: newMemberTable(), storeRead: make(chan struct{}), configured: make(chan struct{}), reconfigured: make(chan struct{}),
+		stopped: make(chan struct{}), ended: make(chan struct{}), coordinators: map[string]*coordinator{}, processID: fmt.Sprintf("%s-%08x", s.Host, rand.Uint32()),
 	}
-	h.known = follow.NewKnowledge(h.later, now)
-	h.holding.host = h
+	h.storeView = follow.NewKnowledge(h.isLaterValue, now)
+	h.coordinatorLease.host = h
 	h.fleet = fleet.New(membership.Host{ID: s.Host, Zone: s.Zone, Peer: s.Peer, Strength: s.Strength})
-	h.feeder = follow.NewFeeder(h.known, h.fleet, h.stopping.Load)
+	h.feeder = follow.NewFeeder(h.storeView, h.fleet, h.stopping.Load)
 	h.follower = follow.New(follow.Settings{Self: s.Peer, Seeds: s.Seeds, Hosts: h.hostsPrefix()}, follow.Ports{
-		Store: p.Store, Peers: p.Peers, Apply: h.apply, Log: h.log,
-	}, h.fleet, h.known, now)
-	h.granters, h.remembered = map[string]kv.Item{}, map[string]leadership.Found{}
-	h.quotas = quotas.New(quotas.Settings{Host: s.Host, Process: h.process, Terms: s.Quotas}, quotaFleet{h}, logger, now)
+		Store: p.Store, Peers: p.Peers, Apply: h.applyChanges, Log: h.log,
+	}, h.fleet, h.storeView, now)
+	h.coordinatorEntries, h.formerRecords = map[string]kv.Item{}, map[string]leadership.Found{}
+	h.quotas = quotas.New(quotas.Settings{Host: s.Host, Process: h.processID, Terms: s.Quotas}, quotaFleet{h}, logger, now)
 	return h
 }
 
@@ -166,11 +166,11 @@
 	defer close(h.ended)
 	var wait sync.WaitGroup
 	wait.Go(func() { h.follower.Run(ctx) })
-	wait.Go(func() { h.register(ctx) })
-	wait.Go(func() { h.serveDuties(ctx) })
-	wait.Go(func() { h.keepHolding(ctx) })
+	wait.Go(func() { h.maintainHostEntry(ctx) })
+	wait.Go(func() { h.runCoordinators(ctx) })
+	wait.Go(func() { h.keepCoordinatorLease(ctx) })
 	wait.Go(func() { h.quotas.Run(ctx) })
-	wait.Go(func() { h.trim(ctx) })
+	wait.Go(func() { h.trimIdleConns(ctx) })
 	wait.Wait()
 }
 
@@ -182,7 +182,7 @@
 	h.mu.Unlock()
 	for _, g := range h.allGroups() {
 		g.mu.Lock()
-		g.drainBound = s.MemberDrain - drainMargin
+		g.maxDrain = s.MemberDrain - drainMargin
 		g.mu.Unlock()
 	}
 }
@@ -247,15 +247,15 @@
 func (h *Host) route(database string, c account.Caller) (routeTarget, *Failure) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	r, a, err := h.admits(database, c)
+	r, a, err := h.routeAndAccount(database, c)
 	if err != nil {
 		return routeTarget{}, err
 	}
-	return routeTarget{r, h.need(r.Group), a}, nil
+	return routeTarget{r, h.ensureGroup(r.Group), a}, nil
 }
 
-// admits finds the route of a database and the account for which the caller acts. h.mu is held.
-func (h *Host) admits(database string, c account.Caller) (Route, *account.Account, *Failure) {
+// routeAndAccount finds the route of a database and the account for which the caller acts. h.mu is held.
+func (h *Host) routeAndAccount(database string, c account.Caller) (Route, *account.Account, *Failure) {
 	if h.config == nil {
 		return Route{}, nil, &Failure{Busy, "no configuration yet, " + retryAfter(0)}
 	}
@@ -270,24 +270,24 @@
 	return r, a, nil
 }
 
-// lets returns why the caller may not use the database, or nil.
-func (h *Host) lets(database string, c account.Caller) *Failure {
+// authorize returns why the caller may not use the database, or nil.
+func (h *Host) authorize(database string, c account.Caller) *Failure {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	_, _, err := h.admits(database, c)
+	_, _, err := h.routeAndAccount(database, c)
 	return err
 }
 
 // trimInterval is the pause between two looks at unused connections.
 const trimInterval = 250 * time.Millisecond
 
-func (h *Host) trim(ctx context.Context) {
+func (h *Host) trimIdleConns(ctx context.Context) {
 	for pause.For(ctx, trimInterval) {
 		for _, g := range h.allGroups() {
 			g.trim()
-			g.trimControls()
+			g.closeIdleControlConns()
 		}
-		h.known.Trim()
+		h.storeView.Trim()
 	}
 }
 
@@ -310,17 +310,17 @@
 
 // RefreshMetrics brings the gauges up to date.
 func (h *Host) RefreshMetrics() {
-	s := h.Beliefs()
-	h.meters.set("sessions", s.Sessions)
-	h.meters.set("config_version", s.ConfigVersion)
+	s := h.Snapshot()
+	h.metrics.set("sessions", s.Sessions)
+	h.metrics.set("config_version", s.ConfigVersion)
 	for _, g := range s.Groups {
-		h.meters.set(fmt.Sprintf("waiting{group=%q}", g.Name), int64(g.Waiting))
-		h.meters.set(fmt.Sprintf("sample_age_milliseconds{group=%q}", g.Name), g.SampleAge.Milliseconds())
+		h.metrics.set(fmt.Sprintf("waiting{group=%q}", g.Name), int64(g.Waiting))
+		h.metrics.set(fmt.Sprintf("sample_age_milliseconds{group=%q}", g.Name), g.SampleAge.Milliseconds())
 		for _, m := range g.Members {
 			label := fmt.Sprintf("{group=%q,member=%q}", g.Name, m.ID)
-			h.meters.set("connections"+label, int64(m.Connections))
-			h.meters.set("connection_share"+label, int64(g.Share))
-			h.meters.set("window"+label, int64(m.Window))
+			h.metrics.set("connections"+label, int64(m.Connections))
+			h.metrics.set("connection_share"+label, int64(g.Share))
+			h.metrics.set("window"+label, int64(m.Window))
 		}
 	}
 }
@@ -336,26 +336,26 @@
 	fields = append(fields, "config_version", h.configVersion())
 	if at, unknown := s.route(); unknown == nil {
 		fields = append(fields, "account", at.account.Name, "group", at.group.name)
-		fields = append(fields, at.group.inputs()...)
+		fields = append(fields, at.group.logFields()...)
 	}
-	if s.visit != nil {
-		fields = append(fields, "for", s.visit.from)
+	if s.origin != nil {
+		fields = append(fields, "for", s.origin.from)
 	}
 	h.log("statement_failed", fields...)
 }
 
 // logRefused writes the line of a caller that gets no session, with how old the news is that decided it.
 func (h *Host) logRefused(database string, f *Failure) {
-	h.log("caller_refused", "database", database, "code", f.Code, "config_version", h.configVersion(), "news_age_ms", h.known.Age().Milliseconds())
-	h.meters.count(fmt.Sprintf("callers_refused_total{code=%q}", f.Code), 1)
+	h.log("caller_refused", "database", database, "code", f.Code, "config_version", h.configVersion(), "news_age_ms", h.storeView.Age().Milliseconds())
+	h.metrics.count(fmt.Sprintf("callers_refused_total{code=%q}", f.Code), 1)
 }
 
-// logSentBack writes the line of another host's statement that this one did not run, since
+// logReturned writes the line of another host's statement that this one did not run, since
 // it can't reach the primary.
-func (h *Host) logSentBack(s *Session, r Request, arrived time.Time) {
-	fields := []any{"request", r.ID, "database", s.database, "for", s.visit.from, "group", s.visit.group.name,
+func (h *Host) logReturned(s *Session, r Request, arrived time.Time) {
+	fields := []any{"request", r.ID, "database", s.database, "for", s.origin.from, "group", s.origin.group.name,
 		"took_ms", h.now().Sub(arrived).Milliseconds()}
-	h.log("sent_back", append(fields, s.visit.group.inputs()...)...)
+	h.log("sent_back", append(fields, s.origin.group.logFields()...)...)
 }
 
 // configVersion returns the version of the configuration in force.
@@ -368,8 +368,8 @@
 	return h.config.Version
 }
 
-// logOffer writes the line of a statement whose offer to a member failed.
-func (h *Host) logOffer(s *Session, r Request, w *operation, member, outcome string, err error) {
+// logAttempt writes the line of a statement whose offer to a member failed.
+func (h *Host) logAttempt(s *Session, r Request, w *operation, member, outcome string, err error) {
 	h.log("offer", "request", r.ID, "database", s.database, "group", w.group.name, "member", member,
 		"outcome", outcome, "writes", w.writes, "after", w.need.After, "err", err)
 }
--- a/internal/gateway/host_entry.go
+++ b/internal/gateway/host_entry.go
@@ -27,21 +27,21 @@
 	storeTimeout = time.Second
 )
 
-// register keeps the host's entry in the store until the host is told to stop: others
+// maintainHostEntry keeps the host's entry in the store until the host is told to stop: others
 // then turn elsewhere, and what is open here can end.
-func (h *Host) register(ctx context.Context) {
+func (h *Host) maintainHostEntry(ctx context.Context) {
 	ctx, cancel := contextUntil(ctx, h.stopped)
 	defer cancel()
 	select {
-	case <-h.informed: // an entry of an earlier process is known, and the store answers
+	case <-h.storeRead: // an entry of an earlier process is known, and the store answers
 	case <-ctx.Done():
 	}
 	var lease int64
 	var written kv.Epoch
 	for ctx.Err() == nil {
 		if lease == 0 {
-			lease, written = h.announce(ctx, h.self())
-		} else if epoch, err := h.renew(ctx, lease); errors.Is(err, ErrNoLease) || err == nil && epoch != written {
+			lease, written = h.createHostEntry(ctx, h.self())
+		} else if epoch, err := h.renewStoreLease(ctx, lease); errors.Is(err, ErrNoLease) || err == nil && epoch != written {
 			// A store that came back from an older copy may hold the lease and not the entry.
 			lease = 0
 			continue
@@ -71,13 +71,13 @@
 	defer cancel()
 	leaving := h.self()
 	leaving.Leaving = true
-	if _, err := h.enter(ctx, leaving, lease); err != nil {
+	if _, err := h.writeHostEntry(ctx, leaving, lease); err != nil {
 		h.log("announce", "err", err)
 	}
 }
 
-// read reads a key of the store. One that does not exist has the revision zero.
-func (h *Host) read(ctx context.Context, key string) (kv.Item, error) {
+// readKey reads a key of the store. One that does not exist has the revision zero.
+func (h *Host) readKey(ctx context.Context, key string) (kv.Item, error) {
 	call, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
 	s, err := h.ports.Store.List(call, kv.Range{Prefix: key})
@@ -92,14 +92,14 @@
 	return kv.Item{Key: key}, nil
 }
 
-func (h *Host) renew(ctx context.Context, lease int64) (kv.Epoch, error) {
+func (h *Host) renewStoreLease(ctx context.Context, lease int64) (kv.Epoch, error) {
 	call, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
 	return h.ports.Store.Renew(call, lease)
 }
 
-// endLease gives a lease back at the end, so that others need not wait for it.
-func (h *Host) endLease(lease int64) {
+// endStoreLease gives a lease back at the end, so that others need not wait for it.
+func (h *Host) endStoreLease(lease int64) {
 	if lease == 0 {
 		return
 	}
@@ -110,29 +110,29 @@
 	}
 }
 
-// announce writes the host's entry under a new lease and returns that, or zero, and the epoch in which the entry stands.
-func (h *Host) announce(ctx context.Context, self membership.Host) (lease int64, written kv.Epoch) {
+// createHostEntry writes the host's entry under a new lease and returns that, or zero, and the epoch in which the entry stands.
+func (h *Host) createHostEntry(ctx context.Context, self membership.Host) (lease int64, written kv.Epoch) {
 	call, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
-	lease, err := h.ports.Store.Grant(call, max(hostEntryTTL, h.settings.LeaseFloor))
+	lease, err := h.ports.Store.Grant(call, max(hostEntryTTL, h.settings.MinLeaseTTL))
 	if err != nil {
 		h.log("announce", "err", err)
 		return 0, 0
 	}
-	at, err := h.enter(call, self, lease)
+	at, err := h.writeHostEntry(call, self, lease)
 	if err != nil {
 		h.log("announce", "err", err)
-		h.endLease(lease)
+		h.endStoreLease(lease)
 		return 0, 0
 	}
 	return lease, at.Epoch()
 }
 
-// enter writes the host's entry and returns its revision.
-func (h *Host) enter(ctx context.Context, self membership.Host, lease int64) (kv.Revision, error) {
+// writeHostEntry writes the host's entry and returns its revision.
+func (h *Host) writeHostEntry(ctx context.Context, self membership.Host, lease int64) (kv.Revision, error) {
 	key := h.hostsPrefix() + self.ID
 	h.mu.Lock()
-	known, _ := h.known.Item(key)
+	known, _ := h.storeView.Item(key)
 	h.mu.Unlock()
 	return h.ports.Store.Commit(ctx, kv.Replace(key, known.Revision, fleet.Entry(self), lease))
 }
--- a/internal/gateway/indirect_probe.go
+++ b/internal/gateway/indirect_probe.go
@@ -32,13 +32,13 @@
 		primary = w.group.primaryToWatch()
 	}
 	go func() { found <- w.probeIndirectly(ctx, primary, stop) }()
-	answers := w.group.orderAll(w.group.list(), Probe{}, controlTimeout)
+	answers := w.group.controlAll(w.group.listMembers(), Probe{}, controlTimeout)
 	close(stop)
 	indirect := <-found
 	for i, a := range answers {
 		silent := a.err != nil && !isMemberFailure(a.err) && !connRefusedOrReset(a.err)
 		if a.member.ID == primary.ID && silent && indirect.err == nil {
-			w.log("primary_seen", "member", primary.ID, "by", indirect.by, "position", indirect.status.Received, "err", a.err)
+			w.log("primary_seen", "member", primary.ID, "by", indirect.relayedBy, "position", indirect.status.Received, "err", a.err)
 			answers[i] = indirect
 		}
 	}
@@ -66,7 +66,7 @@
 	answers := make(chan controlResult, len(hosts))
 	for _, h := range hosts {
 		go func() {
-			a := controlResult{member: m, asked: w.host.now(), by: h.ID}
+			a := controlResult{member: m, asked: w.host.now(), relayedBy: h.ID}
 			a.status, a.err = w.host.ports.Peers.Probe(call, h.Peer, w.group.name, m.ID)
 			answers <- a
 		}()
@@ -79,15 +79,15 @@
 	return out
 }
 
-// ProbeFor asks a member for its status on behalf of another host.
-func (h *Host) ProbeFor(groupName, memberID string) (Status, error) {
+// ProbeForPeer asks a member for its status on behalf of another host.
+func (h *Host) ProbeForPeer(groupName, memberID string) (Status, error) {
 	g := h.group(groupName)
 	if g == nil {
 		return Status{}, errors.Errorf("group %s is not known", groupName)
 	}
-	m, ok := g.lookup(memberID)
+	m, ok := g.lookupMember(memberID)
 	if !ok {
 		return Status{}, errors.Errorf("member %s of group %s is not known", memberID, groupName)
 	}
-	return g.command(m, Probe{}, peerProbeTimeout)
+	return g.control(m, Probe{}, peerProbeTimeout)
 }
--- a/internal/gateway/instrumented_store.go
+++ b/internal/gateway/instrumented_store.go
@@ -12,15 +12,15 @@
 
 // instrumentedStore counts and times the calls to a store.
 type instrumentedStore struct {
-	store  Store
-	meters hostMetrics
-	now    func() time.Time
+	store   Store
+	metrics hostMetrics
+	now     func() time.Time
 }
 
 var _ Store = instrumentedStore{}
 
-// meter records a call that began at started and ended with err.
-func (s instrumentedStore) meter(kind string, started time.Time, err error) {
+// observe records a call that began at started and ended with err.
+func (s instrumentedStore) observe(kind string, started time.Time, err error) {
 	result := "ok"
 	switch {
 	case err == nil:
@@ -33,7 +33,7 @@
 	default:
 		result = "failed"
 	}
-	s.meters.call(kind, result, s.now().Sub(started))
+	s.metrics.storeCall(kind, result, s.now().Sub(started))
 }
 
 // List implements Store.
@@ -44,7 +44,7 @@
 	if r.Stale {
 		kind = "list_stale"
 	}
-	s.meter(kind, started, err)
+	s.observe(kind, started, err)
 	return out, err
 }
 
@@ -52,7 +52,7 @@
 func (s instrumentedStore) Watch(ctx context.Context, prefix string, after kv.Revision, wait time.Duration) (kv.Snapshot, error) {
 	started := s.now()
 	out, err := s.store.Watch(ctx, prefix, after, wait)
-	s.meter("watch", started, err)
+	s.observe("watch", started, err)
 	return out, err
 }
 
@@ -60,7 +60,7 @@
 func (s instrumentedStore) Commit(ctx context.Context, t kv.Transaction) (kv.Revision, error) {
 	started := s.now()
 	out, err := s.store.Commit(ctx, t)
-	s.meter("commit", started, err)
+	s.observe("commit", started, err)
 	return out, err
 }
 
@@ -68,7 +68,7 @@
 func (s instrumentedStore) Grant(ctx context.Context, ttl time.Duration) (int64, error) {
 	started := s.now()
 	out, err := s.store.Grant(ctx, ttl)
-	s.meter("grant", started, err)
+	s.observe("grant", started, err)
 	return out, err
 }
 
@@ -76,7 +76,7 @@
 func (s instrumentedStore) Renew(ctx context.Context, lease int64) (kv.Epoch, error) {
 	started := s.now()
 	epoch, err := s.store.Renew(ctx, lease)
-	s.meter("renew", started, err)
+	s.observe("renew", started, err)
 	return epoch, err
 }
 
@@ -84,6 +84,6 @@
 func (s instrumentedStore) End(ctx context.Context, lease int64) error {
 	started := s.now()
 	err := s.store.End(ctx, lease)
-	s.meter("end", started, err)
+	s.observe("end", started, err)
 	return err
 }
