--- a/internal/gateway/account_test.go
+++ b/internal/gateway/account_test.go
@@ -101,8 +101,8 @@
 		ran := s.accounts()["bakery"]
 		wantCode(t, execIn(resting, Read{}), Unauthorized)
 		wantCode(t, execIn(working, Commit{}), Aborted)
-		if working.State() != Idle || resting.Allowed() {
-			t.Errorf("state %s, allowed %v", working.State(), resting.Allowed())
+		if working.State() != Idle || resting.Authorized() {
+			t.Errorf("state %s, allowed %v", working.State(), resting.Authorized())
 		}
 		if r := execAs(h, "k1", Read{}); r.Failure == nil || r.Failure.Code != Unauthorized {
 			t.Errorf("a new session got %v", r.Failure)
--- a/internal/gateway/connections.go
+++ b/internal/gateway/connections.go
@@ -215,7 +215,7 @@
 func (g *Group) noteBusy(m *member) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	m.poolMember.Shed(g.now(), g.hosts)
+	m.poolMember.Shed(g.now(), g.hostCount)
 }
 
 // noteRan records that the member ran a statement.
@@ -248,14 +248,14 @@
 	}
 }
 
-// trim closes connections that were not used for long.
-func (g *Group) trim() {
+// trimConns closes connections that were not used for long.
+func (g *Group) trimConns() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := g.now()
 	g.forgetMembers(now)
 	g.tryAdoptFloor()
-	g.pool.Trim(now, g.hosts, g.warmConns)
+	g.pool.Trim(now, g.hostCount, g.warmConns)
 	g.executePoolOrders()
 }
 
--- a/internal/gateway/coordinator.go
+++ b/internal/gateway/coordinator.go
@@ -96,7 +96,7 @@
 	firstToken kv.Revision
 }
 
-func (h *Host) coordinatorKey(group string) string { return h.ports.Keys.Own + "duty/" + group }
+func (h *Host) coordinatorKey(group string) string { return h.ports.Keys.OwnPrefix + "duty/" + group }
 
 // runCoordinators takes duties that fall to this host, and keeps those it holds. It looks after the leases of the same
 // groups, beginning as soon as there is such a group.
--- a/internal/gateway/coordinator_lease_test.go
+++ b/internal/gateway/coordinator_lease_test.go
@@ -16,7 +16,7 @@
 		delete(s.items, "members/a")
 		s.put("config", binary.BigEndian.AppendUint32(nil, uint32(groups)), 0)
 		h := NewHost(Settings{Host: "h", PromotionTokens: true}, Ports{
-			Store: s, Promoter: s, Decode: manyGroupsDecoder{}, Keys: Keys{Config: "config", Members: "members/", Own: "own/"},
+			Store: s, Promoter: s, Decode: manyGroupsDecoder{}, Keys: Keys{Config: "config", MembersPrefix: "members/", OwnPrefix: "own/"},
 		}, testLogger(), time.Now)
 		ctx, cancel := context.WithCancel(context.Background())
 		done := make(chan struct{})
--- a/internal/gateway/coordinator_test.go
+++ b/internal/gateway/coordinator_test.go
@@ -39,23 +39,23 @@
 	t.Helper()
 	for _, h := range f.all() {
 		if h != holder {
-			f.set(f.severed, h.settings.Host+" a", true)
+			f.setFault(f.severed, h.settings.Host+" a", true)
 		}
 	}
 	s.updateMember("a", func(m *fakeMember) { m.partitioned = true })
 	d := holder.coordinatorOf(testGroup)
 	renewLeaseNow(holder, d)
-	f.set(f.unreachable, holder.settings.Host, true)
-	f.set(f.storeRejects, holder.settings.Host, true)
+	f.setFault(f.unreachable, holder.settings.Host, true)
+	f.setFault(f.storeRejects, holder.settings.Host, true)
 	forget()
 	var ends time.Time
-	for until := time.Now().Add(15 * time.Second); s.leader() == "a" && time.Now().Before(until); {
+	for until := time.Now().Add(15 * time.Second); s.primaryID() == "a" && time.Now().Before(until); {
 		if r := holder.GrantLease(LeaseRequest{Group: testGroup, Host: "x"}); r.Granted > 0 {
 			ends = time.Now().Add(r.Granted)
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	if s.leader() == "a" {
+	if s.primaryID() == "a" {
 		t.Fatal("the primary was not replaced")
 	}
 	if left := time.Until(ends); left > 0 {
@@ -81,12 +81,12 @@
 func TestRenewedLeaseWithoutEntryLosesRole(t *testing.T) {
 	withFleet(t, 3, 20, freshness.Latest{}, func(s *fakeSite, f *fakeFleet) {
 		holder := f.coordinatorHost()
-		f.set(f.unreachable, holder.settings.Host, true) // nor does it hear of it from others
-		f.set(f.storeRejects, holder.settings.Host, true)
+		f.setFault(f.unreachable, holder.settings.Host, true) // nor does it hear of it from others
+		f.setFault(f.storeRejects, holder.settings.Host, true)
 		s.removeCoordinatorEntry(holder)
 		time.Sleep(leadership.RenewalPause + coordinatorPollInterval + storeTimeout + 50*time.Millisecond) // a renewal has failed
 		d := holder.coordinatorOf(testGroup)
-		f.set(f.storeRejects, holder.settings.Host, false)
+		f.setFault(f.storeRejects, holder.settings.Host, false)
 		renewLeaseNow(holder, d)
 		if d.wasSoleHolder(time.Now()) {
 			t.Error("the host counts on a duty that was taken away")
@@ -110,7 +110,7 @@
 		stop1()
 		_, stop2 := startHost(s, "h2", freshness.Latest{})
 		time.Sleep(coordinatorLeaseTTL + 3*time.Second)
-		if err := s.carryOut("h1", int64(old), "b"); err == nil {
+		if err := s.executePromotion("h1", int64(old), "b"); err == nil {
 			t.Errorf("an order with the token %d was taken", old)
 		}
 		stop2()
--- a/internal/gateway/execute.go
+++ b/internal/gateway/execute.go
@@ -63,7 +63,7 @@
 			return next.finalReply(w)
 		}
 		s.host.metrics.retry(w.group.name, next.reason())
-		next.pause(ctx)
+		next.sleep(ctx)
 	}
 }
 
@@ -81,12 +81,12 @@
 // retry says why a statement is offered again.
 type retry struct {
 	failure *Failure
-	wait    time.Duration
+	delay   time.Duration
 }
 
-func (a *retry) pause(ctx context.Context) {
-	if a.wait > 0 {
-		pause.For(ctx, a.wait)
+func (a *retry) sleep(ctx context.Context) {
+	if a.delay > 0 {
+		pause.For(ctx, a.delay)
 	}
 }
 
@@ -270,7 +270,7 @@
 	case Busy:
 		g.noteBusy(p.member)
 		w.need.Avoid = p.member.ID
-		next.wait = busyRetryInterval
+		next.delay = busyRetryInterval
 	case Lagging:
 		g.noteLag(p.member, reply.Position)
 	case ReadOnly:
--- a/internal/gateway/failover_test.go
+++ b/internal/gateway/failover_test.go
@@ -34,7 +34,7 @@
 func wantNoLostWrites(t *testing.T, s *fakeSite) {
 	t.Helper()
 	if lost := s.lostWrites(); len(lost) > 0 {
-		t.Errorf("the primary %s lacks acknowledged writes %v", s.leader(), lost)
+		t.Errorf("the primary %s lacks acknowledged writes %v", s.primaryID(), lost)
 	}
 }
 
@@ -77,7 +77,7 @@
 			t.Errorf("the hanging write was answered with %v", r.Failure)
 		}
 		time.Sleep(3 * time.Second)
-		if s.leader() == "a" {
+		if s.primaryID() == "a" {
 			t.Error("the primary that nobody receives from still leads")
 		}
 		if n := len(s.promotionOrders()); n > 1 {
@@ -95,14 +95,14 @@
 	withHost(t, freshness.Latest{}, func(s *fakeSite, h *Host) {
 		exec(h, Write{})
 		s.updateMember("b", func(m *fakeMember) { m.receivesNothing = true })
-		s.list("c", "draining")
+		s.writeMemberEntry("c", "draining")
 		exec(h, Write{})
-		s.list("c", "")
+		s.writeMemberEntry("c", "")
 		s.updateMember("c", func(m *fakeMember) { m.crashed = true })
 		time.Sleep(time.Second)
 		s.updateMember("a", func(m *fakeMember) { m.crashed = true })
 		time.Sleep(6 * time.Second)
-		if s.leader() == "b" {
+		if s.primaryID() == "b" {
 			t.Error("the deaf replica was promoted")
 		}
 	})
@@ -113,14 +113,14 @@
 func TestLeavingPrimarySwitchesOver(t *testing.T) {
 	withHost(t, freshness.Latest{}, func(s *fakeSite, h *Host) {
 		exec(h, Write{})
-		s.list("a", "draining")
+		s.writeMemberEntry("a", "draining")
 		for range 40 {
 			if r := exec(h, Write{}); r.Failure != nil {
 				t.Errorf("a write during the hand-over failed: %v", r.Failure)
 			}
 			time.Sleep(25 * time.Millisecond)
 		}
-		if s.leader() == "a" {
+		if s.primaryID() == "a" {
 			t.Error("the leaving primary still leads")
 		}
 		wantNoLostWrites(t, s)
@@ -151,14 +151,14 @@
 func TestMissingPrimaryServesUntilItIsReplaced(t *testing.T) {
 	withHost(t, freshness.Latest{}, func(s *fakeSite, h *Host) {
 		exec(h, Write{})
-		s.list("a", "")
+		s.writeMemberEntry("a", "")
 		for range 100 {
 			if r := exec(h, Write{}); r.Failure != nil {
 				t.Fatalf("a write failed: %v", r.Failure)
 			}
 			time.Sleep(50 * time.Millisecond)
 		}
-		if s.leader() == "a" {
+		if s.primaryID() == "a" {
 			t.Error("a primary that the platform does not list was not replaced")
 		}
 		wantNoLostWrites(t, s)
@@ -183,17 +183,17 @@
 func TestPrimaryListedBeforeReplicasIsKept(t *testing.T) {
 	synctest.Test(t, func(*testing.T) {
 		s := newFakeSite("a", "b", "c")
-		s.list("b", "")
-		s.list("c", "")
+		s.writeMemberEntry("b", "")
+		s.writeMemberEntry("c", "")
 		_, stop := startHost(s, "h1", freshness.Latest{})
 		time.Sleep(4 * time.Second)
-		s.list("b", "ready")
-		s.list("c", "ready")
+		s.writeMemberEntry("b", "ready")
+		s.writeMemberEntry("c", "ready")
 		time.Sleep(2 * time.Second)
 		demoted := 0
 		s.updateMember("a", func(m *fakeMember) { demoted = m.demoted })
-		if s.leader() != "a" || demoted > 0 {
-			t.Errorf("%q leads, and a was demoted %d times", s.leader(), demoted)
+		if s.primaryID() != "a" || demoted > 0 {
+			t.Errorf("%q leads, and a was demoted %d times", s.primaryID(), demoted)
 		}
 		stop()
 		time.Sleep(10 * time.Second)
@@ -216,7 +216,7 @@
 		stop[holder]()
 		s.updateMember("a", func(m *fakeMember) { m.crashed = true })
 		time.Sleep(coordinatorLeaseTTL + acceptedPromotionDelay + 2*time.Second)
-		if got := s.leader(); got != "b" && got != "c" {
+		if got := s.primaryID(); got != "b" && got != "c" {
 			t.Errorf("%q leads", got)
 		}
 		wantNoLostWrites(t, s)
@@ -238,16 +238,16 @@
 		for range 5 {
 			exec(h, Write{})
 		}
-		s.list("a", "")
+		s.writeMemberEntry("a", "")
 		time.Sleep(missingMemberGrace + time.Second)
-		if s.leader() != "b" {
-			t.Fatalf("%q leads, want b", s.leader())
+		if s.primaryID() != "b" {
+			t.Fatalf("%q leads, want b", s.primaryID())
 		}
 		s.updateMember("a", func(m *fakeMember) { m.crashed = true })
 		time.Sleep(200 * time.Millisecond)
 		s.updateMember("b", func(m *fakeMember) { m.crashed = true })
 		time.Sleep(8 * time.Second)
-		if s.leader() == "c" {
+		if s.primaryID() == "c" {
 			t.Error("the deaf replica was promoted")
 		}
 	})
@@ -259,10 +259,10 @@
 	withHost(t, freshness.Latest{}, func(s *fakeSite, h *Host) {
 		exec(h, Write{})
 		s.updateMember("b", func(m *fakeMember) { m.crashed = true })
-		s.list("a", "draining")
+		s.writeMemberEntry("a", "draining")
 		time.Sleep(2 * time.Second)
-		if s.leader() != "c" {
-			t.Errorf("%q leads, want c", s.leader())
+		if s.primaryID() != "c" {
+			t.Errorf("%q leads, want c", s.primaryID())
 		}
 		wantNoLostWrites(t, s)
 	})
@@ -274,7 +274,7 @@
 	withHost(t, freshness.MaxAge{Age: time.Second}, func(s *fakeSite, h *Host) {
 		exec(h, Write{})
 		for _, id := range []string{"a", "b", "c"} {
-			s.list(id, "")
+			s.writeMemberEntry(id, "")
 		}
 		for range 20 {
 			for _, st := range []Statement{Read{}, Write{}} {
@@ -285,11 +285,11 @@
 			time.Sleep(50 * time.Millisecond)
 		}
 		for _, id := range []string{"a", "b", "c"} {
-			s.list(id, "ready")
+			s.writeMemberEntry(id, "ready")
 		}
 		time.Sleep(5 * time.Second)
-		if s.leader() != "a" {
-			t.Errorf("%q leads", s.leader())
+		if s.primaryID() != "a" {
+			t.Errorf("%q leads", s.primaryID())
 		}
 	})
 }
@@ -303,7 +303,7 @@
 		g := h.groups[testGroup]
 		w := &groupMonitor{coordinator: &coordinator{host: h, group: g, held: true, token: 1000}, primary: Member{ID: "a"}}
 		answers := g.controlAll(g.listMembers(), Probe{}, controlTimeout)
-		s.lead(s.member("c"))
+		s.makePrimary(s.member("c"))
 		before := len(s.promotionOrders())
 		w.failover(context.Background(), h.now(), answers)
 		if orders := s.promotionOrders()[before:]; len(orders) > 0 {
@@ -321,14 +321,14 @@
 	withHost(t, freshness.Latest{}, func(s *fakeSite, h *Host) {
 		exec(h, Write{})
 		s.updateMember("b", func(m *fakeMember) { m.crashed = true })
-		s.list("b", "")
+		s.writeMemberEntry("b", "")
 		time.Sleep(missingMemberGrace + missingMemberRetention)
 		exec(h, Write{})
 		s.updateMember("c", func(m *fakeMember) { m.receivesNothing = true })
 		wantCode(t, exec(h, Write{}), InDoubt)
 		time.Sleep(2 * time.Second)
 		s.updateMember("b", func(m *fakeMember) { m.crashed = false })
-		s.list("b", "ready")
+		s.writeMemberEntry("b", "ready")
 		awaitWrite(t, h, 3*time.Second)
 		time.Sleep(time.Second)
 		for _, o := range s.promotionOrders() {
@@ -346,14 +346,14 @@
 	withHost(t, freshness.Latest{}, func(s *fakeSite, h *Host) {
 		exec(h, Write{})
 		s.updateMember("b", func(m *fakeMember) { m.crashed = true })
-		s.list("b", "")
+		s.writeMemberEntry("b", "")
 		time.Sleep(missingMemberGrace + missingMemberRetention)
 		exec(h, Write{})
 		s.updateMember("c", func(m *fakeMember) { m.receivesNothing = true })
 		exec(h, Write{}) // hangs: the primary alone holds it
-		s.list("a", "draining")
+		s.writeMemberEntry("a", "draining")
 		time.Sleep(2 * time.Second)
-		if s.leader() == "c" {
+		if s.primaryID() == "c" {
 			t.Error("the deaf replica took over")
 		}
 	})
@@ -365,11 +365,11 @@
 func TestBrieflySilentSwitchoverTargetStaysPrimary(t *testing.T) {
 	withHost(t, freshness.Latest{}, func(s *fakeSite, h *Host) {
 		exec(h, Write{})
-		s.list("a", "draining")
-		for s.leader() != "b" && s.leader() != "c" {
+		s.writeMemberEntry("a", "draining")
+		for s.primaryID() != "b" && s.primaryID() != "c" {
 			time.Sleep(time.Millisecond)
 		}
-		heir := s.leader()
+		heir := s.primaryID()
 		time.Sleep(promotionPollInterval)
 		s.updateMember(heir, func(m *fakeMember) { m.silent = true })
 		time.Sleep(probeInterval + controlTimeout + 50*time.Millisecond)
--- a/internal/gateway/fakeconn_test.go
+++ b/internal/gateway/fakeconn_test.go
@@ -38,12 +38,12 @@
 	// incarnation is the run of the member that the connection leads to.
 	incarnation int
 	// account is the one that the connection was opened for.
-	account string
-	state   State
-	plain   bool // the transaction may write
-	values  map[string]string
-	shapes  map[string]PreparedStatement
-	closed  bool
+	account   string
+	state     State
+	readWrite bool // the transaction may write
+	values    map[string]string
+	prepared  map[string]PreparedStatement
+	closed    bool
 	// severed, if set, tells that the way to the member is cut.
 	severed func() bool
 }
@@ -94,19 +94,19 @@
 	case Probe:
 		c.site.probes++
 	case Fence:
-		if !m.leads && o.Term > m.term {
+		if !m.isPrimary && o.Term > m.term {
 			m.fenced = o.Term
 		}
 	case Release:
 		m.fenced = 0
 	case Demote:
-		if m.leads && o.Term > m.term {
-			m.leads = false
+		if m.isPrimary && o.Term > m.term {
+			m.isPrimary = false
 			m.demoted++
 		}
 	}
-	s := Status{IsPrimary: m.leads || m.claimsPrimary, Received: m.received, Term: m.term, Fenced: m.fenced, Connections: m.conns, Running: m.running}
-	if m.lagging && !m.leads {
+	s := Status{IsPrimary: m.isPrimary || m.claimsPrimary, Received: m.received, Term: m.term, Fenced: m.fenced, Connections: m.conns, Running: m.running}
+	if m.lagging && !m.isPrimary {
 		s.Lag = time.Minute
 	}
 	return s, nil
@@ -145,12 +145,12 @@
 		}
 		c.values[command.Name] = command.Value
 	case Define:
-		if c.shapes == nil {
-			c.shapes = map[string]PreparedStatement{}
+		if c.prepared == nil {
+			c.prepared = map[string]PreparedStatement{}
 		}
-		c.shapes[command.Name] = command.Prepared
+		c.prepared[command.Name] = command.Prepared
 	case Reset:
-		c.values, c.shapes = nil, nil
+		c.values, c.prepared = nil, nil
 	}
 	return Reply{Position: c.applied()}, nil
 }
@@ -164,13 +164,13 @@
 func (c *fakeConn) open(o OpenTransaction) Reply {
 	c.site.mu.Lock()
 	defer c.site.mu.Unlock()
-	if !o.ReadOnly && !c.m.leads {
+	if !o.ReadOnly && !c.m.isPrimary {
 		return Reply{Failure: &Failure{ReadOnly, c.m.id}}
 	}
 	if o.After.Compare(c.m.applied) > 0 {
 		return Reply{Failure: &Failure{Lagging, c.m.id}, Position: c.m.applied}
 	}
-	c.state, c.plain = InTransaction, !o.ReadOnly
+	c.state, c.readWrite = InTransaction, !o.ReadOnly
 	return Reply{Position: c.m.applied}
 }
 
@@ -188,7 +188,7 @@
 	time.Sleep(min(work, timeout))
 	c.site.mu.Lock()
 	c.m.running--
-	if _, writes := f.Request.Statement.(Write); !c.m.leads && (writes || c.plain && c.state == InTransaction) {
+	if _, writes := f.Request.Statement.(Write); !c.m.isPrimary && (writes || c.readWrite && c.state == InTransaction) {
 		c.site.mu.Unlock()
 		return Reply{Failure: &Failure{ReadOnly, c.m.id}, Position: c.applied()}, nil
 	}
@@ -207,7 +207,7 @@
 		row += " v=" + v
 	}
 	if f.Name != "" {
-		row += " " + c.shapes[f.Name].Text
+		row += " " + c.prepared[f.Name].Text
 	}
 	switch f.Request.Statement.(type) {
 	case Commit:
@@ -228,7 +228,7 @@
 		return &Failure{Busy, c.m.id}
 	case f.After.Compare(c.m.applied) > 0:
 		return &Failure{Lagging, c.m.id}
-	case !c.m.leads && (writes || c.state == InTransaction && c.plain):
+	case !c.m.isPrimary && (writes || c.state == InTransaction && c.readWrite):
 		return &Failure{ReadOnly, c.m.id}
 	}
 	return nil
--- a/internal/gateway/fakefleet_test.go
+++ b/internal/gateway/fakefleet_test.go
@@ -59,7 +59,7 @@
 	}
 	h := NewHost(settings, Ports{
 		Dialer: hostDialer{f, name}, Store: hostStore{f.site, f, name}, Promoter: f.site, Peers: &fakePeers{f, name}, Decode: fakeDecoder{class},
-		Keys: Keys{Config: "config", Members: "members/", Own: "own/"},
+		Keys: Keys{Config: "config", MembersPrefix: "members/", OwnPrefix: "own/"},
 	}, testLogger(), time.Now)
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
@@ -81,14 +81,14 @@
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, byte(i >> 8), byte(i)}), 1)
 }
 
-// set changes one of the fleet's faults.
-func (f *fakeFleet) set(fault map[string]bool, host string, on bool) {
+// setFault changes one of the fleet's faults.
+func (f *fakeFleet) setFault(fault map[string]bool, host string, on bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	fault[host] = on
 }
 
-func (f *fakeFleet) has(fault map[string]bool, host string) bool {
+func (f *fakeFleet) hasFault(fault map[string]bool, host string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return fault[host]
@@ -144,7 +144,7 @@
 }
 
 func (d hostDialer) Dial(ctx context.Context, m Member, account string) (Conn, error) {
-	severed := func() bool { return d.fleet.has(d.fleet.severed, d.host+" "+m.ID) }
+	severed := func() bool { return d.fleet.hasFault(d.fleet.severed, d.host+" "+m.ID) }
 	if severed() {
 		<-ctx.Done()
 		return nil, ctx.Err()
@@ -165,7 +165,7 @@
 }
 
 func (s hostStore) reach(ctx context.Context) error {
-	if s.fleet.has(s.fleet.storeRejects, s.host) {
+	if s.fleet.hasFault(s.fleet.storeRejects, s.host) {
 		<-ctx.Done()
 		return errStoreDown
 	}
@@ -231,7 +231,7 @@
 	p.fleet.mu.Lock()
 	h := p.fleet.hosts[to]
 	p.fleet.mu.Unlock()
-	if h == nil || p.fleet.has(p.fleet.unreachable, p.host) || p.fleet.has(p.fleet.unreachable, h.settings.Host) {
+	if h == nil || p.fleet.hasFault(p.fleet.unreachable, p.host) || p.fleet.hasFault(p.fleet.unreachable, h.settings.Host) {
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
@@ -263,7 +263,7 @@
 	return h.ProbeForPeer(groupName, memberID)
 }
 
-func (p *fakePeers) Lease(ctx context.Context, to netip.AddrPort, r LeaseRequest) (LeaseReply, error) {
+func (p *fakePeers) RequestLease(ctx context.Context, to netip.AddrPort, r LeaseRequest) (LeaseReply, error) {
 	h, err := p.reach(ctx, to)
 	if err != nil {
 		return LeaseReply{}, err
@@ -281,7 +281,7 @@
 	return nil
 }
 
-func (p *fakePeers) Quota(ctx context.Context, to netip.AddrPort, r quotas.Request) (quotas.Reply, error) {
+func (p *fakePeers) RequestQuota(ctx context.Context, to netip.AddrPort, r quotas.Request) (quotas.Reply, error) {
 	h, err := p.reach(ctx, to)
 	if err != nil {
 		return quotas.Reply{}, err
@@ -309,7 +309,7 @@
 		return nil, err
 	}
 	name, f := h.settings.Host, l.peers.fleet
-	if f.has(f.losesRequests, name) {
+	if f.hasFault(f.losesRequests, name) {
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
@@ -322,13 +322,13 @@
 	f.mu.Lock()
 	f.forwardedTo[name]++
 	f.mu.Unlock()
-	if f.has(f.losesReplies, name) {
+	if f.hasFault(f.losesReplies, name) {
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
 	select {
 	case reply := <-answer:
-		if f.has(f.unreachable, name) {
+		if f.hasFault(f.unreachable, name) {
 			<-ctx.Done()
 			return nil, ctx.Err()
 		}
--- a/internal/gateway/fakesite_test.go
+++ b/internal/gateway/fakesite_test.go
@@ -34,10 +34,10 @@
 // fakeMember is a member whose replication is synchronous: a write is acknowledged
 // once another member has received it.
 type fakeMember struct {
-	id       string
-	leads    bool
-	term     group.Term
-	received group.Position
+	id        string
+	isPrimary bool
+	term      group.Term
+	received  group.Position
 	// applied trails received while lagging is true.
 	applied         group.Position
 	fenced          group.Term
@@ -98,11 +98,11 @@
 	}
 	for i, id := range ids {
 		p := group.Position{Term: 1, LSN: 1}
-		s.members = append(s.members, &fakeMember{id: id, leads: i == 0, term: 1, received: p, applied: p, work: workTime})
+		s.members = append(s.members, &fakeMember{id: id, isPrimary: i == 0, term: 1, received: p, applied: p, work: workTime})
 	}
 	s.put("config", []byte("1"), 0)
 	for _, m := range s.members {
-		s.list(m.id, "ready")
+		s.writeMemberEntry(m.id, "ready")
 	}
 	return s
 }
@@ -126,9 +126,9 @@
 func (s *fakeSite) restart(id string) {
 	s.updateMember(id, func(m *fakeMember) {
 		m.incarnation++
-		m.received, m.applied, m.fenced, m.leads = group.Position{}, group.Position{}, 0, false
+		m.received, m.applied, m.fenced, m.isPrimary = group.Position{}, group.Position{}, 0, false
 	})
-	s.list(id, "ready")
+	s.writeMemberEntry(id, "ready")
 }
 
 // updateMember changes a member.
@@ -159,20 +159,20 @@
 	return s.peakConns
 }
 
-// leader returns the member that leads in the highest term.
-func (s *fakeSite) leader() string {
+// primaryID returns the member that leads in the highest term.
+func (s *fakeSite) primaryID() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if m := s.leaderLocked(); m != nil {
+	if m := s.primaryLocked(); m != nil {
 		return m.id
 	}
 	return ""
 }
 
-func (s *fakeSite) leaderLocked() *fakeMember {
+func (s *fakeSite) primaryLocked() *fakeMember {
 	var out *fakeMember
 	for _, m := range s.members {
-		if m.leads && (out == nil || m.term > out.term) {
+		if m.isPrimary && (out == nil || m.term > out.term) {
 			out = m
 		}
 	}
@@ -184,11 +184,11 @@
 	late := s.promotionDelay
 	s.mu.Unlock()
 	if late > 0 {
-		time.AfterFunc(late, func() { _ = s.carryOut(holder, token, id) })
+		time.AfterFunc(late, func() { _ = s.executePromotion(holder, token, id) })
 		<-ctx.Done()
 		return ctx.Err()
 	}
-	return s.carryOut(holder, token, id)
+	return s.executePromotion(holder, token, id)
 }
 
 // RaiseToken implements Promoter.
@@ -199,7 +199,7 @@
 	return nil
 }
 
-func (s *fakeSite) carryOut(holder string, token int64, id string) error {
+func (s *fakeSite) executePromotion(holder string, token int64, id string) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	m := s.member(id)
@@ -208,31 +208,31 @@
 	}
 	s.token = token
 	s.orders = append(s.orders, holder+" "+id)
-	if !m.leads {
-		time.AfterFunc(promoteTime, func() { s.lead(m) })
+	if !m.isPrimary {
+		time.AfterFunc(promoteTime, func() { s.makePrimary(m) })
 	}
 	return nil
 }
 
-// lead makes a member the primary of the next term, with what it has received.
-func (s *fakeSite) lead(m *fakeMember) {
+// makePrimary makes a member the primary of the next term, with what it has received.
+func (s *fakeSite) makePrimary(m *fakeMember) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if m.leads || m.crashed {
+	if m.isPrimary || m.crashed {
 		return
 	}
-	s.dropped = append(s.dropped, s.beyond(m.received)...)
+	s.dropped = append(s.dropped, s.writesBeyond(m.received)...)
 	var term group.Term
 	for _, o := range s.members {
 		term = max(term, o.term)
 	}
 	for _, o := range s.members {
-		wasLeading := o.leads
+		wasLeading := o.isPrimary
 		o.fenced = 0
 		if o.partitioned && o != m {
 			continue
 		}
-		o.leads = o == m
+		o.isPrimary = o == m
 		if !o.crashed && !o.silent {
 			o.term = term + 1
 		}
@@ -241,7 +241,7 @@
 		}
 		if (wasLeading || o == m) && !s.items["members/"+o.id].Removed {
 			role := "replica"
-			if o.leads {
+			if o.isPrimary {
 				role = "primary"
 			}
 			state, _, _ := strings.Cut(string(s.items["members/"+o.id].Value), " ")
@@ -255,15 +255,15 @@
 func (s *fakeSite) lostWrites() []group.Position {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	m := s.leaderLocked()
+	m := s.primaryLocked()
 	if m == nil {
 		return s.dropped
 	}
-	return append(s.beyond(m.received), s.dropped...)
+	return append(s.writesBeyond(m.received), s.dropped...)
 }
 
-// beyond returns the acknowledged writes that a log up to the position lacks.
-func (s *fakeSite) beyond(end group.Position) []group.Position {
+// writesBeyond returns the acknowledged writes that a log up to the position lacks.
+func (s *fakeSite) writesBeyond(end group.Position) []group.Position {
 	var out []group.Position
 	for _, p := range s.history {
 		if p.Compare(end) > 0 {
@@ -342,7 +342,7 @@
 	settings := Settings{Host: name, Zone: "z", MemberDrain: 7 * time.Second, ShutdownGrace: 6 * time.Second, PromotionTokens: !s.ignoresTokens}
 	h := NewHost(settings, Ports{
 		Dialer: s, Store: s, Promoter: s, Decode: fakeDecoder{class},
-		Keys: Keys{Config: "config", Members: "members/", Own: "own/"},
+		Keys: Keys{Config: "config", MembersPrefix: "members/", OwnPrefix: "own/"},
 	}, testLogger(), time.Now)
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
--- a/internal/gateway/fakestore_test.go
+++ b/internal/gateway/fakestore_test.go
@@ -14,8 +14,8 @@
 	"pearlatch/internal/pause"
 )
 
-// list writes a member's entry. An empty state removes it.
-func (s *fakeSite) list(id, state string) {
+// writeMemberEntry writes a member's entry. An empty state removes it.
+func (s *fakeSite) writeMemberEntry(id, state string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if state == "" {
@@ -23,7 +23,7 @@
 		return
 	}
 	role := "replica"
-	if s.member(id).leads {
+	if s.member(id).isPrimary {
 		role = "primary"
 	}
 	s.putLocked("members/"+id, s.member(id).entry(state, role), 0)
--- a/internal/gateway/forward.go
+++ b/internal/gateway/forward.go
@@ -173,7 +173,7 @@
 	if err != nil {
 		lane.Close()
 		h.logForward(s, r, server.ID, "broken", err)
-		if errors.Is(err, ErrNotSent) || r.repeatable() {
+		if errors.Is(err, ErrNotSent) || r.isRetrySafe() {
 			return nil, errNotRun
 		}
 		reply, err = h.resolveOutcome(ctx, server, r, deadline)
@@ -217,7 +217,7 @@
 				// Others need not wait for the outcome of this one.
 				h.peerFailed(server.ID, err)
 			}
-			if missed++; err == nil || missed >= maxMissedOutcomeQueries || r.repeatable() {
+			if missed++; err == nil || missed >= maxMissedOutcomeQueries || r.isRetrySafe() {
 				giveUp()
 				return
 			}
--- a/internal/gateway/group.go
+++ b/internal/gateway/group.go
@@ -35,9 +35,9 @@
 	// members holds every member of the list; sortedMembers holds them by ID.
 	members       map[string]*member
 	sortedMembers []*member
-	// maxConnections is the most that a member takes from all hosts; hosts is how
+	// maxConnections is the most that a member takes from all hosts; hostCount is how
 	// many hosts share them.
-	maxConnections, hosts int
+	maxConnections, hostCount int
 	// plan says who serves the group. While others do, this host serves in their place until
 	// fallbackUntil.
 	plan          serving.Plan
@@ -133,7 +133,7 @@
 	g := &Group{
 		name: name, zone: h.settings.Zone, dialer: h.ports.Dialer, logger: log.With(h.logger, "group", name),
 		now: h.now, metrics: h.metrics, storeRevision: &h.knownRevision, maxDrain: h.settings.MemberDrain - drainMargin,
-		members: map[string]*member{}, maxConnections: 1, hosts: 1, controlConns: map[string]*controlConn{},
+		members: map[string]*member{}, maxConnections: 1, hostCount: 1, controlConns: map[string]*controlConn{},
 		probeSignal: make(chan struct{}, 1), leaseSignal: make(chan struct{}, 1),
 		conns: map[*pool.Conn]*pooledConn{}, waiting: map[*pool.Waiter]chan *pooledConn{},
 	}
@@ -154,7 +154,7 @@
 	if p.Servers > 0 {
 		hosts = p.Servers
 	}
-	g.maxConnections, g.hosts = max(1, c.Connections), max(1, hosts)
+	g.maxConnections, g.hostCount = max(1, c.Connections), max(1, hosts)
 	if p.Elsewhere != g.plan.Elsewhere {
 		g.log("serving", "here", !p.Elsewhere, "hosts", hosts)
 	}
--- a/internal/gateway/health_test.go
+++ b/internal/gateway/health_test.go
@@ -51,7 +51,7 @@
 			exec(h, Read{})
 			time.Sleep(20 * time.Millisecond)
 		}
-		if s.leader() == "a" {
+		if s.primaryID() == "a" {
 			t.Error("the primary that nobody receives from still leads")
 		}
 	})
--- a/internal/gateway/host.go
+++ b/internal/gateway/host.go
@@ -75,10 +75,10 @@
 type Keys struct {
 	// Config holds the operators' configuration.
 	Config string
-	// Members precedes the members' entries.
-	Members string
-	// Own precedes what pearlatch keeps itself.
-	Own string
+	// MembersPrefix precedes the members' entries.
+	MembersPrefix string
+	// OwnPrefix precedes what pearlatch keeps itself.
+	OwnPrefix string
 }
 
 // Host is a running host. Use NewHost, then Run.
@@ -284,7 +284,7 @@
 func (h *Host) trimIdleConns(ctx context.Context) {
 	for pause.For(ctx, trimInterval) {
 		for _, g := range h.allGroups() {
-			g.trim()
+			g.trimConns()
 			g.closeIdleControlConns()
 		}
 		h.storeView.Trim()
--- a/internal/gateway/host_entry.go
+++ b/internal/gateway/host_entry.go
@@ -13,7 +13,7 @@
 	"pearlatch/internal/pause"
 )
 
-func (h *Host) hostsPrefix() string { return h.ports.Keys.Own + "hosts/" }
+func (h *Host) hostsPrefix() string { return h.ports.Keys.OwnPrefix + "hosts/" }
 
 const (
 	// hostEntryTTL is the life of a host's entry: the lease outlives a pause of the
@@ -54,16 +54,16 @@
 			break
 		}
 	}
-	h.depart(lease)
+	h.announceLeaving(lease)
 }
 
 // self describes this host to others.
 func (h *Host) self() membership.Host { return h.fleet.Self() }
 
-// depart tells other hosts that this one stops. The entry is left to lapse: if it were
+// announceLeaving tells other hosts that this one stops. The entry is left to lapse: if it were
 // removed at once, hosts that read the list only then would take this one for a host
 // whose entry has lapsed, and that may serve still.
-func (h *Host) depart(lease int64) {
+func (h *Host) announceLeaving(lease int64) {
 	if lease == 0 {
 		return
 	}
--- a/internal/gateway/leadership_test.go
+++ b/internal/gateway/leadership_test.go
@@ -44,17 +44,17 @@
 		apart := f.other(holder)
 		exec(apart, Write{})
 		name := apart.settings.Host
-		f.set(f.unreachable, name, true)
-		f.set(f.storeRejects, name, true)
+		f.setFault(f.unreachable, name, true)
+		f.setFault(f.storeRejects, name, true)
 		s.updateMember("a", func(m *fakeMember) { m.partitioned = true })
 		for _, h := range f.all() {
 			if h != apart {
-				f.set(f.severed, h.settings.Host+" a", true)
+				f.setFault(f.severed, h.settings.Host+" a", true)
 			}
 		}
 		var written bool
 		for range 300 {
-			if !written && s.leader() != "a" {
+			if !written && s.primaryID() != "a" {
 				written = exec(holder, Write{}).Failure == nil
 			}
 			late := written
@@ -83,13 +83,13 @@
 		if r := exec(apart, Read{}); r.Failure != nil {
 			t.Fatalf("the read failed: %v", r.Failure)
 		}
-		f.set(f.unreachable, apart.settings.Host, true)
-		f.set(f.storeRejects, apart.settings.Host, true)
-		s.list("a", "draining")
+		f.setFault(f.unreachable, apart.settings.Host, true)
+		f.setFault(f.storeRejects, apart.settings.Host, true)
+		s.writeMemberEntry("a", "draining")
 		s.updateMember("a", func(m *fakeMember) { m.partitioned = true })
 		var written bool
 		for range 300 {
-			if !written && s.leader() != "a" {
+			if !written && s.primaryID() != "a" {
 				written = exec(holder, Write{}).Failure == nil
 			}
 			late := written
@@ -132,7 +132,7 @@
 		s.updateMember("a", func(m *fakeMember) { m.crashed = true })
 		s.restart("b")
 		time.Sleep(5 * time.Second)
-		if got := s.leader(); got != "a" {
+		if got := s.primaryID(); got != "a" {
 			t.Errorf("%q was promoted", got)
 		}
 		s.updateMember("a", func(m *fakeMember) { m.crashed = false })
@@ -153,7 +153,7 @@
 		s.updateMember("a", func(m *fakeMember) { m.crashed = true })
 		s.updateMember("b", func(m *fakeMember) { m.received, m.applied = group.Position{}, group.Position{} })
 		time.Sleep(5 * time.Second)
-		if got := s.leader(); got != "a" {
+		if got := s.primaryID(); got != "a" {
 			t.Errorf("%q was promoted", got)
 		}
 	})
@@ -226,9 +226,9 @@
 		h := f.coordinatorHost()
 		exec(h, Write{})
 		for _, each := range f.all() {
-			f.set(f.severed, each.settings.Host+" c", true)
+			f.setFault(f.severed, each.settings.Host+" c", true)
 		}
-		s.list("c", "")
+		s.writeMemberEntry("c", "")
 		time.Sleep(time.Second)
 		s.updateMember("b", func(m *fakeMember) { m.receivesNothing = true })
 		for range 5 {
@@ -237,7 +237,7 @@
 		time.Sleep(2 * time.Second)
 		s.updateMember("a", func(m *fakeMember) { m.silent = true })
 		time.Sleep(2 * time.Second)
-		if got := s.leader(); got != "a" {
+		if got := s.primaryID(); got != "a" {
 			t.Errorf("%q was promoted", got)
 		}
 	})
@@ -269,7 +269,7 @@
 	withHost(t, freshness.Latest{}, func(s *fakeSite, h *Host) {
 		exec(h, Write{})
 		g := h.groups[testGroup]
-		s.list("a", "")
+		s.writeMemberEntry("a", "")
 		time.Sleep(100 * time.Millisecond)
 		g.mu.Lock()
 		before := g.floorValid()
@@ -350,7 +350,7 @@
 		exec(h, Write{})
 		time.Sleep(10 * time.Millisecond)
 		s.updateMember("a", func(m *fakeMember) { m.partitioned = true })
-		s.lead(s.member("b"))
+		s.makePrimary(s.member("b"))
 		h.groups[testGroup].setPrimaryForTest("a")
 		chef := openSession(t, h)
 		execIn(chef, Begin{})
@@ -388,7 +388,7 @@
 				stop1()
 				s.lapseEntries("b", "c")
 				time.Sleep(6 * time.Second)
-				if got := s.leader(); got != want {
+				if got := s.primaryID(); got != want {
 					t.Errorf("%q leads, want %q", got, want)
 				}
 				wantNoLostWrites(t, s)
@@ -403,15 +403,15 @@
 func (s *fakeSite) setIncarnation(born int) {
 	for _, m := range s.members {
 		s.updateMember(m.id, func(m *fakeMember) { m.incarnation = born })
-		s.list(m.id, "ready")
+		s.writeMemberEntry(m.id, "ready")
 	}
 }
 
 // lapseEntries removes the members' entries for a moment.
 func (s *fakeSite) lapseEntries(ids ...string) {
 	for _, id := range ids {
-		s.list(id, "")
+		s.writeMemberEntry(id, "")
 		time.Sleep(50 * time.Millisecond)
-		s.list(id, "ready")
+		s.writeMemberEntry(id, "ready")
 	}
 }
--- a/internal/gateway/lease_client.go
+++ b/internal/gateway/lease_client.go
@@ -125,7 +125,7 @@
 	}
 	call, cancel := context.WithTimeout(ctx, leaseRequestTimeout)
 	defer cancel()
-	return h.ports.Peers.Lease(call, addr, r)
+	return h.ports.Peers.RequestLease(call, addr, r)
 }
 
 // servesHere reports whether the host serves the group, or does for now.
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -21,12 +21,12 @@
 	QueryOutcome(ctx context.Context, to netip.AddrPort, from string, serial uint64) (RequestOutcome, error)
 	// Probe lets the host ask a member for its status.
 	Probe(ctx context.Context, to netip.AddrPort, groupName, memberID string) (Status, error)
-	// Lease asks the host for a lease on the primary of a group.
-	Lease(ctx context.Context, to netip.AddrPort, r LeaseRequest) (LeaseReply, error)
+	// RequestLease asks the host for a lease on the primary of a group.
+	RequestLease(ctx context.Context, to netip.AddrPort, r LeaseRequest) (LeaseReply, error)
 	// RevokeLease asks the host to give such a lease back. Without an error it has.
 	RevokeLease(ctx context.Context, to netip.AddrPort, groupName, memberID string, planned bool) error
-	// Quota asks the host for tokens of accounts' quotas, and TellQuota what it holds of them.
-	Quota(ctx context.Context, to netip.AddrPort, r quotas.Request) (quotas.Reply, error)
+	// RequestQuota asks the host for tokens of accounts' quotas, and TellQuota what it holds of them.
+	RequestQuota(ctx context.Context, to netip.AddrPort, r quotas.Request) (quotas.Reply, error)
 	TellQuota(ctx context.Context, to netip.AddrPort, r quotas.TellRequest) (quotas.TellReply, error)
 	follow.Peers
 }
@@ -81,9 +81,9 @@
 	Request Request
 }
 
-// repeatable reports whether the request may run twice: a read outside a transaction. Nobody
+// isRetrySafe reports whether the request may run twice: a read outside a transaction. Nobody
 // need find out what became of it before it is sent elsewhere.
-func (r *PeerRequest) repeatable() bool {
+func (r *PeerRequest) isRetrySafe() bool {
 	if r.Begin != nil || r.Continues || r.Prepared != nil && r.Prepared.Writes {
 		return false
 	}
@@ -133,7 +133,7 @@
 
 // RequestOutcome says what became of a request. Its implementations are OutcomeRunning,
 // OutcomeDone and OutcomeUnknown.
-type RequestOutcome interface{ isRecalled() }
+type RequestOutcome interface{ isRequestOutcome() }
 
 type (
 	// OutcomeRunning means that the request is being worked on.
@@ -148,6 +148,6 @@
 	}
 )
 
-func (OutcomeRunning) isRecalled() {}
-func (OutcomeDone) isRecalled()    {}
-func (OutcomeUnknown) isRecalled() {}
+func (OutcomeRunning) isRequestOutcome() {}
+func (OutcomeDone) isRequestOutcome()    {}
+func (OutcomeUnknown) isRequestOutcome() {}
--- a/internal/gateway/pool_view.go
+++ b/internal/gateway/pool_view.go
@@ -64,7 +64,7 @@
 func (g *Group) share() int {
 	switch {
 	case !g.plan.Elsewhere || g.isFallback(g.now()):
-		return max(1, (g.maxConnections-reservedControlConns)/max(1, g.hosts))
+		return max(1, (g.maxConnections-reservedControlConns)/max(1, g.hostCount))
 	case g.isIsolated():
 		return 1
 	}
--- a/internal/gateway/ports.go
+++ b/internal/gateway/ports.go
@@ -91,7 +91,7 @@
 
 // ControlCommand is an order to a member itself. Its implementations are Probe, Fence,
 // Release and Demote.
-type ControlCommand interface{ isOrder() }
+type ControlCommand interface{ isControlCommand() }
 
 type (
 	// Probe asks for the status.
@@ -105,10 +105,10 @@
 	Demote struct{ Term group.Term }
 )
 
-func (Probe) isOrder()   {}
-func (Fence) isOrder()   {}
-func (Release) isOrder() {}
-func (Demote) isOrder()  {}
+func (Probe) isControlCommand()   {}
+func (Fence) isControlCommand()   {}
+func (Release) isControlCommand() {}
+func (Demote) isControlCommand()  {}
 
 // Status is a member's answer to a ControlCommand.
 type Status struct {
--- a/internal/gateway/propagation_test.go
+++ b/internal/gateway/propagation_test.go
@@ -11,8 +11,8 @@
 // watchWait is how long a watch of the store lasts that brings nothing.
 const watchWait = time.Second
 
-// watching returns the hosts that ask the store themselves.
-func (f *fakeFleet) watching() []*Host {
+// storeReaders returns the hosts that ask the store themselves.
+func (f *fakeFleet) storeReaders() []*Host {
 	var out []*Host
 	for _, h := range f.all() {
 		if _, ok := h.follower.Sources()[0].(follow.FromStore); ok {
@@ -25,8 +25,8 @@
 // mutualSources returns two watching hosts that turn to each other when the store fails them.
 func (f *fakeFleet) mutualSources() []*Host {
 	second := func(h *Host) follow.Source { return h.follower.Sources()[1] }
-	for _, a := range f.watching() {
-		for _, b := range f.watching() {
+	for _, a := range f.storeReaders() {
+		for _, b := range f.storeReaders() {
 			if second(a) == follow.Source(follow.FromHost{Addr: b.settings.Peer}) && second(b) == follow.Source(follow.FromHost{Addr: a.settings.Peer}) {
 				return []*Host{a, b}
 			}
@@ -51,8 +51,8 @@
 	return out
 }
 
-// wantInForce checks that all hosts have the version in force.
-func (f *fakeFleet) wantInForce(t *testing.T, version int64) {
+// wantConfigInForce checks that all hosts have the version in force.
+func (f *fakeFleet) wantConfigInForce(t *testing.T, version int64) {
 	t.Helper()
 	if late := f.hostsBehind(version); len(late) > 0 {
 		t.Errorf("%v are behind", late)
@@ -63,12 +63,12 @@
 // change of the configuration must be in force everywhere at once.
 func TestChangesReachAllHosts(t *testing.T) {
 	withFleet(t, 30, 20, freshness.Latest{}, func(_ *fakeSite, f *fakeFleet) {
-		if n := len(f.watching()); n != 3 {
+		if n := len(f.storeReaders()); n != 3 {
 			t.Errorf("%d hosts watch the store", n)
 		}
 		f.newConfig(2, 20)
 		time.Sleep(20 * time.Millisecond)
-		f.wantInForce(t, 2)
+		f.wantConfigInForce(t, 2)
 	})
 }
 
@@ -78,16 +78,16 @@
 func TestHostsRejectedByStoreDoNotFollowEachOther(t *testing.T) {
 	withFleet(t, 30, 20, freshness.Latest{}, func(_ *fakeSite, f *fakeFleet) {
 		for _, h := range f.mutualSources() {
-			f.set(f.storeRejects, h.settings.Host, true)
+			f.setFault(f.storeRejects, h.settings.Host, true)
 		}
 		time.Sleep(watchWait)
 		f.newConfig(2, 20)
 		time.Sleep(2900 * time.Millisecond)
-		f.wantInForce(t, 2)
+		f.wantConfigInForce(t, 2)
 		// And later ones come without a delay.
 		f.newConfig(3, 20)
 		time.Sleep(500 * time.Millisecond)
-		f.wantInForce(t, 3)
+		f.wantConfigInForce(t, 3)
 	})
 }
 
@@ -95,9 +95,9 @@
 // from another one.
 func TestLostFeedIsReplaced(t *testing.T) {
 	withFleet(t, 30, 20, freshness.Latest{}, func(_ *fakeSite, f *fakeFleet) {
-		gone := f.watching()[0]
-		f.set(f.unreachable, gone.settings.Host, true)
-		f.set(f.storeRejects, gone.settings.Host, true)
+		gone := f.storeReaders()[0]
+		f.setFault(f.unreachable, gone.settings.Host, true)
+		f.setFault(f.storeRejects, gone.settings.Host, true)
 		time.Sleep(watchWait + 100*time.Millisecond) // a watch that began before has ended
 		f.newConfig(2, 20)
 		time.Sleep(1500 * time.Millisecond)
@@ -114,7 +114,7 @@
 	withFleet(t, 12, 20, freshness.Latest{}, func(s *fakeSite, f *fakeFleet) {
 		s.setDown(true)
 		time.Sleep(3 * time.Second)
-		s.list("c", "")
+		s.writeMemberEntry("c", "")
 		f.newConfig(2, 20)
 		s.setDown(false)
 		time.Sleep(2500 * time.Millisecond)
@@ -138,7 +138,7 @@
 func TestHostsWaitOutStoreOutage(t *testing.T) {
 	withFleet(t, 30, 20, freshness.Latest{}, func(s *fakeSite, f *fakeFleet) {
 		asks := map[string]bool{}
-		for _, h := range f.watching() {
+		for _, h := range f.storeReaders() {
 			asks[h.settings.Host] = true
 		}
 		s.setRefusing(true)
@@ -156,6 +156,6 @@
 		s.setRefusing(false)
 		f.newConfig(2, 20)
 		time.Sleep(follow.SourcePauseMax + 300*time.Millisecond)
-		f.wantInForce(t, 2)
+		f.wantConfigInForce(t, 2)
 	})
 }
--- a/internal/gateway/quota.go
+++ b/internal/gateway/quota.go
@@ -38,7 +38,7 @@
 	if !ok || f.h.ports.Peers == nil {
 		return quotas.Reply{}, errNoCoordinator
 	}
-	return f.h.ports.Peers.Quota(ctx, addr, r)
+	return f.h.ports.Peers.RequestQuota(ctx, addr, r)
 }
 
 // Tell implements quotas.Fleet.
--- a/internal/gateway/record.go
+++ b/internal/gateway/record.go
@@ -10,7 +10,7 @@
 	"pearlatch/core/leadership"
 )
 
-func (h *Host) recordsPrefix() string { return h.ports.Keys.Own + "leadership/" }
+func (h *Host) recordsPrefix() string { return h.ports.Keys.OwnPrefix + "leadership/" }
 
 func (h *Host) recordKey(group string) string { return h.recordsPrefix() + group }
 
--- a/internal/gateway/record_test.go
+++ b/internal/gateway/record_test.go
@@ -27,7 +27,7 @@
 		s.updateMember("a", func(m *fakeMember) { m.silent = true })
 		stop1()
 		time.Sleep(coordinatorLeaseTTL + acceptedPromotionDelay + 3*time.Second)
-		if got := s.leader(); got != "b" {
+		if got := s.primaryID(); got != "b" {
 			t.Errorf("%q leads, want b", got)
 		}
 		wantNoLostWrites(t, s)
@@ -119,8 +119,8 @@
 				h2.RevokeLease(testGroup, "a", false)
 				stop1()
 				awaitWrite(t, h2, 6*time.Second)
-				if took := s.leader() != "a"; took != silent {
-					t.Errorf("%q leads", s.leader())
+				if took := s.primaryID() != "a"; took != silent {
+					t.Errorf("%q leads", s.primaryID())
 				}
 				wantNoLostWrites(t, s)
 				stop2()
--- a/internal/gateway/reroute_test.go
+++ b/internal/gateway/reroute_test.go
@@ -12,7 +12,7 @@
 func TestServerThatCannotReachPrimaryReroutes(t *testing.T) {
 	withFleet(t, 30, 20, freshness.Latest{}, func(_ *fakeSite, f *fakeFleet) {
 		here, elsewhere := f.serving()
-		f.set(f.severed, here[0].settings.Host+" a", true)
+		f.setFault(f.severed, here[0].settings.Host+" a", true)
 		for range 3 {
 			for _, h := range elsewhere {
 				exec(h, Write{})
@@ -40,7 +40,7 @@
 		t.Fatalf("%d hosts don't serve", len(elsewhere))
 	}
 	h := here[0]
-	f.set(f.severed, h.settings.Host+" a", true)
+	f.setFault(f.severed, h.settings.Host+" a", true)
 	for range 3 {
 		exec(h, Write{})
 	}
@@ -57,7 +57,7 @@
 				t.Errorf("a write: %v", r.Failure)
 			}
 		}
-		f.set(f.severed, h.settings.Host+" a", false)
+		f.setFault(f.severed, h.settings.Host+" a", false)
 		time.Sleep(time.Second)
 		f.mu.Lock()
 		f.forwardedTo = map[string]int{}
@@ -83,7 +83,7 @@
 			t.Fatal("the transaction did not go by way of another host")
 		}
 		server := c.tx.remote.server
-		f.set(f.severed, h.settings.Host+" a", false)
+		f.setFault(f.severed, h.settings.Host+" a", false)
 		time.Sleep(time.Second)
 		execIn(c, Write{})
 		if c.tx == nil || c.tx.remote == nil || c.tx.conn != nil || c.tx.remote.server != server {
@@ -100,7 +100,7 @@
 func TestLostPrimaryIsWaitedForAtOneHost(t *testing.T) {
 	withFleet(t, 30, 20, freshness.Latest{}, func(s *fakeSite, f *fakeFleet) {
 		_, elsewhere := f.serving()
-		s.updateMember("a", func(m *fakeMember) { m.silent, m.leads = true, false })
+		s.updateMember("a", func(m *fakeMember) { m.silent, m.isPrimary = true, false })
 		f.mu.Lock()
 		f.forwardedTo = map[string]int{}
 		f.mu.Unlock()
@@ -119,8 +119,8 @@
 	})
 }
 
-// holder returns the host that holds the duty of the group.
-func (f *fakeFleet) holder(s *fakeSite) *Host {
+// entryHolder returns the host that holds the duty of the group.
+func (f *fakeFleet) entryHolder(s *fakeSite) *Host {
 	s.mu.Lock()
 	id := string(s.items["own/duty/"+testGroup].Value)
 	s.mu.Unlock()
@@ -137,8 +137,8 @@
 // the old primary acknowledges meanwhile with an unfenced replica.
 func TestPrimaryThatOthersReachIsKept(t *testing.T) {
 	withFleet(t, 30, 20, freshness.Latest{}, func(s *fakeSite, f *fakeFleet) {
-		holder := f.holder(s)
-		f.set(f.severed, holder.settings.Host+" a", true)
+		holder := f.entryHolder(s)
+		f.setFault(f.severed, holder.settings.Host+" a", true)
 		_, elsewhere := f.serving()
 		failed := 0
 		for range 100 {
@@ -150,8 +150,8 @@
 		if failed > 3 {
 			t.Errorf("%d of 100 writes failed", failed)
 		}
-		if s.leader() != "a" {
-			t.Errorf("%s leads", s.leader())
+		if s.primaryID() != "a" {
+			t.Errorf("%s leads", s.primaryID())
 		}
 	})
 }
@@ -160,14 +160,14 @@
 // must be replaced all the same.
 func TestUnreachablePrimaryWithHangingWritesIsReplaced(t *testing.T) {
 	withFleet(t, 30, 20, freshness.Latest{}, func(s *fakeSite, f *fakeFleet) {
-		holder := f.holder(s)
-		f.set(f.severed, holder.settings.Host+" a", true)
+		holder := f.entryHolder(s)
+		f.setFault(f.severed, holder.settings.Host+" a", true)
 		for _, id := range []string{"b", "c"} {
 			s.updateMember(id, func(m *fakeMember) { m.receivesNothing = true })
 		}
 		_, elsewhere := f.serving()
 		sendWrites(elsewhere[0], 60)
-		if s.leader() == "a" {
+		if s.primaryID() == "a" {
 			t.Error("the primary whose writes hang still leads")
 		}
 		if lost := s.lostWrites(); len(lost) > 0 {
--- a/internal/gateway/restore_test.go
+++ b/internal/gateway/restore_test.go
@@ -27,7 +27,7 @@
 	s.setDown(false)
 	s.put("config", config, 0)
 	for _, m := range s.members {
-		s.list(m.id, "ready")
+		s.writeMemberEntry(m.id, "ready")
 	}
 }
 
@@ -60,7 +60,7 @@
 				f.newConfig(4, 20)
 				s.bumpRevision(later)
 				time.Sleep(2900 * time.Millisecond)
-				f.wantInForce(t, 4)
+				f.wantConfigInForce(t, 4)
 			})
 		})
 	}
@@ -72,7 +72,7 @@
 func TestHostsRejectedByStoreLearnOfRestore(t *testing.T) {
 	withFleet(t, 12, 20, freshness.Latest{}, func(s *fakeSite, f *fakeFleet) {
 		for _, h := range f.mutualSources() {
-			f.set(f.storeRejects, h.settings.Host, true)
+			f.setFault(f.storeRejects, h.settings.Host, true)
 		}
 		restoreStoreAfter(s, 2*time.Second, func() {
 			s.bumpRevision(30)
@@ -82,7 +82,7 @@
 		time.Sleep(time.Second)
 		f.newConfig(3, 20)
 		time.Sleep(2900 * time.Millisecond)
-		f.wantInForce(t, 3)
+		f.wantConfigInForce(t, 3)
 	})
 }
 
@@ -100,7 +100,7 @@
 		time.Sleep(4 * time.Second)
 		s.updateMember("a", func(m *fakeMember) { m.silent = true })
 		time.Sleep(6 * time.Second)
-		if s.leader() == "a" {
+		if s.primaryID() == "a" {
 			t.Error("the primary was not replaced")
 		}
 		wantNoLostWrites(t, s)
@@ -230,9 +230,9 @@
 		b := s.backup()
 		s.updateMember("a", func(m *fakeMember) { m.crashed = true })
 		time.Sleep(3 * time.Second)
-		leader := s.leader()
-		s.updateMember("a", func(m *fakeMember) { m.crashed, m.leads = false, false })
-		s.list("a", "draining")
+		leader := s.primaryID()
+		s.updateMember("a", func(m *fakeMember) { m.crashed, m.isPrimary = false, false })
+		s.writeMemberEntry("a", "draining")
 		time.Sleep(time.Second)
 		s.restore(b)
 		time.Sleep(1500 * time.Millisecond)
--- a/internal/gateway/serving_test.go
+++ b/internal/gateway/serving_test.go
@@ -37,7 +37,7 @@
 
 // A chef saves a recipe and looks it up, both through another host. The replicas have not
 // applied the save: the mark of the session must travel with the read.
-func TestReadSeesOwnWriteThroughAnotherHost(t *testing.T) {
+func TestForwardedReadSeesOwnWrite(t *testing.T) {
 	withFleet(t, 30, 20, freshness.OwnWrites{}, func(s *fakeSite, f *fakeFleet) {
 		for _, id := range []string{"b", "c"} {
 			s.updateMember(id, func(m *fakeMember) { m.lagging = true })
@@ -81,7 +81,7 @@
 
 // A failed statement breaks a transaction that runs elsewhere: further statements are
 // refused until the caller ends it, and the connection is free at once.
-func TestBrokenTransactionThroughAnotherHost(t *testing.T) {
+func TestFailedTransactionThroughAnotherHost(t *testing.T) {
 	withFleet(t, 30, 20, freshness.Latest{}, func(_ *fakeSite, f *fakeFleet) {
 		_, elsewhere := f.serving()
 		caller := openSession(t, elsewhere[0])
@@ -102,7 +102,7 @@
 func TestUnreachableServerIsAbandonedAtOnce(t *testing.T) {
 	withFleet(t, 30, 20, freshness.Latest{}, func(_ *fakeSite, f *fakeFleet) {
 		here, elsewhere := f.serving()
-		f.set(f.unreachable, here[0].settings.Host, true)
+		f.setFault(f.unreachable, here[0].settings.Host, true)
 		for _, h := range elsewhere {
 			started := time.Now()
 			if r := exec(h, Read{}); r.Failure != nil {
@@ -117,7 +117,7 @@
 
 // A lane to the serving host goes silent with a write on it. The write never arrived: it
 // is sent again elsewhere, and the lost one must not run when it arrives after all.
-func TestWriteThatNeverArrivedIsSentAgain(t *testing.T) {
+func TestUndeliveredWriteIsRetried(t *testing.T) {
 	withFleet(t, 30, 20, freshness.Latest{}, func(s *fakeSite, f *fakeFleet) {
 		here, elsewhere := f.serving()
 		h := elsewhere[0]
@@ -126,7 +126,7 @@
 			time.Sleep(10 * time.Millisecond)
 		}
 		first := h.serversFor(h.group(testGroup)).servers[0]
-		f.set(f.losesRequests, first.ID, true)
+		f.setFault(f.losesRequests, first.ID, true)
 		if r := exec(h, Write{}); r.Failure != nil {
 			t.Errorf("the write: %v", r.Failure)
 		}
@@ -151,7 +151,7 @@
 	withFleet(t, 30, 20, freshness.Latest{}, func(s *fakeSite, f *fakeFleet) {
 		here, elsewhere := f.serving()
 		for _, server := range here {
-			f.set(f.losesReplies, server.settings.Host, true)
+			f.setFault(f.losesReplies, server.settings.Host, true)
 		}
 		ran := len(s.ran("a"))
 		if r := exec(elsewhere[0], Write{}); r.Failure != nil || r.Signature == "" {
@@ -173,7 +173,7 @@
 		go func() { done <- exec(elsewhere[0], Write{}) }()
 		time.Sleep(50 * time.Millisecond)
 		for _, server := range here {
-			f.set(f.unreachable, server.settings.Host, true)
+			f.setFault(f.unreachable, server.settings.Host, true)
 		}
 		wantCode(t, <-done, InDoubt)
 	})
@@ -185,7 +185,7 @@
 	withFleet(t, 30, 20, freshness.Latest{}, func(_ *fakeSite, f *fakeFleet) {
 		_, elsewhere := f.serving()
 		h := elsewhere[0]
-		f.set(f.unreachable, h.settings.Host, true)
+		f.setFault(f.unreachable, h.settings.Host, true)
 		served := 0
 		for range 10 {
 			if exec(h, Read{}).Failure == nil {
@@ -195,7 +195,7 @@
 		if served < 7 {
 			t.Errorf("%d of 10 reads were served", served)
 		}
-		f.set(f.unreachable, h.settings.Host, false)
+		f.setFault(f.unreachable, h.settings.Host, false)
 		time.Sleep(time.Second)
 		exec(h, Read{})
 		time.Sleep(2 * time.Second)
@@ -355,12 +355,12 @@
 		here, elsewhere := f.serving()
 		c := openSession(t, elsewhere[0])
 		for _, server := range here {
-			f.set(f.losesReplies, server.settings.Host, true)
+			f.setFault(f.losesReplies, server.settings.Host, true)
 		}
 		execIn(c, Begin{})
 		first := execIn(c, Read{})
 		for _, server := range here {
-			f.set(f.losesReplies, server.settings.Host, false)
+			f.setFault(f.losesReplies, server.settings.Host, false)
 		}
 		ran := len(s.ran("a"))
 		if execIn(c, Write{}).Failure == nil && first.Failure != nil {
@@ -386,7 +386,7 @@
 			t.Fatalf("%d hosts serve", len(here))
 		}
 		gone := here[0].settings.Host
-		f.set(f.unreachable, gone, true)
+		f.setFault(f.unreachable, gone, true)
 		for _, h := range elsewhere {
 			go exec(h, Read{})
 		}
--- a/internal/gateway/session.go
+++ b/internal/gateway/session.go
@@ -37,8 +37,8 @@
 	return &Session{host: h, database: database, caller: c}, nil
 }
 
-// Allowed reports whether the session's caller may begin anything now. A key that was taken away ends that.
-func (s *Session) Allowed() bool {
+// Authorized reports whether the session's caller may begin anything now. A key that was taken away ends that.
+func (s *Session) Authorized() bool {
 	if s.origin != nil {
 		return true // its own host looks at that
 	}
@@ -84,7 +84,7 @@
 
 func (s *Session) do(ctx context.Context, r Request, arrived time.Time) Reply {
 	s.lastRequestID = r.ID
-	if s.state == InTransaction && !s.Allowed() {
+	if s.state == InTransaction && !s.Authorized() {
 		// Nothing that the account began is kept once its key was taken away.
 		s.host.logFailure(s, r, arrived, &Failure{Unauthorized, "the caller's key was taken away, rolled back"})
 		s.failTransaction(Reply{})
--- a/internal/gateway/session_test.go
+++ b/internal/gateway/session_test.go
@@ -68,8 +68,8 @@
 	})
 }
 
-// settledRow reads until the connections that reads prefer are open.
-func settledRow(h *Host) string {
+// rowFromWarmConns reads until the connections that reads prefer are open.
+func rowFromWarmConns(h *Host) string {
 	for range 3 {
 		exec(h, Read{})
 		time.Sleep(20 * time.Millisecond)
@@ -89,7 +89,7 @@
 		if got := row(execIn(chef, Read{})); got != "a" {
 			t.Errorf("the read after the write ran on %q", got)
 		}
-		if got := settledRow(h); got == "a" {
+		if got := rowFromWarmConns(h); got == "a" {
 			t.Error("a read without a write before it burdened the primary")
 		}
 	})
@@ -100,7 +100,7 @@
 func TestBoundedAgeHoldsOnLaggingReplicas(t *testing.T) {
 	withHost(t, freshness.MaxAge{Age: 2 * time.Second}, func(s *fakeSite, h *Host) {
 		exec(h, Write{})
-		if got := settledRow(h); got == "a" {
+		if got := rowFromWarmConns(h); got == "a" {
 			t.Error("a fresh replica was not used")
 		}
 		for _, id := range []string{"b", "c"} {
@@ -127,8 +127,8 @@
 		s.updateMember("a", func(m *fakeMember) { m.partitioned = true })
 		s.put(h.coordinatorKey(testGroup), []byte("h2"), 0)
 		time.Sleep(leadership.Duration) // the other holder waits for the leases
-		s.lead(s.member("b"))
-		if got := s.leader(); got != "b" {
+		s.makePrimary(s.member("b"))
+		if got := s.primaryID(); got != "b" {
 			t.Fatalf("%q leads", got)
 		}
 		for range 20 {
@@ -169,7 +169,7 @@
 // A connection breaks in the middle of a transaction. Before the caller has seen any
 // answer the transaction is begun anew; later it is aborted, which is a promise: the
 // member rolls back, and no commit was sent.
-func TestBrokenTransaction(t *testing.T) {
+func TestFailedTransaction(t *testing.T) {
 	withHost(t, freshness.Latest{}, func(s *fakeSite, h *Host) {
 		k := openSession(t, h)
 		execIn(k, Begin{})
@@ -244,7 +244,7 @@
 
 // No primary can be had. Statements that need one are refused well before the caller's
 // time is up, told when to come back, and have certainly not run.
-func TestNoPrimaryRefusesInTime(t *testing.T) {
+func TestWritesAreRefusedInTimeWithoutPrimary(t *testing.T) {
 	withHost(t, freshness.Latest{}, func(s *fakeSite, h *Host) {
 		for _, m := range s.members {
 			s.updateMember(m.id, func(m *fakeMember) { m.crashed = true; m.runs = nil })
@@ -286,7 +286,7 @@
 			hosts, stops = append(hosts, h), append(stops, stop)
 		}
 		time.Sleep(3 * time.Second)
-		served := burst(hosts, []int{60, 10, 10})
+		served := serveBurst(hosts, []int{60, 10, 10})
 		if served < 60 {
 			t.Errorf("%d of 80 callers were served", served)
 		}
@@ -300,8 +300,8 @@
 	})
 }
 
-// burst sends callers to the hosts at once and returns how many were served.
-func burst(hosts []*Host, callers []int) int {
+// serveBurst sends callers to the hosts at once and returns how many were served.
+func serveBurst(hosts []*Host, callers []int) int {
 	var wait sync.WaitGroup
 	var mu sync.Mutex
 	served := 0
@@ -339,13 +339,13 @@
 		for range 8 {
 			wait.Go(func() {
 				for time.Since(started) < 5*time.Second {
-					burst([]*Host{h}, []int{1})
+					serveBurst([]*Host{h}, []int{1})
 				}
 			})
 		}
 		sendWrites(h, 90)
 		wait.Wait()
-		if s.leader() == "a" {
+		if s.primaryID() == "a" {
 			t.Error("the overloaded primary still leads")
 		}
 		wantNoLostWrites(t, s)
--- a/internal/gateway/startup_test.go
+++ b/internal/gateway/startup_test.go
@@ -40,7 +40,7 @@
 		f := largeFleet(120, 500)
 		defer f.stopAll()
 		time.Sleep(5 * time.Second)
-		f.wantInForce(t, 1)
+		f.wantConfigInForce(t, 1)
 		f.site.mu.Lock()
 		defer f.site.mu.Unlock()
 		// One page to count the hosts costs a host a look; a whole list costs ten.
--- a/internal/gateway/store_changes.go
+++ b/internal/gateway/store_changes.go
@@ -47,7 +47,7 @@
 		a, errA := decode.Config(first)
 		b, errB := decode.Config(second)
 		return errA == nil && errB == nil && a.Version > b.Version
-	case strings.HasPrefix(key, h.ports.Keys.Members):
+	case strings.HasPrefix(key, h.ports.Keys.MembersPrefix):
 		a, errA := decode.Member(key, first)
 		b, errB := decode.Member(key, second)
 		return errA == nil && errB == nil && a.Incarnation == b.Incarnation && a.Sequence > b.Sequence
@@ -124,7 +124,7 @@
 
 // applyMemberEntry takes over a change of a member's entry.
 func (h *Host) applyMemberEntry(i kv.Item) {
-	if !strings.HasPrefix(i.Key, h.ports.Keys.Members) {
+	if !strings.HasPrefix(i.Key, h.ports.Keys.MembersPrefix) {
 		return
 	}
 	if i.Removed {
--- a/internal/gateway/store_changes_bench_test.go
+++ b/internal/gateway/store_changes_bench_test.go
@@ -55,7 +55,7 @@
 // news of a host that joins, or leaves again the second time.
 func hostWithManyGroups(n, groups int) (*Host, func(name string, turn int) follow.News) {
 	h := NewHost(Settings{Host: "host-0", Zone: "zone-0", Peer: netip.MustParseAddrPort("10.0.0.1:1")}, Ports{
-		Peers: &fakePeers{}, Decode: manyGroupsDecoder{}, Keys: Keys{Config: "config", Members: "members/", Own: "own/"},
+		Peers: &fakePeers{}, Decode: manyGroupsDecoder{}, Keys: Keys{Config: "config", MembersPrefix: "members/", OwnPrefix: "own/"},
 	}, testLogger(), time.Now)
 	news := follow.News{News: kv.News{Whole: true, Snapshot: kv.Snapshot{Revision: 1, Items: []kv.Item{{Key: "config", Value: binary.BigEndian.AppendUint32(nil, uint32(groups)), Revision: 1}}}}}
 	entry := func(i int) []byte { return fmt.Appendf(nil, "zone-%d 10.0.0.1:1", i%5) }
--- a/internal/gateway/transaction.go
+++ b/internal/gateway/transaction.go
@@ -95,7 +95,7 @@
 	}
 	for {
 		if t.conn == nil {
-			err := s.attach(ctx)
+			err := s.beginOnMember(ctx)
 			if errors.Is(err, errReroute) {
 				if reply, ok := s.rerouteInTransaction(ctx, r, arrived); ok {
 					return reply
@@ -113,7 +113,7 @@
 		if !s.host.now().Before(t.op.deadline) {
 			return s.failTransaction(failureReply(Aborted, "no time left, "+retryAfter(0)))
 		}
-		next.pause(ctx)
+		next.sleep(ctx)
 	}
 }
 
@@ -124,8 +124,8 @@
 	return f
 }
 
-// attach begins the transaction on a member. The error is errReroute or a *Failure.
-func (s *Session) attach(ctx context.Context) error {
+// beginOnMember begins the transaction on a member. The error is errReroute or a *Failure.
+func (s *Session) beginOnMember(ctx context.Context) error {
 	t := s.tx
 	w := &t.op
 	for {
@@ -143,7 +143,7 @@
 		if err != nil {
 			return &Failure{Aborted, "no connection in time, " + retryAfter(0)}
 		}
-		next := s.open(p)
+		next := s.beginOnConn(p)
 		if next == nil {
 			t.conn = p
 			return nil
@@ -151,13 +151,13 @@
 		if !w.group.now().Before(w.waitUntil()) {
 			return &Failure{Aborted, "no member could begin the transaction in time, " + retryAfter(0)}
 		}
-		next.pause(ctx)
+		next.sleep(ctx)
 	}
 }
 
-// open begins the transaction on the connection. Nothing of the caller has run
+// beginOnConn begins the transaction on the connection. Nothing of the caller has run
 // yet, so any failure may be tried again.
-func (s *Session) open(p *pooledConn) *retry {
+func (s *Session) beginOnConn(p *pooledConn) *retry {
 	t := s.tx
 	w, g := &t.op, t.op.group
 	if next := s.checkPrimary(w, p); next != nil {
@@ -182,7 +182,7 @@
 		}
 		_, next := s.handleReply(w, p, asked, reply)
 		if next == nil {
-			next = &retry{wait: busyRetryInterval}
+			next = &retry{delay: busyRetryInterval}
 		}
 		return next
 	}
@@ -219,7 +219,7 @@
 	}
 	if reply.Failure.Code == Busy && reply.State == InTransaction {
 		g.noteBusy(p.member)
-		return Reply{}, &retry{wait: busyRetryInterval}
+		return Reply{}, &retry{delay: busyRetryInterval}
 	}
 	if reply.Failure.Code == ReadOnly && !t.readOnly {
 		g.notePrimaryRefusal(p.member.ID)
@@ -258,7 +258,7 @@
 // commit was answered by that.
 func (s *Session) attachForCommit(ctx context.Context, r Request, arrived time.Time) (Reply, bool) {
 	for s.tx.conn == nil {
-		err := s.attach(ctx)
+		err := s.beginOnMember(ctx)
 		if errors.Is(err, errReroute) {
 			if reply, ok := s.rerouteInTransaction(ctx, r, arrived); ok {
 				return reply, true
@@ -293,7 +293,7 @@
 			pause.For(ctx, busyRetryInterval)
 			continue
 		}
-		s.committed(p, asked, reply)
+		s.finishCommit(p, asked, reply)
 		if t.sentWrite && reply.Failure == nil && !g.confirmWrite(p.member.ID, reply.Position.Term) {
 			return failureReply(InDoubt, p.member.ID+" may have been replaced as it acknowledged the commit")
 		}
@@ -301,8 +301,8 @@
 	}
 }
 
-// committed settles the connection after a member's answer to a commit.
-func (s *Session) committed(p *pooledConn, asked time.Time, reply Reply) {
+// finishCommit settles the connection after a member's answer to a commit.
+func (s *Session) finishCommit(p *pooledConn, asked time.Time, reply Reply) {
 	t, g := s.tx, s.tx.op.group
 	g.observePosition(p.member, asked, reply.Position)
 	if reply.Failure == nil && t.sentWrite {
--- a/io/peer/gateway_client.go
+++ b/io/peer/gateway_client.go
@@ -76,8 +76,8 @@
 	return gateway.Status(*out), nil
 }
 
-// Lease implements gateway.Peers.
-func (c *GatewayClient) Lease(ctx context.Context, to netip.AddrPort, r gateway.LeaseRequest) (gateway.LeaseReply, error) {
+// RequestLease implements gateway.Peers.
+func (c *GatewayClient) RequestLease(ctx context.Context, to netip.AddrPort, r gateway.LeaseRequest) (gateway.LeaseReply, error) {
 	reply, err := c.question(ctx, to, &linkRequest{lease: (*leaseRequest)(&r)})
 	if err != nil {
 		return gateway.LeaseReply{}, err
@@ -97,8 +97,8 @@
 	return err
 }
 
-// Quota implements gateway.Peers.
-func (c *GatewayClient) Quota(ctx context.Context, to netip.AddrPort, r quotas.Request) (quotas.Reply, error) {
+// RequestQuota implements gateway.Peers.
+func (c *GatewayClient) RequestQuota(ctx context.Context, to netip.AddrPort, r quotas.Request) (quotas.Reply, error) {
 	reply, err := c.question(ctx, to, &linkRequest{quota: (*quotaRequest)(&r)})
 	if err != nil {
 		return quotas.Reply{}, err
--- a/io/peer/stubsite_test.go
+++ b/io/peer/stubsite_test.go
@@ -170,7 +170,7 @@
 	}
 	h := gateway.NewHost(gateway.Settings{Host: "h", Zone: "z"}, gateway.Ports{
 		Dialer: s, Store: s, Promoter: s, Decode: s,
-		Keys: gateway.Keys{Config: "config", Members: "members/", Own: "own/"},
+		Keys: gateway.Keys{Config: "config", MembersPrefix: "members/", OwnPrefix: "own/"},
 	}, log.NewNopLogger(), time.Now)
 	ctx, cancel := context.WithCancel(context.Background())
 	out := &stubHost{Host: h, addr: lis.Addr().(*net.TCPAddr).AddrPort(), traffic: &Traffic{}, stop: cancel}
