--- a/internal/gateway/connections.go
+++ b/internal/gateway/connections.go
@@ -47,7 +47,7 @@
 	}
 	if c := g.pool.Take(n, g.now()); c != nil {
 		p := g.conns[c]
-		g.executePoolOrders()
+		g.applyPoolActions()
 		g.mu.Unlock()
 		return p, nil
 	}
@@ -115,11 +115,11 @@
 // dispatch gives idle connections to statements that wait, and opens more where it may.
 func (g *Group) dispatch() {
 	g.pool.Dispatch(g.now(), g.primaryUnreachableLocked())
-	g.executePoolOrders()
+	g.applyPoolActions()
 }
 
-// executePoolOrders does what the pool has decided.
-func (g *Group) executePoolOrders() {
+// applyPoolActions does what the pool has decided.
+func (g *Group) applyPoolActions() {
 	for _, o := range g.pool.Orders() {
 		switch o := o.(type) {
 		case pool.Give:
@@ -192,7 +192,7 @@
 func (g *Group) dropMember(m *member) {
 	m.gone = true
 	g.pool.Drop(m.poolMember)
-	g.executePoolOrders()
+	g.applyPoolActions()
 }
 
 // release gives a connection back after a statement or a transaction.
@@ -211,15 +211,15 @@
 	g.dispatch()
 }
 
-// noteBusy records that the member had no room for a statement.
-func (g *Group) noteBusy(m *member) {
+// noteOverload records that the member had no room for a statement.
+func (g *Group) noteOverload(m *member) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	m.poolMember.Shed(g.now(), g.hostCount)
 }
 
-// noteRan records that the member ran a statement.
-func (g *Group) noteRan(m *member) {
+// noteSuccess records that the member ran a statement.
+func (g *Group) noteSuccess(m *member) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	m.poolMember.Ran()
@@ -244,7 +244,7 @@
 	defer g.mu.Unlock()
 	if m := g.members[g.primaryID]; m != nil {
 		g.pool.Ahead(m.poolMember, account, g.now())
-		g.executePoolOrders()
+		g.applyPoolActions()
 	}
 }
 
@@ -256,7 +256,7 @@
 	g.forgetMembers(now)
 	g.tryAdoptFloor()
 	g.pool.Trim(now, g.hostCount, g.warmConns)
-	g.executePoolOrders()
+	g.applyPoolActions()
 }
 
 // warmConns is how many connections to a member the host keeps open though nobody uses them.
--- a/internal/gateway/execute.go
+++ b/internal/gateway/execute.go
@@ -255,7 +255,7 @@
 	g.noteApplied(p.member, reply.Position)
 	g.observePosition(p.member, asked, reply.Position)
 	if reply.Failure == nil {
-		g.noteRan(p.member)
+		g.noteSuccess(p.member)
 		if w.writes {
 			s.advanceLastWrite(reply.Position)
 		}
@@ -268,7 +268,7 @@
 	next := &retry{failure: reply.Failure}
 	switch reply.Failure.Code {
 	case Busy:
-		g.noteBusy(p.member)
+		g.noteOverload(p.member)
 		w.need.Avoid = p.member.ID
 		next.delay = busyRetryInterval
 	case Lagging:
--- a/internal/gateway/group.go
+++ b/internal/gateway/group.go
@@ -279,7 +279,7 @@
 		return
 	}
 	g.pool.CloseIdle(m.poolMember)
-	g.executePoolOrders()
+	g.applyPoolActions()
 }
 
 // setPrimary changes the belief about who leads.
--- a/internal/gateway/lease_grants.go
+++ b/internal/gateway/lease_grants.go
@@ -23,8 +23,8 @@
 	heardAt time.Time
 	// position is what its log held then, or zero.
 	position group.Position
-	// switchingOver is true while a planned change of primary is under way.
-	switchingOver bool
+	// inSwitchover is true while a planned change of primary is under way.
+	inSwitchover bool
 }
 
 // GrantLease grants a host a lease on the primary of a group, if this one holds the duty
@@ -48,7 +48,7 @@
 	position, sampled := d.group.newestSample()
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if !d.held || d.primaryStatus.member == "" || d.primaryStatus.switchingOver {
+	if !d.held || d.primaryStatus.member == "" || d.primaryStatus.inSwitchover {
 		return LeaseReply{}
 	}
 	return LeaseReply{Member: d.primaryStatus.member, Term: d.primaryStatus.term, Position: position, Age: d.host.now().Sub(sampled)}
@@ -67,13 +67,13 @@
 	if alive && heard.After(s.heardAt) {
 		s.heardAt = heard
 	}
-	granted := d.grants.Grant(host, now, leadership.Standing{Heard: s.heardAt, DutyEnds: d.soleHolderUntil(), HandsOver: s.switchingOver})
+	granted := d.grants.Grant(host, now, leadership.Standing{Heard: s.heardAt, DutyEnds: d.soleHolderUntil(), HandsOver: s.inSwitchover})
 	if granted == 0 && now.Sub(d.lastWoken) >= probeInterval {
 		// The primary may not have been asked for long, since nobody needed it.
 		d.lastWoken = now
 		d.group.wakeCoordinator()
 	}
-	return LeaseReply{Granted: granted, WritesOnly: s.switchingOver, Member: s.member, Term: s.term, Position: position, Age: now.Sub(sampled)}
+	return LeaseReply{Granted: granted, WritesOnly: s.inSwitchover, Member: s.member, Term: s.term, Position: position, Age: now.Sub(sampled)}
 }
 
 // leasedPrimary returns the member that leases are granted on, or the empty string.
@@ -135,7 +135,7 @@
 	if id == "" {
 		return w.primary.ID
 	}
-	if w.primaryStatus.switchingOver = planned; !planned {
+	if w.primaryStatus.inSwitchover = planned; !planned {
 		w.primaryStatus = primaryStatus{}
 	}
 	return id
--- a/internal/gateway/transaction.go
+++ b/internal/gateway/transaction.go
@@ -218,7 +218,7 @@
 		return reply, nil
 	}
 	if reply.Failure.Code == Busy && reply.State == InTransaction {
-		g.noteBusy(p.member)
+		g.noteOverload(p.member)
 		return Reply{}, &retry{delay: busyRetryInterval}
 	}
 	if reply.Failure.Code == ReadOnly && !t.readOnly {
