--- a/core/config/bench_test.go
+++ b/core/config/bench_test.go
@@ -5,10 +5,10 @@
 	"testing"
 )
 
-// large returns a document of about a megabyte.
-func large(b *testing.B) []byte {
+// largeDocument returns a document of about a megabyte.
+func largeDocument(b *testing.B) []byte {
 	b.Helper()
-	doc, err := Parse(read(b, "valid.yaml"))
+	doc, err := Parse(readTestdata(b, "valid.yaml"))
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -21,7 +21,7 @@
 }
 
 func BenchmarkParse(b *testing.B) {
-	text := large(b)
+	text := largeDocument(b)
 	b.SetBytes(int64(len(text)))
 	b.ReportAllocs()
 	for b.Loop() {
--- a/core/config/config_test.go
+++ b/core/config/config_test.go
@@ -10,7 +10,7 @@
 	"github.com/sebdah/goldie/v2"
 )
 
-func read(t testing.TB, name string) []byte {
+func readTestdata(t testing.TB, name string) []byte {
 	t.Helper()
 	text, err := os.ReadFile(filepath.Join("testdata", name))
 	if err != nil {
@@ -19,18 +19,18 @@
 	return text
 }
 
-func TestDefaultsAreWrittenOut(t *testing.T) {
-	doc, err := Parse(read(t, "valid.yaml"))
+func TestEncodeWritesDefaults(t *testing.T) {
+	doc, err := Parse(readTestdata(t, "valid.yaml"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	goldie.New(t).Assert(t, "valid", Encode(doc))
 }
 
-func TestEveryMistakeIsNamed(t *testing.T) {
+func TestParseReportsEveryMistake(t *testing.T) {
 	for _, name := range []string{"mistakes", "cross_field", "alias", "not_yaml"} {
 		t.Run(name, func(t *testing.T) {
-			_, err := Parse(read(t, name+".yaml"))
+			_, err := Parse(readTestdata(t, name+".yaml"))
 			if err == nil {
 				t.Fatal("no mistake found")
 			}
@@ -41,7 +41,7 @@
 
 func FuzzParse(f *testing.F) {
 	for _, name := range []string{"valid.yaml", "mistakes.yaml", "cross_field.yaml", "alias.yaml"} {
-		f.Add(read(f, name))
+		f.Add(readTestdata(f, name))
 	}
 	f.Fuzz(func(t *testing.T, text []byte) {
 		doc, err := Parse(text)
@@ -62,8 +62,8 @@
 	})
 }
 
-func TestEditedSectionKeepsTheRest(t *testing.T) {
-	doc, err := Parse(read(t, "valid.yaml"))
+func TestEncodeEditedReplacesOneSection(t *testing.T) {
+	doc, err := Parse(readTestdata(t, "valid.yaml"))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/core/config/validate.go
+++ b/core/config/validate.go
@@ -16,21 +16,21 @@
 const MaxMembers = 9
 
 // validate records every mistake that single fields do not show.
-func validate(d *Document, p places) {
+func validate(d *Document, p sections) {
 	names := map[string]bool{}
 	addrs := map[netip.AddrPort]bool{}
 	for i := range d.Groups {
-		unique(p.groups[i], names, d.Groups[i].Name)
+		checkName(p.groups[i], names, d.Groups[i].Name)
 		validateGroup(&d.Groups[i], p.groups[i], addrs)
 	}
 	names = map[string]bool{}
 	for i := range d.Routes {
-		unique(p.routes[i], names, d.Routes[i].Name)
+		checkName(p.routes[i], names, d.Routes[i].Name)
 		validateRoute(d, &d.Routes[i], p.routes[i])
 	}
 }
 
-func unique(m *yamlmap.Map, seen map[string]bool, name string) {
+func checkName(m *yamlmap.Map, seen map[string]bool, name string) {
 	if name == "" {
 		return
 	}
@@ -66,7 +66,7 @@
 	names := map[string]bool{}
 	staying := 0
 	for i, member := range m.List("members") {
-		unique(member, names, g.Members[i].Name)
+		checkName(member, names, g.Members[i].Name)
 		addr := g.Members[i].Addr
 		if addr.IsValid() && addrs[addr] {
 			member.Wrong("address", "%s is used twice", addr)
--- a/core/config/yaml.go
+++ b/core/config/yaml.go
@@ -18,7 +18,7 @@
 	if v := top.Int("version", 0); len(wrong) == 0 && v != SchemaVersion {
 		top.Wrong("version", "must be %d", SchemaVersion)
 	}
-	places := places{}
+	places := sections{}
 	for _, m := range top.List("groups") {
 		places.groups = append(places.groups, m)
 		doc.Groups = append(doc.Groups, parseGroup(m))
@@ -37,10 +37,10 @@
 	return doc, nil
 }
 
-// places are where the parts of a document stand.
-type places struct{ groups, routes []*yamlmap.Map }
+// sections are where the parts of a document stand.
+type sections struct{ groups, routes []*yamlmap.Map }
 
-func (p places) empty() bool { return len(p.groups) == 0 && len(p.routes) == 0 }
+func (p sections) empty() bool { return len(p.groups) == 0 && len(p.routes) == 0 }
 
 func parseGroup(m *yamlmap.Map) Group {
 	g := Group{
@@ -132,7 +132,7 @@
 	_, oldGroup := d.Group(edit.Group)
 	_, oldRoute := d.Route(edit.Route)
 	newGroup, newRoute := edit.Group != "" && !oldGroup, edit.Route != "" && !oldRoute
-	e.list("groups", len(d.Groups) > 0 || newGroup)
+	e.openList("groups", len(d.Groups) > 0 || newGroup)
 	for i := range d.Groups {
 		if g := &d.Groups[i]; g.Name != edit.Group {
 			e.group(g)
@@ -143,7 +143,7 @@
 	if newGroup {
 		e.fields(1, edit.Fields)
 	}
-	e.list("routes", len(d.Routes) > 0 || newRoute)
+	e.openList("routes", len(d.Routes) > 0 || newRoute)
 	for i := range d.Routes {
 		if r := &d.Routes[i]; r.Name != edit.Route {
 			e.route(r)
@@ -154,7 +154,7 @@
 	if newRoute {
 		e.fields(1, edit.Fields)
 	}
-	return []byte(e.text.String())
+	return []byte(e.out.String())
 }
 
 // fields writes an edited section as an element of a list. A field whose name
@@ -188,18 +188,18 @@
 
 // encoder writes YAML by hand. Every string is quoted, so that none can be
 // taken for another type.
-type encoder struct{ text strings.Builder }
+type encoder struct{ out strings.Builder }
 
-// indentation of one level, in spaces.
-const indentation = 2
+// indentWidth of one level, in spaces.
+const indentWidth = 2
 
 func (e *encoder) line(level int, format string, args ...any) {
-	e.text.WriteString(strings.Repeat(" ", level*indentation))
-	fmt.Fprintf(&e.text, format, args...)
-	e.text.WriteByte('\n')
+	e.out.WriteString(strings.Repeat(" ", level*indentWidth))
+	fmt.Fprintf(&e.out, format, args...)
+	e.out.WriteByte('\n')
 }
 
-func (e *encoder) list(name string, filled bool) {
+func (e *encoder) openList(name string, filled bool) {
 	if !filled {
 		e.line(0, "%s: []", name)
 		return
--- a/core/joining/joiner.go
+++ b/core/joining/joiner.go
@@ -100,7 +100,7 @@
 // reads draws whether this host reads the store in this round.
 func (j *Joiner) reads() bool {
 	if j.listed {
-		return serving.AsksStore(len(j.hosts), j.draw())
+		return serving.ShouldReadStore(len(j.hosts), j.draw())
 	}
 	return j.draw() < unknownShare*float64(uint64(1)<<min(j.round, 10))
 }
--- a/core/joining/joiner_test.go
+++ b/core/joining/joiner_test.go
@@ -179,8 +179,8 @@
 				if !ok || took > c.within {
 					t.Errorf("all know the list after %s, want %s", took, c.within)
 				}
-				if most := w.readsIn(time.Second); most > 5*serving.StoreReaders {
-					t.Errorf("%d hosts read the store within a second, want at most %d", most, 5*serving.StoreReaders)
+				if most := w.readsIn(time.Second); most > 5*serving.TargetStoreReaders {
+					t.Errorf("%d hosts read the store within a second, want at most %d", most, 5*serving.TargetStoreReaders)
 				}
 				t.Logf("%s, %d reads, %d in a second", took, len(w.reads), w.readsIn(time.Second))
 			})
--- a/core/kv/item.go
+++ b/core/kv/item.go
@@ -21,11 +21,11 @@
 	Revision Revision
 }
 
-// News is what a source tells of the store.
-type News struct {
+// Update is what a source tells of the store.
+type Update struct {
 	Snapshot
-	// Whole is true when the items are all there are. Otherwise they are changes.
-	Whole bool
+	// Full is true when the items are all there are. Otherwise they are changes.
+	Full bool
 }
 
 func compareRevisions(a, b Item) int { return cmp.Compare(a.Revision, b.Revision) }
--- a/core/kv/page.go
+++ b/core/kv/page.go
@@ -8,8 +8,8 @@
 	Prefix string
 	// After is the key before the first one, or empty.
 	After string
-	// Stale is true if the answer may be some seconds old.
-	Stale bool
+	// AllowStale is true if the answer may be some seconds old.
+	AllowStale bool
 }
 
 // Page is the beginning of a range.
@@ -19,31 +19,31 @@
 	More bool
 }
 
-// List puts a list together from its pages. These are no snapshot, so that the list holds as of the first one: a watch
+// ListBuilder puts a list together from its pages. These are no snapshot, so that the list holds as of the first one: a watch
 // from there tells what has changed since. Use it for one list.
-type List struct {
+type ListBuilder struct {
 	Snapshot
-	first    bool
+	started  bool
 	complete bool
 	after    string
 }
 
-// ErrTorn means that the store came back from an older copy between two pages of a list.
-var ErrTorn = errors.New("the pages of the list are of different copies of the store")
+// ErrEpochChanged means that the store came back from an older copy between two pages of a list.
+var ErrEpochChanged = errors.New("the pages of the list are of different copies of the store")
 
 // Next returns the key after which the next page begins, or false once the list is complete.
-func (l *List) Next() (after string, more bool) { return l.after, !l.complete }
+func (l *ListBuilder) Next() (after string, more bool) { return l.after, !l.complete }
 
-// Begun reports whether any page was added.
-func (l *List) Begun() bool { return l.first }
+// Started reports whether any page was added.
+func (l *ListBuilder) Started() bool { return l.started }
 
 // Add takes over the next page, or returns ErrTorn.
-func (l *List) Add(p Page) error {
-	if !l.first {
-		l.first, l.Revision = true, p.Revision
+func (l *ListBuilder) Add(p Page) error {
+	if !l.started {
+		l.started, l.Revision = true, p.Revision
 	}
 	if p.Revision.Epoch() != l.Revision.Epoch() {
-		return ErrTorn
+		return ErrEpochChanged
 	}
 	l.Items = append(l.Items, p.Items...)
 	if l.complete = !p.More || len(p.Items) == 0; !l.complete {
--- a/core/kv/revision.go
+++ b/core/kv/revision.go
@@ -19,8 +19,8 @@
 // numberBits is how many of a revision's bits hold the store's number: at 1,200 changes a second they last for 29 years.
 const numberBits = 40
 
-// At returns the revision of a number that a store gave out in an epoch.
-func At(e Epoch, number int64) Revision { return Revision(int64(e)<<numberBits | number) }
+// NewRevision returns the revision of a number that a store gave out in an epoch.
+func NewRevision(e Epoch, number int64) Revision { return Revision(int64(e)<<numberBits | number) }
 
 // Epoch returns the epoch in which the store gave the revision out.
 func (r Revision) Epoch() Epoch { return Epoch(r >> numberBits) }
--- a/core/kv/transaction.go
+++ b/core/kv/transaction.go
@@ -2,14 +2,14 @@
 
 // Transaction is a set of changes that a store carries out together, or not at all.
 type Transaction struct {
-	// Expect names the revisions that keys must have, by their numbers.
-	Expect  []Expectation
-	Writes  []Write
-	Deletes []string
+	// Preconditions names the revisions that keys must have, by their numbers.
+	Preconditions []Precondition
+	Writes        []Write
+	Deletes       []string
 }
 
-// Expectation is the revision that a key must have. Zero means that it does not exist.
-type Expectation struct {
+// Precondition is the revision that a key must have. Zero means that it does not exist.
+type Precondition struct {
 	Key      string
 	Revision Revision
 }
@@ -23,19 +23,19 @@
 
 // Replace writes a key if the number of its revision is still that of the given one.
 func Replace(key string, revision Revision, value []byte, lease int64) Transaction {
-	return Transaction{Expect: []Expectation{{key, revision}}, Writes: []Write{{key, value, lease}}}
+	return Transaction{Preconditions: []Precondition{{key, revision}}, Writes: []Write{{key, value, lease}}}
 }
 
 // Remove removes a key if the number of its revision is still that of the given one.
 func Remove(key string, revision Revision) Transaction {
-	return Transaction{Expect: []Expectation{{key, revision}}, Deletes: []string{key}}
+	return Transaction{Preconditions: []Precondition{{key, revision}}, Deletes: []string{key}}
 }
 
-// And returns both transactions as one.
-func (t Transaction) And(o Transaction) Transaction {
+// Merge returns both transactions as one.
+func (t Transaction) Merge(o Transaction) Transaction {
 	return Transaction{
-		Expect:  append(t.Expect[:len(t.Expect):len(t.Expect)], o.Expect...),
-		Writes:  append(t.Writes[:len(t.Writes):len(t.Writes)], o.Writes...),
-		Deletes: append(t.Deletes[:len(t.Deletes):len(t.Deletes)], o.Deletes...),
+		Preconditions: append(t.Preconditions[:len(t.Preconditions):len(t.Preconditions)], o.Preconditions...),
+		Writes:        append(t.Writes[:len(t.Writes):len(t.Writes)], o.Writes...),
+		Deletes:       append(t.Deletes[:len(t.Deletes):len(t.Deletes)], o.Deletes...),
 	}
 }
--- a/core/leadership/inherit.go
+++ b/core/leadership/inherit.go
@@ -15,7 +15,9 @@
 }
 
 // NewFound returns a record that a store shows at a revision.
-func NewFound(r Record, shown kv.Revision) Found { return Found{r, kv.At(r.Epoch, shown.Number())} }
+func NewFound(r Record, shown kv.Revision) Found {
+	return Found{r, kv.NewRevision(r.Epoch, shown.Number())}
+}
 
 // Inherit returns the record on which a holder goes on that has taken the duty in an epoch, out of the one in the store
 // and the one that its host remembers from before the store last came back. The copy may lack the newest record: the
--- a/core/leadership/inherit_test.go
+++ b/core/leadership/inherit_test.go
@@ -9,7 +9,7 @@
 
 func TestInherit(t *testing.T) {
 	record := func(holder string, epoch kv.Epoch, number int64, handedBack bool) Found {
-		return NewFound(Record{Holder: holder, Epoch: epoch, HandedBack: handedBack, Grantees: []string{holder}}, kv.At(epoch+1, number))
+		return NewFound(Record{Holder: holder, Epoch: epoch, HandedBack: handedBack, Grantees: []string{holder}}, kv.NewRevision(epoch+1, number))
 	}
 	for _, c := range []struct {
 		name               string
--- a/core/membership/host.go
+++ b/core/membership/host.go
@@ -13,8 +13,8 @@
 	Zone string
 	// Peer is the address of the inner protocol.
 	Peer netip.AddrPort
-	// Strength is what the host can do, in cores of a processor. Zero counts as one.
-	Strength float64
+	// Cores is what the host can do, in cores of a processor. Zero counts as one.
+	Cores float64
 	// Leaving is true once the platform or the host itself announces the end.
 	Leaving bool
 	// Incarnation rises each time that the host refutes a suspicion.
--- a/core/membership/membership_test.go
+++ b/core/membership/membership_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-func fleet(n int) []Host {
+func testHosts(n int) []Host {
 	out := make([]Host, n)
 	for i := range out {
 		out[i] = Host{ID: fmt.Sprintf("host-%d", i), Zone: fmt.Sprintf("zone-%d", i%3)}
@@ -16,7 +16,7 @@
 }
 
 func TestRankMovesOnlyTheLostHostsGroups(t *testing.T) {
-	hosts := fleet(8)
+	hosts := testHosts(8)
 	moved, owned := 0, 0
 	for i := range 1000 {
 		g := fmt.Sprintf("group-%d", i)
@@ -36,7 +36,7 @@
 }
 
 func TestRankSpreadsZonesAndPutsLeavingLast(t *testing.T) {
-	hosts := fleet(9)
+	hosts := testHosts(9)
 	hosts[4].Leaving = true
 	for i := range 100 {
 		r := Rank(fmt.Sprintf("group-%d", i), hosts)
@@ -51,13 +51,13 @@
 
 // Some host must probe every other one, however the hashes fall, or its death
 // would go unnoticed.
-func TestEveryHostIsSomeonesNeighbour(t *testing.T) {
+func TestEveryHostIsANeighbour(t *testing.T) {
 	for _, n := range []int{2, 3, 8, 50, 300} {
-		hosts := fleet(n)
+		hosts := testHosts(n)
 		probed := map[string]int{}
 		for _, h := range hosts {
-			near := nearest(h, hosts)
-			if len(near) != min(n-1, successors+chosen) {
+			near := selectNeighbours(h, hosts)
+			if len(near) != min(n-1, ringSuccessors+randomNeighbours) {
 				t.Fatalf("%d hosts: %d neighbours", n, len(near))
 			}
 			for _, other := range near {
@@ -79,12 +79,12 @@
 	synctest.Test(t, func(t *testing.T) {
 		slow := NewTable(Host{ID: "slow"}, DefaultTiming(), nil)
 		other := NewTable(Host{ID: "other"}, DefaultTiming(), nil)
-		other.Seed([]Host{{ID: "slow"}}, time.Now())
-		other.Suspect("slow", time.Now())
-		time.Sleep(DefaultTiming().Suspicion / 2)
+		other.MergeHostList([]Host{{ID: "slow"}}, time.Now())
+		other.MarkSuspect("slow", time.Now())
+		time.Sleep(DefaultTiming().SuspicionTimeout / 2)
 		slow.Merge(other.Gossip(), time.Now())
 		other.Merge(slow.Gossip(), time.Now())
-		time.Sleep(DefaultTiming().Suspicion)
+		time.Sleep(DefaultTiming().SuspicionTimeout)
 		other.Tick(time.Now())
 		if _, live := other.Lookup("slow"); !live {
 			t.Error("a host that refuted is dead")
@@ -94,24 +94,24 @@
 
 // A host is silent and never refutes. It counts until the suspicion has lasted,
 // then it is dead, and a late claim of its life does not bring it back.
-func TestUnrefutedSuspicionEndsInDeath(t *testing.T) {
+func TestUnrefutedSuspicionMarksHostDead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		changes := 0
 		table := NewTable(Host{ID: "self"}, DefaultTiming(), func() { changes++ })
-		table.Seed([]Host{{ID: "gone"}}, time.Now())
-		table.Suspect("gone", time.Now())
+		table.MergeHostList([]Host{{ID: "gone"}}, time.Now())
+		table.MarkSuspect("gone", time.Now())
 		table.Tick(time.Now())
 		if len(table.Live()) != 2 {
 			t.Fatal("a suspect host is not live")
 		}
-		time.Sleep(DefaultTiming().Suspicion)
+		time.Sleep(DefaultTiming().SuspicionTimeout)
 		table.Tick(time.Now())
-		table.Merge([]Claim{{Host: Host{ID: "gone"}, State: Alive}}, time.Now())
-		table.Seed([]Host{{ID: "gone"}}, time.Now())
+		table.Merge([]Status{{Host: Host{ID: "gone"}, State: Alive}}, time.Now())
+		table.MergeHostList([]Host{{ID: "gone"}}, time.Now())
 		if len(table.Live()) != 1 || changes != 2 {
 			t.Errorf("%d hosts live after %d changes", len(table.Live()), changes)
 		}
-		table.Revive(Host{ID: "gone", Incarnation: 7}, time.Now())
+		table.MarkAlive(Host{ID: "gone", Incarnation: 7}, time.Now())
 		if len(table.Live()) != 2 {
 			t.Error("a host that speaks for itself is dead")
 		}
@@ -120,30 +120,30 @@
 
 // A host restarts under its old name. What was said of its earlier life must not
 // bury the new one.
-func TestRestartedHostOutlivesOldClaims(t *testing.T) {
+func TestRestartedHostOverridesOldStatus(t *testing.T) {
 	now := time.Now()
 	table := NewTable(Host{ID: "self"}, DefaultTiming(), nil)
-	table.Revive(Host{ID: "b", Incarnation: 10}, now)
-	table.Bury("b", now)
-	table.Revive(Host{ID: "b", Incarnation: 20}, now)
-	table.Merge([]Claim{{Host: Host{ID: "b", Incarnation: 10}, State: Dead}}, now)
+	table.MarkAlive(Host{ID: "b", Incarnation: 10}, now)
+	table.MarkDead("b", now)
+	table.MarkAlive(Host{ID: "b", Incarnation: 20}, now)
+	table.Merge([]Status{{Host: Host{ID: "b", Incarnation: 10}, State: Dead}}, now)
 	if _, live := table.Lookup("b"); !live {
 		t.Error("an old claim buried a restarted host")
 	}
 }
 
-func TestNextCoversAllNeighbours(t *testing.T) {
+func TestProbeRoundCoversAllNeighbours(t *testing.T) {
 	table := NewTable(Host{ID: "host-0"}, DefaultTiming(), nil)
-	table.Seed(fleet(50), time.Now())
+	table.MergeHostList(testHosts(50), time.Now())
 	probed := map[string]bool{}
-	for range successors + chosen {
-		h, ok := table.Next(func(int, func(i, j int)) {})
+	for range ringSuccessors + randomNeighbours {
+		h, ok := table.NextProbe(func(int, func(i, j int)) {})
 		if !ok {
 			t.Fatal("nobody to probe")
 		}
 		probed[h.ID] = true
 	}
-	if len(probed) != successors+chosen {
+	if len(probed) != ringSuccessors+randomNeighbours {
 		t.Errorf("a round probed %d hosts", len(probed))
 	}
 }
--- a/core/membership/rank.go
+++ b/core/membership/rank.go
@@ -26,7 +26,7 @@
 	}
 	slices.SortFunc(ranked, func(a, b Host) int {
 		if a.Leaving != b.Leaving {
-			return leavingLast(a)
+			return compareLeaving(a)
 		}
 		if c := cmp.Compare(weights[b.ID], weights[a.ID]); c != 0 {
 			return c
@@ -36,7 +36,7 @@
 	return spreadZones(ranked)
 }
 
-func leavingLast(a Host) int {
+func compareLeaving(a Host) int {
 	if a.Leaving {
 		return 1
 	}
--- a/core/membership/state.go
+++ b/core/membership/state.go
@@ -15,15 +15,15 @@
 	Dead // dead
 )
 
-// Claim is a statement about a host that hosts pass on.
-type Claim struct {
+// Status is a statement about a host that hosts pass on.
+type Status struct {
 	Host  Host
 	State State
 }
 
 // overrides reports whether claim a replaces claim b about the same host: a
 // higher incarnation does, and at the same one the worse state.
-func (a Claim) overrides(b Claim) bool {
+func (a Status) overrides(b Status) bool {
 	if a.Host.Incarnation != b.Host.Incarnation {
 		return a.Host.Incarnation > b.Host.Incarnation
 	}
--- a/core/serving/near.go
+++ b/core/serving/near.go
@@ -6,7 +6,7 @@
 	"pearlatch/core/membership"
 )
 
-// near returns how many connections each host of an availability zone may keep to a replica there,
+// localReadConnections returns how many connections each host of an availability zone may keep to a replica there,
 // while hosts of other zones serve the group: it then answers reads there by itself, without
 // a hop. It is directShare, or zero where there are too few. More would be used seldom, and stay
 // behind at the members for seconds when all hosts lose power: then nobody gets a new one.
@@ -15,32 +15,32 @@
 // availability zones twice, and all waited for the loss of that host to be found out. A host that
 // serves in the own zone spares them that as well, and needs the connections: at 195 hosts, 72 of
 // a replica's 88 connections were set apart for 36 hosts that seldom used them.
-func (t *Table) near(zone string, servers []membership.Host, connections int) int {
+func (t *Table) localReadConnections(zone string, servers []membership.Host, connections int) int {
 	z := t.zones[zone]
 	switch {
 	case slices.ContainsFunc(servers, func(h membership.Host) bool { return h.Zone == zone }):
 		return 0
 	case z == nil:
-		return nearShare(0, connections)
+		return localReadShare(0, connections)
 	}
-	return nearShare(len(z.staying), connections)
+	return localReadShare(len(z.active), connections)
 }
 
-// nearShare is near for an availability zone without a host that serves, in which so many hosts stay.
-func nearShare(staying, connections int) int {
+// localReadShare is near for an availability zone without a host that serves, in which so many hosts stay.
+func localReadShare(staying, connections int) int {
 	const servers = 1 // the share of those that serve
-	if connections/(servers+staying) < directShare {
+	if connections/(servers+staying) < minDirectConnections {
 		return 0
 	}
-	return directShare
+	return minDirectConnections
 }
 
-// nearTaken returns how many connections to a replica the hosts of one availability zone may keep
+// reservedReadConnections returns how many connections to a replica the hosts of one availability zone may keep
 // for reads near by, at most. Those that serve the group leave them free.
-func (t *Table) nearTaken(servers []membership.Host, connections int) int {
+func (t *Table) reservedReadConnections(servers []membership.Host, connections int) int {
 	most := 0
 	for name, z := range t.zones {
-		most = max(most, z.all*t.near(name, servers, connections))
+		most = max(most, z.hostCount*t.localReadConnections(name, servers, connections))
 	}
 	return most
 }
--- a/core/serving/near_test.go
+++ b/core/serving/near_test.go
@@ -4,7 +4,7 @@
 	"testing"
 )
 
-func TestNear(t *testing.T) {
+func TestLocalReadConnections(t *testing.T) {
 	for _, c := range []struct {
 		name        string
 		zones, each int
@@ -17,12 +17,12 @@
 		{"too few connections", 3, 3, 6, 0, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			hosts := fleet(c.zones*c.each, c.zones)
-			table := tableOf(hosts)
-			if got := table.near(hosts[0].Zone, nil, c.connections); got != c.near {
+			hosts := testHosts(c.zones*c.each, c.zones)
+			table := newTable(hosts)
+			if got := table.localReadConnections(hosts[0].Zone, nil, c.connections); got != c.near {
 				t.Errorf("near %d, want %d", got, c.near)
 			}
-			if got := table.nearTaken(nil, c.connections); got != c.taken {
+			if got := table.reservedReadConnections(nil, c.connections); got != c.taken {
 				t.Errorf("taken %d, want %d", got, c.taken)
 			}
 		})
@@ -32,13 +32,13 @@
 // A host serves in each of five availability zones. All others pass reads on within their zone: if
 // they kept connections of their own, those that serve would have one to a replica left for the
 // callers of forty hosts.
-func TestNoNearReadsBesideAServerOfTheZone(t *testing.T) {
-	hosts := fleet(180, 5)
-	table := tableOf(hosts)
+func TestNoLocalReadsWhereZoneHasServer(t *testing.T) {
+	hosts := testHosts(180, 5)
+	table := newTable(hosts)
 	for _, h := range hosts {
 		p := table.Plan(h, "g", 86)
-		if p.Near != 0 || p.NearTaken != 0 {
-			t.Fatalf("%s: %d connections near by, %d taken", h.ID, p.Near, p.NearTaken)
+		if p.LocalReadConnections != 0 || p.ReservedReadConnections != 0 {
+			t.Fatalf("%s: %d connections near by, %d taken", h.ID, p.LocalReadConnections, p.ReservedReadConnections)
 		}
 	}
 }
--- a/core/serving/regain_test.go
+++ b/core/serving/regain_test.go
@@ -6,20 +6,20 @@
 )
 
 // However many hosts are lost, looking for them costs a bounded number of questions, and a single one is found again soon.
-func TestLostHostsAreAskedAtABoundedRate(t *testing.T) {
+func TestPeerRetryRateIsBounded(t *testing.T) {
 	for _, failed := range []int{1, 5, 20, 100, 540, 1100} {
 		const played = 1000 * time.Second
 		asked := 0
-		pause := RegainPause(0, failed)
+		pause := PeerRetryDelay(0, failed)
 		for at := pause; at < played; at += pause {
-			pause = RegainPause(pause, failed)
+			pause = PeerRetryDelay(pause, failed)
 			asked++
 		}
 		if rate := float64(failed*asked) / played.Seconds(); rate > 51 {
 			t.Errorf("%d hosts are asked %.0f times a second", failed, rate)
 		}
 	}
-	if pause := RegainPause(time.Second, 1); pause != longestRegainPause {
+	if pause := PeerRetryDelay(time.Second, 1); pause != maxRetryDelay {
 		t.Errorf("a single host is asked after %s", pause)
 	}
 }
--- a/core/serving/serving_test.go
+++ b/core/serving/serving_test.go
@@ -8,8 +8,8 @@
 	"pearlatch/core/membership"
 )
 
-// fleet returns hosts that are spread evenly over availability zones.
-func fleet(n, zones int) []membership.Host {
+// testHosts returns hosts that are spread evenly over availability zones.
+func testHosts(n, zones int) []membership.Host {
 	out := make([]membership.Host, n)
 	for i := range out {
 		out[i] = membership.Host{ID: fmt.Sprintf("host-%d", i), Zone: fmt.Sprintf("zone-%d", i%zones), Peer: testPeer}
@@ -19,8 +19,8 @@
 
 var testPeer = netip.MustParseAddrPort("10.0.0.1:7432")
 
-// tableOf returns a table with the hosts.
-func tableOf(hosts []membership.Host) *Table {
+// newTable returns a table with the hosts.
+func newTable(hosts []membership.Host) *Table {
 	t := &Table{}
 	t.Update(hosts)
 	return t
@@ -29,10 +29,10 @@
 // serversOf returns the hosts that serve a group.
 func serversOf(t *Table, group string, connections int) []membership.Host {
 	p := t.Plan(membership.Host{}, group, connections)
-	return p.Ranked[:p.Servers]
+	return p.Ranked[:p.ServerCount]
 }
 
-func TestCount(t *testing.T) {
+func TestServerCount(t *testing.T) {
 	for _, c := range []struct {
 		name                             string
 		connections, hosts, zones, count int
@@ -46,15 +46,15 @@
 		{"one host", 21, 1, 1, 1},
 		{"nobody is known", 21, 0, 0, 1},
 	} {
-		if got := Count(c.connections, c.hosts, c.zones); got != c.count {
+		if got := ServerCount(c.connections, c.hosts, c.zones); got != c.count {
 			t.Errorf("%s: %d hosts serve, want %d", c.name, got, c.count)
 		}
 	}
 }
 
 // Hosts of a zone without a server would forward every statement to another zone.
-func TestServersStandInEachZone(t *testing.T) {
-	table := tableOf(fleet(60, 5))
+func TestOneServerPerZone(t *testing.T) {
+	table := newTable(testHosts(60, 5))
 	for i := range 50 {
 		zones := map[string]int{}
 		for _, h := range serversOf(table, fmt.Sprint("group-", i), 92) {
@@ -73,9 +73,9 @@
 
 // A host that leaves must not move other servers: each move costs a set of
 // connections to three members.
-func TestServersMoveOnlyForTheHostThatLeaves(t *testing.T) {
-	hosts := fleet(60, 3)
-	table := tableOf(hosts)
+func TestLeavingHostKeepsOtherServers(t *testing.T) {
+	hosts := testHosts(60, 3)
+	table := newTable(hosts)
 	for i := range 50 {
 		group := fmt.Sprint("group-", i)
 		table.Update(hosts)
@@ -104,11 +104,11 @@
 	}
 }
 
-func TestOrderPrefersTheOwnZone(t *testing.T) {
-	servers := serversOf(tableOf(fleet(60, 3)), "g", 60)
+func TestForwardingOrderPrefersOwnZone(t *testing.T) {
+	servers := serversOf(newTable(testHosts(60, 3)), "g", 60)
 	firsts := map[string]int{}
-	for _, self := range fleet(60, 3) {
-		ordered := Order(self, servers)
+	for _, self := range testHosts(60, 3) {
+		ordered := ForwardingOrder(self, servers)
 		if ordered[0].Zone != self.Zone {
 			t.Fatalf("%s of %s forwards to %s", self.ID, self.Zone, ordered[0].Zone)
 		}
@@ -121,9 +121,9 @@
 
 // News must reach every host: whoever follows another one must come to a host that
 // asks the store.
-func TestFeedsLeadToTheStore(t *testing.T) {
-	hosts := fleet(200, 3)
-	table := tableOf(hosts)
+func TestUpdateSourcesLeadToStore(t *testing.T) {
+	hosts := testHosts(200, 3)
+	table := newTable(hosts)
 	byID := map[string]membership.Host{}
 	followers := map[string]int{}
 	for _, h := range hosts {
@@ -133,7 +133,7 @@
 	for _, h := range hosts {
 		steps := 0
 		for at := h; ; steps++ {
-			feeds := table.Feeds(at)
+			feeds := table.UpdateSources(at)
 			if feeds.StoreFirst {
 				break
 			}
@@ -153,19 +153,19 @@
 		t.Errorf("%d hosts ask the store, want one a zone", asking)
 	}
 	for id, n := range followers {
-		if n > fanOut {
+		if n > treeFanOut {
 			t.Errorf("%s feeds %d hosts", id, n)
 		}
 	}
 }
 
 // A host that restarts knows nobody but itself, and must not wait for others.
-func TestLoneHostAsksTheStore(t *testing.T) {
+func TestLoneHostReadsStore(t *testing.T) {
 	self := membership.Host{ID: "one", Zone: "z", Peer: testPeer}
-	if f := tableOf([]membership.Host{self}).Feeds(self); !f.StoreFirst || len(f.Hosts) != 0 {
+	if f := newTable([]membership.Host{self}).UpdateSources(self); !f.StoreFirst || len(f.Hosts) != 0 {
 		t.Errorf("a host alone learns from %+v", f)
 	}
-	if f := (&Table{}).Feeds(self); !f.StoreFirst {
+	if f := (&Table{}).UpdateSources(self); !f.StoreFirst {
 		t.Errorf("a host that is not listed learns from %+v", f)
 	}
 }
--- a/core/serving/strength_test.go
+++ b/core/serving/strength_test.go
@@ -7,13 +7,13 @@
 	"pearlatch/core/membership"
 )
 
-// uneven returns a fleet in which the first ten hosts of each availability zone are eight times as strong as the others.
-func uneven(n, zones int) []membership.Host {
-	hosts := fleet(n, zones)
+// unevenHosts returns a fleet in which the first ten hosts of each availability zone are eight times as strong as the others.
+func unevenHosts(n, zones int) []membership.Host {
+	hosts := testHosts(n, zones)
 	for i := range hosts {
-		hosts[i].Strength = 0.2
+		hosts[i].Cores = 0.2
 		if i < 10*zones {
-			hosts[i].Strength = 1.6
+			hosts[i].Cores = 1.6
 		}
 	}
 	return hosts
@@ -21,13 +21,13 @@
 
 // A fleet of 1,000 groups had as many holders of duties as there are hosts, each with a lease of its own to renew. The
 // strong hosts hold them, spread evenly, and the next strongest ones when those are gone.
-func TestStrongHostsHoldTheDuties(t *testing.T) {
-	hosts := uneven(500, 5)
-	table := tableOf(hosts)
+func TestDutiesGoToHostsWithMostCores(t *testing.T) {
+	hosts := unevenHosts(500, 5)
+	table := newTable(hosts)
 	held := map[string]int{}
 	for i := range 1000 {
-		first := table.Holders(fmt.Sprint("group-", i))[0]
-		if first.Strength < 1 {
+		first := table.RankedForDuty(fmt.Sprint("group-", i))[0]
+		if first.Cores < 1 {
 			t.Fatalf("group-%d: %+v holds the duty", i, first)
 		}
 		held[first.ID]++
@@ -41,18 +41,18 @@
 		}
 	}
 	table.Update(hosts[50:])
-	if first := table.Holders("group-0"); len(first) == 0 {
+	if first := table.RankedForDuty("group-0"); len(first) == 0 {
 		t.Error("nobody is to hold the duty without the strong hosts")
 	}
 }
 
 // Hosts serve groups as their strengths say.
-func TestGroupsAreServedByStrength(t *testing.T) {
-	table := tableOf(uneven(500, 5))
+func TestServingIsWeightedByCores(t *testing.T) {
+	table := newTable(unevenHosts(500, 5))
 	strong := 0
 	for i := range 1000 {
 		for _, h := range table.Ranked(fmt.Sprint("group-", i))[:5] {
-			if h.Strength > 1 {
+			if h.Cores > 1 {
 				strong++
 			}
 		}
@@ -64,15 +64,15 @@
 }
 
 // Hosts near the root of a zone's tree send news to the most others: a weak one's link carries a list to eight at a time.
-func TestStrongHostsPassNewsOn(t *testing.T) {
-	hosts := uneven(500, 5)
-	table := tableOf(hosts)
+func TestUpdateSourcesHaveMostCores(t *testing.T) {
+	hosts := unevenHosts(500, 5)
+	table := newTable(hosts)
 	for _, h := range hosts {
-		feeds := table.Feeds(h)
-		if feeds.StoreFirst && h.Strength < 1 {
+		feeds := table.UpdateSources(h)
+		if feeds.StoreFirst && h.Cores < 1 {
 			t.Errorf("%s asks the store", h.ID)
 		}
-		if len(feeds.Hosts) > 0 && feeds.Hosts[0].Strength < 1 {
+		if len(feeds.Hosts) > 0 && feeds.Hosts[0].Cores < 1 {
 			t.Errorf("%s learns from %+v", h.ID, feeds.Hosts[0])
 		}
 	}
--- a/core/serving/table_test.go
+++ b/core/serving/table_test.go
@@ -12,9 +12,9 @@
 // A host that has followed every change of the list and one that has just started must turn to the
 // same hosts. If a change were missed, callers of the one would be passed on to hosts that serve
 // nothing there.
-func TestTableDoesNotDependOnItsHistory(t *testing.T) {
+func TestRankingIsIndependentOfHistory(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
-	all := fleet(120, 4)
+	all := testHosts(120, 4)
 	old := &Table{}
 	old.Ranked("group-0")
 	for round := range 300 {
@@ -27,7 +27,7 @@
 			}
 		}
 		old.Update(hosts)
-		fresh := tableOf(hosts)
+		fresh := newTable(hosts)
 		for i := range 3 {
 			group := fmt.Sprint("group-", i)
 			if !slices.Equal(old.Ranked(group), fresh.Ranked(group)) {
@@ -38,9 +38,9 @@
 }
 
 // Update says whether anything changed: what depends on the list is worked out anew then.
-func TestUpdateTellsChanges(t *testing.T) {
-	hosts := fleet(20, 3)
-	table := tableOf(hosts)
+func TestUpdateReportsChanges(t *testing.T) {
+	hosts := testHosts(20, 3)
+	table := newTable(hosts)
 	if table.Update(slices.Clone(hosts)) {
 		t.Error("the same list counts as a change")
 	}
@@ -52,7 +52,7 @@
 		"a host leaves":   func(l []membership.Host) []membership.Host { l[3].Leaving = true; return l },
 		"a host is moved": func(l []membership.Host) []membership.Host { l[3].Zone = "zone-other"; return l },
 	} {
-		table := tableOf(hosts)
+		table := newTable(hosts)
 		if !table.Update(change(slices.Clone(hosts))) {
 			t.Errorf("%s: no change", name)
 		}
@@ -63,14 +63,14 @@
 // that.
 var benchmarkSizes = []int{10, 75, 195, 1078, 10000}
 
-// BenchmarkChange is a host that joins and one that leaves, with the plans of twenty groups after
+// BenchmarkUpdateAndPlan is a host that joins and one that leaves, with the plans of twenty groups after
 // each, on one core: 0.006, 0.07, 0.06, 0.14 and 1.8 ms. Before, when each change ranked all hosts
 // for each group: 0.2, 7.5, 33 and 797 ms at the first four sizes.
-func BenchmarkChange(b *testing.B) {
+func BenchmarkUpdateAndPlan(b *testing.B) {
 	for _, n := range benchmarkSizes {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			hosts := fleet(n, 5)
-			table := tableOf(hosts)
+			hosts := testHosts(n, 5)
+			table := newTable(hosts)
 			plan := func() {
 				for i := range 20 {
 					table.Plan(hosts[0], groupNames[i], 86)
--- a/internal/fleet/entry.go
+++ b/internal/fleet/entry.go
@@ -19,8 +19,8 @@
 	case h.Leaving:
 		// Hosts of the version before read no further word. A host that leaves has no claims, whatever its strength.
 		text += " " + leavingMark
-	case h.Strength > 0:
-		text += " " + strengthMark + strconv.FormatFloat(h.Strength, 'g', -1, 64)
+	case h.Cores > 0:
+		text += " " + strengthMark + strconv.FormatFloat(h.Cores, 'g', -1, 64)
 	}
 	return []byte(text)
 }
@@ -42,7 +42,7 @@
 	h := membership.Host{ID: id, Zone: zone, Leaving: mark == leavingMark}
 	if text, ok := strings.CutPrefix(mark, strengthMark); ok {
 		if cores, err := strconv.ParseFloat(text, 64); err == nil && cores > 0 && cores <= MostCores {
-			h.Strength = cores
+			h.Cores = cores
 		}
 	}
 	if p, err := netip.ParseAddrPort(addr); err == nil {
--- a/internal/fleet/hosts.go
+++ b/internal/fleet/hosts.go
@@ -28,7 +28,7 @@
 	table serving.Table
 	peers map[string]*peer
 	// feeds and others are what table says of them, as of their versions.
-	feeds           Versioned[serving.Feeds]
+	feeds           Versioned[serving.UpdateSources]
 	others, ordered Versioned[[]membership.Host]
 	// listed counts the changes of table.
 	listed uint64
@@ -102,14 +102,14 @@
 func (f *Hosts) Consider(groups []string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.table.Consider(f.self, groups)
+	f.table.TrackCandidates(f.self, groups)
 }
 
 // Candidate reports whether this host is among those with the first claims to a group.
 func (f *Hosts) Candidate(group string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.table.Candidate(group)
+	return f.table.IsCandidate(group)
 }
 
 // Forget drops what is kept for a group that nobody asks about any more.
@@ -120,24 +120,24 @@
 }
 
 // Feeds says from whom this host learns the store's news.
-func (f *Hosts) Feeds() serving.Feeds {
+func (f *Hosts) Feeds() serving.UpdateSources {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.feeds.Of(f.listed, func() serving.Feeds { return f.table.Feeds(f.self) })
+	return f.feeds.Of(f.listed, func() serving.UpdateSources { return f.table.UpdateSources(f.self) })
 }
 
 // AllOthers returns all other hosts that stay, in the order in which this one turns to them.
 func (f *Hosts) AllOthers() []membership.Host {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.ordered.Of(f.listed, func() []membership.Host { return serving.Order(f.self, f.table.Others(f.self)) })
+	return f.ordered.Of(f.listed, func() []membership.Host { return serving.ForwardingOrder(f.self, f.table.OtherHosts(f.self)) })
 }
 
 // Some returns a few other hosts at random, of those that are not suspect.
 func (f *Hosts) Some(n int) []membership.Host {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	others := f.others.Of(f.listed, func() []membership.Host { return f.table.Others(f.self) })
+	others := f.others.Of(f.listed, func() []membership.Host { return f.table.OtherHosts(f.self) })
 	var out []membership.Host
 	first := rand.IntN(max(1, len(others)))
 	step := coprimeStep(len(others))
@@ -170,7 +170,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	place := 0
-	for _, h := range f.table.Holders(group) {
+	for _, h := range f.table.RankedForDuty(group) {
 		if h.ID == f.self.ID {
 			break
 		}
@@ -265,7 +265,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	out := []string{f.self.ID}
-	for _, h := range f.table.Others(f.self) {
+	for _, h := range f.table.OtherHosts(f.self) {
 		out = append(out, h.ID)
 	}
 	slices.Sort(out[1:])
--- a/internal/fleet/hosts_test.go
+++ b/internal/fleet/hosts_test.go
@@ -15,7 +15,7 @@
 // read that it leaves.
 func TestEntriesTellTheStrength(t *testing.T) {
 	for _, h := range []membership.Host{
-		{ID: "h", Zone: "z", Peer: testPeer, Strength: 0.192},
+		{ID: "h", Zone: "z", Peer: testPeer, Cores: 0.192},
 		{ID: "h", Zone: "z", Peer: testPeer, Leaving: true},
 		{ID: "h", Zone: "z", Peer: testPeer},
 	} {
@@ -23,12 +23,12 @@
 			t.Errorf("%q is read as %+v, want %+v", Entry(h), got, h)
 		}
 	}
-	leaves := membership.Host{ID: "h", Zone: "z", Peer: testPeer, Strength: 2, Leaving: true}
+	leaves := membership.Host{ID: "h", Zone: "z", Peer: testPeer, Cores: 2, Leaving: true}
 	if got := string(Entry(leaves)); got != "z 10.0.0.1:1 leaving" {
 		t.Errorf("an entry that leaves is %q", got)
 	}
 	for _, odd := range []string{"z 10.0.0.1:1 cores=many", "z 10.0.0.1:1 cores=-1", "z 10.0.0.1:1 cores=NaN", "z 10.0.0.1:1 cores=1e9"} {
-		if got := ParseEntry("h", []byte(odd)); got.Strength != 0 || !got.Peer.IsValid() {
+		if got := ParseEntry("h", []byte(odd)); got.Cores != 0 || !got.Peer.IsValid() {
 			t.Errorf("%q is read as %+v", odd, got)
 		}
 	}
--- a/internal/follow/feeder.go
+++ b/internal/follow/feeder.go
@@ -77,7 +77,7 @@
 
 // pass sends news, unless they are one whole list more than this host sends at a time.
 func (f *Feeder) pass(news News, send func(News) error) error {
-	if !news.Whole {
+	if !news.Full {
 		return send(news)
 	}
 	defer f.lists.Add(-1)
--- a/internal/follow/follow_test.go
+++ b/internal/follow/follow_test.go
@@ -83,7 +83,7 @@
 func TestHostsBeyondTheFeedsAreTurnedAway(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		known := NewKnowledge(nil, time.Now)
-		if _, err := known.Apply(News{News: kv.News{Whole: true, Snapshot: kv.Snapshot{Revision: 7}}}); err != nil {
+		if _, err := known.Apply(News{Update: kv.Update{Full: true, Snapshot: kv.Snapshot{Revision: 7}}}); err != nil {
 			t.Fatal(err)
 		}
 		f := NewFeeder(known, fleetOf("h0", 30), func() bool { return false })
@@ -110,7 +110,7 @@
 		if n := len(turned); n != 2*mostLists {
 			t.Errorf("%d of %d were turned away", n, 3*mostLists)
 		}
-		if n := <-turned; len(n.Elsewhere) != namedHosts || n.Age < staleNews || n.Whole {
+		if n := <-turned; len(n.Elsewhere) != namedHosts || n.Age < staleNews || n.Full {
 			t.Errorf("they were told %+v", n)
 		}
 	})
@@ -142,7 +142,7 @@
 		return News{Elsewhere: []netip.AddrPort{addrOf(2), addrOf(3)}, Age: turnedAwayAge}, nil
 	}
 	time.Sleep(newsPause)
-	return News{News: kv.News{Whole: true, Snapshot: kv.Snapshot{Revision: 7}}}, nil
+	return News{Update: kv.Update{Full: true, Snapshot: kv.Snapshot{Revision: 7}}}, nil
 }
 
 func (f *oneFeed) Close() {}
--- a/internal/follow/follower.go
+++ b/internal/follow/follower.go
@@ -168,7 +168,7 @@
 
 // reasonOf names what kind of error a source failed with.
 func reasonOf(err error) string {
-	for _, known := range []error{kv.ErrBehind, kv.ErrPartial, errStaleNews, errNoNews, ErrCompacted} {
+	for _, known := range []error{kv.ErrStale, kv.ErrGap, errStaleNews, errNoNews, ErrCompacted} {
 		if errors.Is(err, known) {
 			return known.Error()
 		}
--- a/internal/follow/join.go
+++ b/internal/follow/join.go
@@ -50,7 +50,7 @@
 
 // countHosts returns the addresses of the hosts that the store lists, as of some seconds ago at most.
 func (f *Follower) countHosts(ctx context.Context) ([]netip.AddrPort, error) {
-	list, err := f.list(ctx, kv.Range{Prefix: f.settings.Hosts, Stale: true})
+	list, err := f.list(ctx, kv.Range{Prefix: f.settings.Hosts, AllowStale: true})
 	if err != nil {
 		return nil, err
 	}
--- a/internal/follow/knowledge.go
+++ b/internal/follow/knowledge.go
@@ -20,20 +20,20 @@
 	// lag is how old the last news were that changed anything.
 	lag time.Duration
 	// listed is the last whole list that was passed on, of listedAt, for further hosts that need one.
-	listed   kv.News
+	listed   kv.Update
 	listedAt time.Time
 }
 
 // NewKnowledge returns what a host knows at its start: nothing.
-func NewKnowledge(later kv.Later, now func() time.Time) *Knowledge {
+func NewKnowledge(later kv.NewerFunc, now func() time.Time) *Knowledge {
 	return &Knowledge{now: now, view: kv.NewView(later), changed: make(chan struct{})}
 }
 
 // Apply takes over news, as kv.View.Apply does.
-func (k *Knowledge) Apply(n News) (kv.Applied, error) {
+func (k *Knowledge) Apply(n News) (kv.ApplyResult, error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	applied, err := k.view.Apply(n.News)
+	applied, err := k.view.Apply(n.Update)
 	if err != nil {
 		return applied, err
 	}
@@ -43,7 +43,7 @@
 	if len(applied.Changed) > 0 {
 		k.lag = n.Age
 	}
-	if len(applied.Changed) > 0 || k.view.Revision() != applied.Before {
+	if len(applied.Changed) > 0 || k.view.Revision() != applied.PreviousRevision {
 		close(k.changed)
 		k.changed = make(chan struct{})
 	}
@@ -89,10 +89,10 @@
 		return News{}, nil, errNoNews
 	}
 	n := News{Age: k.now().Sub(k.heardAt)}
-	if k.view.Keeps(after) {
-		n.News = k.view.Since(after)
+	if k.view.HasChangesSince(after) {
+		n.Update = k.view.Since(after)
 	} else {
-		n.News = k.wholeNews(after)
+		n.Update = k.wholeNews(after)
 	}
 	if n.Revision < k.view.Revision() {
 		return n, closedChannel, nil // more is known already
@@ -112,9 +112,9 @@
 
 // wholeNews returns everything for a host that needs it, or a recent list from which the changes that follow are known.
 // k.mu is held.
-func (k *Knowledge) wholeNews(after kv.Revision) kv.News {
+func (k *Knowledge) wholeNews(after kv.Revision) kv.Update {
 	now := k.now()
-	if k.listed.Revision == 0 || now.Sub(k.listedAt) > listReuse || !k.view.Keeps(k.listed.Revision) {
+	if k.listed.Revision == 0 || now.Sub(k.listedAt) > listReuse || !k.view.HasChangesSince(k.listed.Revision) {
 		k.listed, k.listedAt = k.view.Since(after), now
 	}
 	return k.listed
@@ -125,6 +125,6 @@
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if k.now().Sub(k.listedAt) > listReuse {
-		k.listed = kv.News{}
+		k.listed = kv.Update{}
 	}
 }
--- a/internal/follow/news.go
+++ b/internal/follow/news.go
@@ -12,7 +12,7 @@
 
 // News is what changed in the store, as another host passes it on.
 type News struct {
-	kv.News
+	kv.Update
 	// Age is how long ago the store itself was heard of.
 	Age time.Duration
 	// Elsewhere is not empty if the host passes on to too many others already. Then there are no news, and these hosts
--- a/internal/follow/source.go
+++ b/internal/follow/source.go
@@ -97,7 +97,7 @@
 // prefersAnother reports whether the host is to learn from another source, now that it has a place of its own among the
 // listed hosts. Until then all of those that start would turn to the few that are listed.
 func (f *Follower) prefersAnother(s Source) bool {
-	return f.fleet.Feeds().Placed && f.Sources()[0] != s
+	return f.fleet.Feeds().Listed && f.Sources()[0] != s
 }
 
 // errStaleNews means that a host has not heard of the store lately either.
@@ -117,7 +117,7 @@
 		return append([]Source{FromStore{}}, toSources(addrs)...)
 	}
 	out := toSources(addrs)
-	if len(out) == 0 || serving.AsksStore(f.fleet.Size(), rand.Float64()) {
+	if len(out) == 0 || serving.ShouldReadStore(f.fleet.Size(), rand.Float64()) {
 		out = append(out, FromStore{})
 	}
 	return out
--- a/internal/follow/store.go
+++ b/internal/follow/store.go
@@ -57,8 +57,8 @@
 	if err != nil {
 		return err
 	}
-	err = f.apply(News{News: kv.News{Snapshot: s}})
-	if errors.Is(err, kv.ErrPartial) {
+	err = f.apply(News{Update: kv.Update{Snapshot: s}})
+	if errors.Is(err, kv.ErrGap) {
 		return f.listAll(ctx)
 	}
 	return err
@@ -70,14 +70,14 @@
 	if err != nil {
 		return err
 	}
-	return f.apply(News{News: kv.News{Snapshot: s, Whole: true}})
+	return f.apply(News{Update: kv.Update{Snapshot: s, Full: true}})
 }
 
 // list reads all pages of a range. They are no snapshot, and the revision is that of the first one.
 func (f *Follower) list(ctx context.Context, r kv.Range) (kv.Snapshot, error) {
-	var list kv.List
+	var list kv.ListBuilder
 	for more := true; more; {
-		p, err := f.page(ctx, r, list.Begun())
+		p, err := f.page(ctx, r, list.Started())
 		if err == nil {
 			err = list.Add(p)
 		}
--- a/internal/gateway/acquire.go
+++ b/internal/gateway/acquire.go
@@ -42,7 +42,7 @@
 	for _, d := range due {
 		t := d.prepareAcquisition(lease)
 		takings = append(takings, t)
-		together = together.And(t.transaction)
+		together = together.Merge(t.transaction)
 	}
 	call, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
@@ -90,7 +90,7 @@
 		return t
 	}
 	t.record = &i
-	t.transaction = t.transaction.And(kv.Replace(h.recordKey(d.group.name), read.Revision, value, 0))
+	t.transaction = t.transaction.Merge(kv.Replace(h.recordKey(d.group.name), read.Revision, value, 0))
 	return t
 }
 
--- a/internal/gateway/fakestore_test.go
+++ b/internal/gateway/fakestore_test.go
@@ -100,9 +100,9 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	epoch := s.revision.Epoch() + 1
-	s.items, s.revision, s.keyLease = map[string]kv.Item{}, kv.At(epoch, b.revision.Number()), maps.Clone(b.keyLease)
+	s.items, s.revision, s.keyLease = map[string]kv.Item{}, kv.NewRevision(epoch, b.revision.Number()), maps.Clone(b.keyLease)
 	for key, i := range b.items {
-		i.Revision = kv.At(epoch, i.Revision.Number())
+		i.Revision = kv.NewRevision(epoch, i.Revision.Number())
 		s.items[key] = i
 	}
 	s.leases = map[int64]time.Time{}
@@ -192,7 +192,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.commits++
-	for _, e := range t.Expect {
+	for _, e := range t.Preconditions {
 		old := s.items[e.Key]
 		if old.Removed {
 			old.Revision = 0
--- a/internal/gateway/forward.go
+++ b/internal/gateway/forward.go
@@ -273,7 +273,7 @@
 func (h *Host) probeUntilRegained(id string) {
 	ctx, cancel := contextUntil(context.Background(), h.ended)
 	defer cancel()
-	for next := serving.RegainPause(0, 1); pause.For(ctx, next); next = serving.RegainPause(next, h.fleet.Suspects()) {
+	for next := serving.PeerRetryDelay(0, 1); pause.For(ctx, next); next = serving.PeerRetryDelay(next, h.fleet.Suspects()) {
 		addr, suspect := h.fleet.Suspect(id)
 		if !suspect {
 			return
--- a/internal/gateway/group.go
+++ b/internal/gateway/group.go
@@ -151,12 +151,12 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.maxStaleness = age
-	if p.Servers > 0 {
-		hosts = p.Servers
+	if p.ServerCount > 0 {
+		hosts = p.ServerCount
 	}
 	g.maxConnections, g.hostCount = max(1, c.Connections), max(1, hosts)
-	if p.Elsewhere != g.plan.Elsewhere {
-		g.log("serving", "here", !p.Elsewhere, "hosts", hosts)
+	if p.ServedByOthers != g.plan.ServedByOthers {
+		g.log("serving", "here", !p.ServedByOthers, "hosts", hosts)
 	}
 	g.plan = p
 	g.dispatch()
--- a/internal/gateway/host.go
+++ b/internal/gateway/host.go
@@ -151,7 +151,7 @@
 	}
 	h.storeView = follow.NewKnowledge(h.isLaterValue, now)
 	h.coordinatorLease.host = h
-	h.fleet = fleet.New(membership.Host{ID: s.Host, Zone: s.Zone, Peer: s.Peer, Strength: s.Strength})
+	h.fleet = fleet.New(membership.Host{ID: s.Host, Zone: s.Zone, Peer: s.Peer, Cores: s.Strength})
 	h.feeder = follow.NewFeeder(h.storeView, h.fleet, h.stopping.Load)
 	h.follower = follow.New(follow.Settings{Self: s.Peer, Seeds: s.Seeds, Hosts: h.hostsPrefix()}, follow.Ports{
 		Store: p.Store, Peers: p.Peers, Apply: h.applyChanges, Log: h.log,
--- a/internal/gateway/instrumented_store.go
+++ b/internal/gateway/instrumented_store.go
@@ -41,7 +41,7 @@
 	started := s.now()
 	out, err := s.store.List(ctx, r)
 	kind := "list"
-	if r.Stale {
+	if r.AllowStale {
 		kind = "list_stale"
 	}
 	s.observe(kind, started, err)
--- a/internal/gateway/lease_client.go
+++ b/internal/gateway/lease_client.go
@@ -132,7 +132,7 @@
 func (g *Group) servesHere() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return !g.plan.Elsewhere || g.isFallback(g.now()) || g.isIsolated()
+	return !g.plan.ServedByOthers || g.isFallback(g.now()) || g.isIsolated()
 }
 
 // needsLease reports whether the group's primary was needed here lately.
--- a/internal/gateway/local_replica.go
+++ b/internal/gateway/local_replica.go
@@ -18,7 +18,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := g.now()
-	if n.Primary || g.plan.Near == 0 || !g.plan.Elsewhere || g.isFallback(now) {
+	if n.Primary || g.plan.LocalReadConnections == 0 || !g.plan.ServedByOthers || g.isFallback(now) {
 		return false
 	}
 	for _, m := range g.sortedMembers {
@@ -33,7 +33,7 @@
 func (g *Group) hasLocalReplicas() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.plan.Near > 0
+	return g.plan.LocalReadConnections > 0
 }
 
 // isLocalReplica reports whether the member is a replica of this host's availability zone.
--- a/internal/gateway/pool_view.go
+++ b/internal/gateway/pool_view.go
@@ -33,7 +33,7 @@
 func (b poolView) Share(id string) int { return b.g.shareOf(b.g.members[id]) }
 
 // Borrows implements pool.Beliefs.
-func (b poolView) Borrows() bool { return !b.g.plan.Elsewhere }
+func (b poolView) Borrows() bool { return !b.g.plan.ServedByOthers }
 
 // Alive implements pool.Beliefs.
 func (b poolView) Alive(c *pool.Conn) bool { return b.g.conns[c].conn.Alive() }
@@ -50,10 +50,10 @@
 // has one of the replicas of its availability zone.
 func (g *Group) shareOf(m *member) int {
 	switch {
-	case g.plan.Elsewhere && g.isLocalReplica(m):
-		return max(g.plan.Near, g.share())
-	case g.hasDedicatedServers() && !g.plan.Elsewhere && m.ID != g.primaryID:
-		return max(g.share()-g.plan.NearTaken, 1)
+	case g.plan.ServedByOthers && g.isLocalReplica(m):
+		return max(g.plan.LocalReadConnections, g.share())
+	case g.hasDedicatedServers() && !g.plan.ServedByOthers && m.ID != g.primaryID:
+		return max(g.share()-g.plan.ReservedReadConnections, 1)
 	}
 	return g.share()
 }
@@ -63,7 +63,7 @@
 // the group has none, or one while it can't reach those that do.
 func (g *Group) share() int {
 	switch {
-	case !g.plan.Elsewhere || g.isFallback(g.now()):
+	case !g.plan.ServedByOthers || g.isFallback(g.now()):
 		return max(1, (g.maxConnections-reservedControlConns)/max(1, g.hostCount))
 	case g.isIsolated():
 		return 1
--- a/internal/gateway/primary.go
+++ b/internal/gateway/primary.go
@@ -302,7 +302,7 @@
 func (g *Group) ensurePrimary() {
 	g.mu.Lock()
 	known := g.primaryID != "" && !g.now().Before(g.primarySuspectUntil())
-	idle := g.plan.Elsewhere && !g.isIsolated() && !g.isFallback(g.now()) // those that serve the group find out
+	idle := g.plan.ServedByOthers && !g.isIsolated() && !g.isFallback(g.now()) // those that serve the group find out
 	if known || idle || g.searching || len(g.sortedMembers) == 0 {
 		g.mu.Unlock()
 		return
--- a/internal/gateway/record.go
+++ b/internal/gateway/record.go
@@ -156,7 +156,7 @@
 	if err != nil {
 		return err
 	}
-	written, err := d.commitInEpoch(ctx, r.Epoch, kv.Replace(d.host.recordKey(d.group.name), revision, value, 0).And(along))
+	written, err := d.commitInEpoch(ctx, r.Epoch, kv.Replace(d.host.recordKey(d.group.name), revision, value, 0).Merge(along))
 	if err != nil {
 		return err
 	}
--- a/internal/gateway/restore_test.go
+++ b/internal/gateway/restore_test.go
@@ -209,7 +209,7 @@
 		time.Sleep(1500 * time.Millisecond)
 		for _, h := range f.all() {
 			news, _, err := h.storeView.After(0)
-			if err != nil || !news.Whole {
+			if err != nil || !news.Full {
 				t.Fatalf("%+v, %v", news, err)
 			}
 			for _, i := range news.Items {
--- a/internal/gateway/serving.go
+++ b/internal/gateway/serving.go
@@ -22,13 +22,13 @@
 func (g *Group) servedElsewhere() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.plan.Elsewhere
+	return g.plan.ServedByOthers
 }
 
 func (g *Group) forwards() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if !g.plan.Elsewhere {
+	if !g.plan.ServedByOthers {
 		return false
 	}
 	now := g.now()
@@ -63,7 +63,7 @@
 	defer g.mu.Unlock()
 	return g.servingHosts.Of(version, func() servingHosts {
 		var out servingHosts
-		ranked, k := g.plan.Ranked, g.plan.Servers
+		ranked, k := g.plan.Ranked, g.plan.ServerCount
 		for _, o := range h.fleet.FirstUsable(ranked, k) {
 			if out.fallback = out.fallback || o.ID == h.settings.Host; o.ID != h.settings.Host {
 				out.servers = append(out.servers, o)
@@ -72,7 +72,7 @@
 		if len(out.servers) == 0 {
 			out.servers = ranked[:k]
 		}
-		out.servers = serving.Order(h.fleet.Self(), out.servers)
+		out.servers = serving.ForwardingOrder(h.fleet.Self(), out.servers)
 		return out
 	})
 }
@@ -81,7 +81,7 @@
 func (g *Group) startFallback() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if !g.plan.Elsewhere {
+	if !g.plan.ServedByOthers {
 		return
 	}
 	now := g.now()
@@ -93,7 +93,7 @@
 
 // isFallback reports whether the host serves the group in place of others. The group's lock is held.
 func (g *Group) isFallback(now time.Time) bool {
-	return g.plan.Elsewhere && now.Before(g.fallbackUntil)
+	return g.plan.ServedByOthers && now.Before(g.fallbackUntil)
 }
 
 // alternativeHosts returns the hosts that may reach the primary while this one serves the group and does not
@@ -106,9 +106,9 @@
 	plan := g.plan
 	g.mu.Unlock()
 	switch {
-	case plan.Elsewhere:
+	case plan.ServedByOthers:
 		return nil
-	case plan.Servers == 0:
+	case plan.ServerCount == 0:
 		return h.fleet.AllOthers()
 	}
 	return slices.DeleteFunc(slices.Clone(plan.Ranked), func(o membership.Host) bool { return o.ID == h.settings.Host })
@@ -186,4 +186,4 @@
 }
 
 // hasDedicatedServers reports whether a few hosts serve the group for all. The group's lock is held.
-func (g *Group) hasDedicatedServers() bool { return g.plan.Servers > 0 }
+func (g *Group) hasDedicatedServers() bool { return g.plan.ServerCount > 0 }
--- a/internal/gateway/store_changes.go
+++ b/internal/gateway/store_changes.go
@@ -19,8 +19,8 @@
 		return err
 	}
 	h.logApplied(applied)
-	h.keepFormerRecords(applied.Former)
-	if applied.Before == 0 {
+	h.keepFormerRecords(applied.Replaced)
+	if applied.PreviousRevision == 0 {
 		close(h.storeRead)
 	}
 	for _, i := range applied.Changed {
@@ -56,12 +56,12 @@
 }
 
 // logApplied writes lines on what news did to the view, but for plain changes.
-func (h *Host) logApplied(a kv.Applied) {
+func (h *Host) logApplied(a kv.ApplyResult) {
 	if a.Restored {
-		h.log("store_restored", "revision", h.storeView.Revision(), "known", a.Before, "changed", len(a.Former))
+		h.log("store_restored", "revision", h.storeView.Revision(), "known", a.PreviousRevision, "changed", len(a.Replaced))
 	}
-	for _, c := range a.PassedOver {
-		h.log("item_passed_over", "key", c.Found.Key, "revision", c.Found.Revision, "known", c.Known.Revision)
+	for _, c := range a.Rejected {
+		h.log("item_passed_over", "key", c.Received.Key, "revision", c.Received.Revision, "known", c.Known.Revision)
 	}
 }
 
--- a/internal/gateway/store_changes_bench_test.go
+++ b/internal/gateway/store_changes_bench_test.go
@@ -57,7 +57,7 @@
 	h := NewHost(Settings{Host: "host-0", Zone: "zone-0", Peer: netip.MustParseAddrPort("10.0.0.1:1")}, Ports{
 		Peers: &fakePeers{}, Decode: manyGroupsDecoder{}, Keys: Keys{Config: "config", MembersPrefix: "members/", OwnPrefix: "own/"},
 	}, testLogger(), time.Now)
-	news := follow.News{News: kv.News{Whole: true, Snapshot: kv.Snapshot{Revision: 1, Items: []kv.Item{{Key: "config", Value: binary.BigEndian.AppendUint32(nil, uint32(groups)), Revision: 1}}}}}
+	news := follow.News{Update: kv.Update{Full: true, Snapshot: kv.Snapshot{Revision: 1, Items: []kv.Item{{Key: "config", Value: binary.BigEndian.AppendUint32(nil, uint32(groups)), Revision: 1}}}}}
 	entry := func(i int) []byte { return fmt.Appendf(nil, "zone-%d 10.0.0.1:1", i%5) }
 	for i := range n {
 		news.Items = append(news.Items, kv.Item{Key: fmt.Sprint("own/hosts/host-", i), Value: entry(i), Revision: 1})
@@ -74,6 +74,6 @@
 	return h, func(name string, turn int) follow.News {
 		revision++
 		i := kv.Item{Key: "own/hosts/" + name, Value: entry(turn), Revision: revision}
-		return follow.News{News: kv.News{Snapshot: kv.Snapshot{Revision: revision, Items: []kv.Item{i}}}}
+		return follow.News{Update: kv.Update{Snapshot: kv.Snapshot{Revision: revision, Items: []kv.Item{i}}}}
 	}
 }
--- a/internal/host/configure.go
+++ b/internal/host/configure.go
@@ -246,7 +246,7 @@
 		_ = level.Warn(h.logger).Log("step", "fetch_hosts", "peer", "platform", "err", err)
 		return
 	}
-	h.table.Seed(hosts, time.Now())
+	h.table.MergeHostList(hosts, time.Now())
 	if !h.acquainted.Load() {
 		h.announce(ctx)
 		h.acquainted.Store(true)
--- a/internal/host/owners.go
+++ b/internal/host/owners.go
@@ -19,7 +19,7 @@
 
 // membersChanged is called when the set of live hosts has changed.
 func (h *Host) membersChanged() {
-	for _, c := range h.table.Claims() {
+	for _, c := range h.table.Statuses() {
 		if c.State == membership.Dead {
 			h.client.Forget(c.Host.Peer)
 		}
--- a/internal/host/peers.go
+++ b/internal/host/peers.go
@@ -67,7 +67,7 @@
 
 // Relay implements peer.Handler.
 func (h handler) Relay(ctx context.Context, m *peer.Relay) (*peer.Verdict, error) {
-	ctx, cancel := context.WithTimeout(ctx, h.timing.Patience)
+	ctx, cancel := context.WithTimeout(ctx, h.timing.ProbeTimeout)
 	defer cancel()
 	_, err := h.client.Probe(ctx, m.Target, h.ownProbe())
 	return &peer.Verdict{Yes: err == nil}, nil
@@ -116,7 +116,7 @@
 	now := time.Now()
 	for _, c := range m.Claims {
 		if c.Host.ID == m.From {
-			h.table.Revive(c.Host, now)
+			h.table.MarkAlive(c.Host, now)
 			if m.Received > h.conf.received() {
 				h.pullFrom(c.Host)
 			}
@@ -127,13 +127,13 @@
 
 // probeLoop probes one host a period, and refreshes the platform's list.
 func (h *Host) probeLoop(ctx context.Context) {
-	t := time.NewTicker(h.timing.Period)
+	t := time.NewTicker(h.timing.ProbeInterval)
 	defer t.Stop()
 	for {
 		select {
 		case <-t.C:
 			h.table.Tick(time.Now())
-			if target, ok := h.table.Next(rand.Shuffle); ok {
+			if target, ok := h.table.NextProbe(rand.Shuffle); ok {
 				h.done.Go(func() { h.probe(ctx, target) })
 			}
 		case <-ctx.Done():
@@ -182,14 +182,14 @@
 	case err == nil:
 	case ctx.Err() != nil:
 	case stderrors.Is(err, syscall.ECONNREFUSED):
-		h.table.Bury(target.ID, time.Now())
+		h.table.MarkDead(target.ID, time.Now())
 	case !h.relayed(ctx, target):
-		h.table.Suspect(target.ID, time.Now())
+		h.table.MarkSuspect(target.ID, time.Now())
 	}
 }
 
 func (h *Host) probeOnce(ctx context.Context, target membership.Host) error {
-	ctx, cancel := context.WithTimeout(ctx, h.timing.Patience)
+	ctx, cancel := context.WithTimeout(ctx, h.timing.ProbeTimeout)
 	defer cancel()
 	answer, err := h.client.Probe(ctx, target.Peer, h.ownProbe())
 	if err != nil {
@@ -201,7 +201,7 @@
 
 // relayed reports whether another host reaches the target.
 func (h *Host) relayed(ctx context.Context, target membership.Host) bool {
-	ctx, cancel := context.WithTimeout(ctx, 2*h.timing.Patience)
+	ctx, cancel := context.WithTimeout(ctx, 2*h.timing.ProbeTimeout)
 	defer cancel()
 	return h.anyOf(h.others(relays, target.ID), func(other membership.Host) bool {
 		v, err := h.client.Relay(ctx, other.Peer, &peer.Relay{Target: target.Peer})
--- a/internal/host/state.go
+++ b/internal/host/state.go
@@ -29,7 +29,7 @@
 		Callers:    h.callers.Callers(),
 		Goroutines: runtime.NumGoroutine(), HeapBytes: mem.HeapInuse,
 	}
-	for _, c := range h.table.Claims() {
+	for _, c := range h.table.Statuses() {
 		s.Hosts = append(s.Hosts, operator.HostState{
 			Host: c.Host.ID, Zone: c.Host.Zone, Peer: c.Host.Peer.String(), State: c.State.String(),
 			Leaving: c.Host.Leaving, Incarnation: c.Host.Incarnation,
--- a/internal/lab/configbench.go
+++ b/internal/lab/configbench.go
@@ -90,7 +90,7 @@
 			// The hosts share one machine, and all parse at the same moment: their
 			// probes must not take that for deaths.
 			t.Membership = membership.DefaultTiming()
-			t.Membership.Patience, t.Membership.Suspicion = sharedPatience, sharedPatience
+			t.Membership.ProbeTimeout, t.Membership.SuspicionTimeout = sharedPatience, sharedPatience
 			if baseline {
 				t.Net[2] += 10
 			}
--- a/internal/lab/slopes.go
+++ b/internal/lab/slopes.go
@@ -87,7 +87,7 @@
 			for i := range n {
 				list = append(list, membership.Host{ID: fmt.Sprintf("host-%d", i), Zone: "a", Peer: netip.MustParseAddrPort("10.0.0.1:7432")})
 			}
-			t.Seed(list, time.Now())
+			t.MergeHostList(list, time.Now())
 			t.Neighbours()
 			return t
 		})})
--- a/internal/site/backup.go
+++ b/internal/site/backup.go
@@ -39,7 +39,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	epoch := s.revision.Epoch() + 1
-	again := func(r kv.Revision) kv.Revision { return kv.At(epoch, r.Number()) }
+	again := func(r kv.Revision) kv.Revision { return kv.NewRevision(epoch, r.Number()) }
 	s.revision, s.forgotten, s.leaseOf = again(b.revision), again(b.forgotten), maps.Clone(b.leaseOf)
 	s.items, s.leases, s.history = map[string]kv.Item{}, map[int64]*lease{}, nil
 	for key, i := range b.items {
--- a/internal/site/store.go
+++ b/internal/site/store.go
@@ -225,7 +225,7 @@
 		s := v.store
 		out, changed := kv.Snapshot{Revision: s.revision}, s.changed
 		// A watcher names the number that it knows, whatever the epoch was.
-		after := kv.At(s.revision.Epoch(), after.Number())
+		after := kv.NewRevision(s.revision.Epoch(), after.Number())
 		forgotten := after < s.forgotten || after > s.revision
 		for _, i := range s.history {
 			if i.Revision > after && strings.HasPrefix(i.Key, prefix) {
@@ -257,7 +257,7 @@
 		return 0, err
 	}
 	s := v.store
-	for _, e := range t.Expect {
+	for _, e := range t.Preconditions {
 		if s.items[e.Key].Revision.Number() != e.Revision.Number() {
 			return 0, v.leave(gateway.ErrConflict)
 		}
--- a/internal/soak/flaw_test.go
+++ b/internal/soak/flaw_test.go
@@ -316,9 +316,9 @@
 type epochlessStore struct{ gateway.Store }
 
 func inFirstEpoch(s kv.Snapshot) kv.Snapshot {
-	s.Revision = kv.At(0, s.Revision.Number())
+	s.Revision = kv.NewRevision(0, s.Revision.Number())
 	for i := range s.Items {
-		s.Items[i].Revision = kv.At(0, s.Items[i].Revision.Number())
+		s.Items[i].Revision = kv.NewRevision(0, s.Items[i].Revision.Number())
 	}
 	return s
 }
@@ -336,7 +336,7 @@
 
 func (s epochlessStore) Commit(ctx context.Context, t kv.Transaction) (kv.Revision, error) {
 	out, err := s.Store.Commit(ctx, t)
-	return kv.At(0, out.Number()), err
+	return kv.NewRevision(0, out.Number()), err
 }
 
 func (s epochlessStore) Renew(ctx context.Context, lease int64) (kv.Epoch, error) {
--- a/io/peer/calls.go
+++ b/io/peer/calls.go
@@ -26,7 +26,7 @@
 	// From is the identifier of the sender.
 	From string
 	// Claims are the sender's, its own host's first.
-	Claims []membership.Claim
+	Claims []membership.Status
 	// Revision is the revision of the configuration that the sender has in
 	// force, and Received the one that it can pass on: it is received before it
 	// is in force.
@@ -56,7 +56,7 @@
 		var list []claimMessage
 		readList(r, &list)
 		for _, c := range list {
-			m.Claims = append(m.Claims, membership.Claim(c))
+			m.Claims = append(m.Claims, membership.Status(c))
 		}
 		return true
 	}
@@ -64,7 +64,7 @@
 }
 
 // claimMessage is a claim on the wire.
-type claimMessage membership.Claim
+type claimMessage membership.Status
 
 func (m *claimMessage) fields(w *fieldWriter) {
 	w.str("id", m.Host.ID)
--- a/io/peer/gateway_codec_test.go
+++ b/io/peer/gateway_codec_test.go
@@ -58,14 +58,14 @@
 		"news_elsewhere": &newsMessage{News: follow.News{
 			Elsewhere: []netip.AddrPort{netip.MustParseAddrPort("10.1.0.8:8782"), netip.MustParseAddrPort("10.2.0.6:8782")}, Age: time.Hour,
 		}, packer: &packer{}},
-		"feed_request_of_a_later_epoch": &feedRequest{after: kv.At(3, 412)},
-		"news_of_a_later_epoch": &newsMessage{News: follow.News{News: kv.News{
-			Snapshot: kv.Snapshot{Items: []kv.Item{{Key: "k", Value: []byte("v"), Revision: kv.At(3, 9), Created: 4}}, Revision: kv.At(3, 10)},
-			Whole:    true,
+		"feed_request_of_a_later_epoch": &feedRequest{after: kv.NewRevision(3, 412)},
+		"news_of_a_later_epoch": &newsMessage{News: follow.News{Update: kv.Update{
+			Snapshot: kv.Snapshot{Items: []kv.Item{{Key: "k", Value: []byte("v"), Revision: kv.NewRevision(3, 9), Created: 4}}, Revision: kv.NewRevision(3, 10)},
+			Full:     true,
 		}}, packer: &packer{}},
-		"news": &newsMessage{News: follow.News{News: kv.News{
+		"news": &newsMessage{News: follow.News{Update: kv.Update{
 			Snapshot: kv.Snapshot{Items: []kv.Item{item, {Key: "gone", Revision: 10, Removed: true}}, Revision: 10},
-			Whole:    true,
+			Full:     true,
 		}, Age: time.Second}, packer: &packer{}},
 	}
 }
@@ -132,7 +132,7 @@
 func TestLargeValuesAreCompressedOnce(t *testing.T) {
 	item := kv.Item{Key: "config", Value: []byte(strings.Repeat(`{"name":"r-68k7b2e","host":"fiti832ti23"}`, 1400)), Revision: 3}
 	p := &packer{}
-	text, err := encoding{}.Marshal(&newsMessage{News: follow.News{News: kv.News{Snapshot: kv.Snapshot{Items: []kv.Item{item}}}}, packer: p})
+	text, err := encoding{}.Marshal(&newsMessage{News: follow.News{Update: kv.Update{Snapshot: kv.Snapshot{Items: []kv.Item{item}}}}, packer: p})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -169,7 +169,7 @@
 	}
 	p := &packer{}
 	news := func(packs bool) *newsMessage {
-		return &newsMessage{News: follow.News{News: kv.News{Snapshot: s, Whole: true}}, packer: p, packs: packs}
+		return &newsMessage{News: follow.News{Update: kv.Update{Snapshot: s, Full: true}}, packer: p, packs: packs}
 	}
 	sizes := map[bool]int{}
 	for _, packs := range []bool{false, true} {
@@ -181,7 +181,7 @@
 		if err := (encoding{}).Unmarshal(text, &out); err != nil {
 			t.Fatal(err)
 		}
-		if !out.Whole || !reflect.DeepEqual(out.Items, s.Items) {
+		if !out.Full || !reflect.DeepEqual(out.Items, s.Items) {
 			t.Errorf("packed %t: the list came back changed", packs)
 		}
 		sizes[packs] = len(text)
--- a/io/peer/link_test.go
+++ b/io/peer/link_test.go
@@ -207,7 +207,7 @@
 	}
 	defer f.Close()
 	first, err := f.Next(soon)
-	if err != nil || !first.Whole || len(first.Items) != 3 || first.Revision != 2 {
+	if err != nil || !first.Full || len(first.Items) != 3 || first.Revision != 2 {
 		t.Fatalf("first %+v, %v", first, err)
 	}
 	s.change()
@@ -216,7 +216,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if next.Whole {
+		if next.Full {
 			t.Errorf("all was sent again: %+v", next)
 		}
 		if next.Revision == 3 {
--- a/io/peer/news_messages.go
+++ b/io/peer/news_messages.go
@@ -39,14 +39,14 @@
 
 func (m *newsMessage) fields(w *fieldWriter) {
 	w.uint("revision", uint64(m.Revision))
-	w.bool("whole", m.Whole)
+	w.bool("whole", m.Full)
 	w.duration("age_us", m.Age)
 	elsewhere := make([]addrMessage, len(m.Elsewhere))
 	for i, a := range m.Elsewhere {
 		elsewhere[i] = addrMessage{a}
 	}
 	writeList(w, "elsewhere", elsewhere)
-	if m.packs && m.Whole {
+	if m.packs && m.Full {
 		packed, err := m.packer.packList(m.Snapshot)
 		w.keep(err)
 		w.bytes("packed_items", packed)
@@ -66,7 +66,7 @@
 	case "revision":
 		return readNumber(r, &m.Revision)
 	case "whole":
-		return r.bool(&m.Whole)
+		return r.bool(&m.Full)
 	case "age_us":
 		return r.duration(&m.Age)
 	case "items":
