--- a/core/joining/step.go
+++ b/core/joining/step.go
@@ -11,15 +11,15 @@
 type (
 	// ReadStore reads everything from the store.
 	ReadStore struct{}
-	// CountHosts reads from the store which hosts are listed. The list may be some seconds old.
-	CountHosts struct{}
+	// ListHosts reads from the store which hosts are listed. The list may be some seconds old.
+	ListHosts struct{}
 	// AskHost asks another host to pass on what it knows.
 	AskHost struct{ Addr netip.AddrPort }
 	// Pause waits.
 	Pause struct{ For time.Duration }
 )
 
-func (ReadStore) isStep()  {}
-func (CountHosts) isStep() {}
-func (AskHost) isStep()    {}
-func (Pause) isStep()      {}
+func (ReadStore) isStep() {}
+func (ListHosts) isStep() {}
+func (AskHost) isStep()   {}
+func (Pause) isStep()     {}
--- a/core/leadership/change_test.go
+++ b/core/leadership/change_test.go
@@ -4,177 +4,177 @@
 	"pearlatch/core/group"
 )
 
-// change is how the holder of the duty replaces the primary.
-func (e *explorer) change(w world) {
-	e.adopt(w)
-	e.sample(w)
-	e.suspect(w)
-	e.recall(w)
-	e.fence(w)
-	e.choose(w)
-	e.carryOut(w)
+// changePrimary is how the holder of the duty replaces the primary.
+func (e *explorer) changePrimary(w modelState) {
+	e.adoptPrimary(w)
+	e.sampleFloor(w)
+	e.startFailover(w)
+	e.recallLeases(w)
+	e.fenceReplicas(w)
+	e.chooseSuccessor(w)
+	e.executePromotion(w)
 }
 
-// adopt makes the holder take the member for the primary that leads in the highest term it
+// adoptPrimary makes the holder take the member for the primary that leads in the highest term it
 // sees, unless an order is open that has not been carried out.
-func (e *explorer) adopt(w world) {
+func (e *explorer) adoptPrimary(w modelState) {
 	d := &w.duty
 	best := none
 	for m := range w.nodes {
 		n := &w.nodes[m]
-		known := n.term >= w.reached || !e.safe.recordOrder
-		if n.up && n.leads && known && w.reach(m) && (best == none || n.term > w.nodes[best].term) {
+		known := n.term >= w.recordedTerm || !e.safeguards.recordOrder
+		if n.up && n.leads && known && w.holderReaches(m) && (best == none || n.term > w.nodes[best].term) {
 			best = m
 		}
 	}
 	if best == none || d.stage == recalling || d.stage == fencing || d.primary == int8(best) && d.stage == granting {
 		return
 	}
-	open := w.recorded != none && e.safe.recordOrder
-	if open && w.recorded != int8(best) || d.stage == ordered && d.target != int8(best) {
+	open := w.recordedOrder != none && e.safeguards.recordOrder
+	if open && w.recordedOrder != int8(best) || d.stage == ordered && d.target != int8(best) {
 		return
 	}
 	switch {
-	case d.stage == ordered && !d.left:
+	case d.stage == ordered && !d.memberLeft:
 		// The successor was chosen for what it held, whoever had left before.
-		d.floor = d.held[best]
+		d.floor = d.fencedLength[best]
 	case d.primary != none && d.primary != int8(best) && !w.nodes[d.primary].listed:
 		d.floor = none // the primary before has left, which was no replica then
 	}
-	d.primary, d.stage, d.target, d.looked = int8(best), granting, none, false
-	d.answered, d.held = [members]bool{}, [members]int8{}
-	w.recorded, w.reached = none, max(w.reached, w.nodes[best].term)
-	e.add("adopt "+name(best), w, "")
+	d.primary, d.stage, d.target, d.rechecked = int8(best), granting, none, false
+	d.fenced, d.fencedLength = [memberCount]bool{}, [memberCount]int8{}
+	w.recordedOrder, w.recordedTerm = none, max(w.recordedTerm, w.nodes[best].term)
+	e.add("adopt "+memberName(best), w, "")
 }
 
-// sample takes the primary's position as the floor for a successor.
-func (e *explorer) sample(w world) {
+// sampleFloor takes the primary's position as the floor for a successor.
+func (e *explorer) sampleFloor(w modelState) {
 	d := &w.duty
-	if d.stage != granting || d.primary == none || d.floor != none || !w.reach(int(d.primary)) || !w.nodes[d.primary].up {
+	if d.stage != granting || d.primary == none || d.floor != none || !w.holderReaches(int(d.primary)) || !w.nodes[d.primary].up {
 		return
 	}
 	d.floor = w.nodes[d.primary].length
 	e.add("sample", w, "")
 }
 
-// suspect makes the holder set out to replace the primary, rightly or not.
-func (e *explorer) suspect(w world) {
-	if w.duty.stage != granting || w.duty.primary == none || w.recorded != none && e.safe.recordOrder {
+// startFailover makes the holder set out to replace the primary, rightly or not.
+func (e *explorer) startFailover(w modelState) {
+	if w.duty.stage != granting || w.duty.primary == none || w.recordedOrder != none && e.safeguards.recordOrder {
 		return
 	}
 	w.duty.stage = recalling
-	if !e.safe.waitForLeases {
+	if !e.safeguards.waitForLeases {
 		w.duty.stage = fencing
 	}
 	e.add("suspect", w, "")
 }
 
-func (e *explorer) recall(w world) {
+func (e *explorer) recallLeases(w modelState) {
 	d := &w.duty
 	if d.stage != recalling {
 		return
 	}
-	for h := range w.servers {
-		if d.granted[h] && w.servers[h].side == w.servers[d.host].side {
+	for h := range w.hosts {
+		if d.leased[h] && w.hosts[h].partition == w.hosts[d.host].partition {
 			next := w
-			next.servers[h].lease, next.servers[h].recalled = none, d.primary
-			next.duty.granted[h] = false
+			next.hosts[h].lease, next.hosts[h].recalled = none, d.primary
+			next.duty.leased[h] = false
 			e.add("recall", next, "")
 		}
 	}
-	if d.granted == [hosts]bool{} && !(e.safe.outwait && w.former.active) {
+	if d.leased == [hostCount]bool{} && !(e.safeguards.waitForFormerHolder && w.former.active) {
 		d.stage = fencing
 		e.add("all leases ended", w, "")
 	}
 }
 
-func (e *explorer) fence(w world) {
+func (e *explorer) fenceReplicas(w modelState) {
 	d := &w.duty
 	if d.stage != fencing {
 		return
 	}
 	for m := range w.nodes {
 		n := &w.nodes[m]
-		if int8(m) == d.primary || d.answered[m] || d.looked || !n.up || !w.reach(m) || n.leads {
+		if int8(m) == d.primary || d.fenced[m] || d.rechecked || !n.up || !w.holderReaches(m) || n.leads {
 			continue
 		}
 		next := w
-		if e.safe.fence {
-			next.nodes[m].fenced = n.term + 1
+		if e.safeguards.fenceReplicas {
+			next.nodes[m].fenceTerm = n.term + 1
 		}
-		next.duty.answered[m], next.duty.held[m] = true, n.length
-		e.add("fence "+name(m), next, "")
+		next.duty.fenced[m], next.duty.fencedLength[m] = true, n.length
+		e.add("fence "+memberName(m), next, "")
 	}
-	if e.safe.lookAgain && e.safe.fence && !d.looked && d.answered != [members]bool{} {
-		e.lookAgain(w)
+	if e.safeguards.recheckReplicas && e.safeguards.fenceReplicas && !d.rechecked && d.fenced != [memberCount]bool{} {
+		e.recheckReplicas(w)
 	}
 }
 
-// lookAgain asks the replicas once more after all were fenced that could be. One that is no
+// recheckReplicas asks the replicas once more after all were fenced that could be. One that is no
 // longer fenced was started again meanwhile.
-func (e *explorer) lookAgain(w world) {
+func (e *explorer) recheckReplicas(w modelState) {
 	d := &w.duty
-	d.looked = true
+	d.rechecked = true
 	for m := range w.nodes {
 		n := &w.nodes[m]
-		if d.answered[m] && (!n.up || !w.reach(m) || n.fenced <= n.term) {
-			d.answered[m] = false
+		if d.fenced[m] && (!n.up || !w.holderReaches(m) || n.fenceTerm <= n.term) {
+			d.fenced[m] = false
 		}
-		d.held[m] = 0
-		if d.answered[m] {
-			d.held[m] = n.length
+		d.fencedLength[m] = 0
+		if d.fenced[m] {
+			d.fencedLength[m] = n.length
 		}
 	}
 	e.add("look again", w, "")
 }
 
-// choose orders the promotion of a replica that holds everything, or gives up.
-func (e *explorer) choose(w world) {
+// chooseSuccessor orders the promotion of a replica that holds everything, or gives up.
+func (e *explorer) chooseSuccessor(w modelState) {
 	d := &w.duty
 	if d.stage != fencing {
 		return
 	}
 	resumed := w
-	resumed.duty.stage, resumed.duty.looked = granting, false
-	resumed.duty.answered, resumed.duty.held = [members]bool{}, [members]int8{}
-	if p := d.primary; w.nodes[p].up && w.nodes[p].leads && w.reach(int(p)) {
+	resumed.duty.stage, resumed.duty.rechecked = granting, false
+	resumed.duty.fenced, resumed.duty.fencedLength = [memberCount]bool{}, [memberCount]int8{}
+	if p := d.primary; w.nodes[p].up && w.nodes[p].leads && w.holderReaches(int(p)) {
 		for m := range resumed.nodes {
-			if resumed.reach(m) {
-				resumed.nodes[m].fenced = 0
+			if resumed.holderReaches(m) {
+				resumed.nodes[m].fenceTerm = 0
 			}
 		}
 		e.add("resume", resumed, "")
 	}
-	best, ok := group.Successor(nil, w.standbys(e.safe))
-	if !ok || w.late != none || e.safe.lookAgain && e.safe.fence && !d.looked {
+	best, ok := group.Successor(nil, w.standbys(e.safeguards))
+	if !ok || w.pendingOrder != none || e.safeguards.recheckReplicas && e.safeguards.fenceReplicas && !d.rechecked {
 		return
 	}
 	target := int8(best.Member[0] - 'a')
-	d.stage, d.target, d.left, w.late, w.recorded = ordered, target, false, target, target
+	d.stage, d.target, d.memberLeft, w.pendingOrder, w.recordedOrder = ordered, target, false, target, target
 	e.add("order "+best.Member, w, "")
 }
 
 // standbys are the replicas as the holder knows them.
-func (w *world) standbys(safe safeguards) []group.Standby {
+func (w *modelState) standbys(safe safeguards) []group.Standby {
 	var out []group.Standby
 	d := &w.duty
 	for m := range w.nodes {
 		n := &w.nodes[m]
-		departed := !d.answered[m] && !n.listed && !n.up && w.reach(m)
+		departed := !d.fenced[m] && !n.listed && !n.up && w.holderReaches(m)
 		if int8(m) == d.primary || departed {
 			continue
 		}
 		out = append(out, group.Standby{
-			Member: name(m), Answered: d.answered[m], Fenced: d.answered[m], Received: position(d.held[m]),
-			Complete: !safe.floor || d.floor != none && d.held[m] >= d.floor,
+			Member: memberName(m), Answered: d.fenced[m], Fenced: d.fenced[m], Received: logPosition(d.fencedLength[m]),
+			Complete: !safe.requireFloor || d.floor != none && d.fencedLength[m] >= d.floor,
 		})
 	}
 	return out
 }
 
-// carryOut is the platform's part: the member leads the next term with what it holds.
-func (e *explorer) carryOut(w world) {
-	m := w.late
+// executePromotion is the platform's part: the member leads the next term with what it holds.
+func (e *explorer) executePromotion(w modelState) {
+	m := w.pendingOrder
 	if m == none || !w.nodes[m].up {
 		return
 	}
@@ -185,26 +185,26 @@
 	if top == maxTerms {
 		return
 	}
-	w.late = none
+	w.pendingOrder = none
 	n := &w.nodes[m]
 	fault := ""
-	if lost := w.lost(n); lost != "" && !n.leads {
+	if lost := w.missingWrite(n); lost != "" && !n.leads {
 		fault = "promoted without an acknowledged write"
 	}
-	n.leads, n.term, n.fenced = true, top+1, 0
+	n.leads, n.term, n.fenceTerm = true, top+1, 0
 	for i := range w.nodes {
-		w.nodes[i].fenced = 0
-		if int8(i) != m && w.nodes[i].up && w.nodes[i].side == n.side {
+		w.nodes[i].fenceTerm = 0
+		if int8(i) != m && w.nodes[i].up && w.nodes[i].partition == n.partition {
 			w.nodes[i].follow(n)
 		}
 	}
-	e.add("promote "+name(int(m)), w, fault)
+	e.add("promote "+memberName(int(m)), w, fault)
 }
 
 // follow makes a member a replica of one that leads in a later term.
 func (n *node) follow(leader *node) {
 	n.leads, n.term = false, leader.term
 	if n.length > leader.length {
-		n.take(leader)
+		n.copyLog(leader)
 	}
 }
--- a/core/leadership/claim.go
+++ b/core/leadership/claim.go
@@ -6,20 +6,20 @@
 	// claimStagger is how much longer each host of a lower rank waits before it takes a duty that nobody holds, so that
 	// the first one usually succeeds.
 	claimStagger = 150 * time.Millisecond
-	// usualLag is how long news take to a host of a small fleet.
-	usualLag = 100 * time.Millisecond
-	// longestLag bounds the lag that is waited for.
-	longestLag = 2 * time.Second
+	// typicalLag is how long news take to a host of a small fleet.
+	typicalLag = 100 * time.Millisecond
+	// maxLag bounds the lag that is waited for.
+	maxLag = 2 * time.Second
 )
 
-// ClaimWait returns how long nobody must have held a duty until a host takes it, while so many hosts come before it and
+// ClaimDelay returns how long nobody must have held a duty until a host takes it, while so many hosts come before it and
 // news of what others write take so long to reach it.
 //
 // The load that it answers is a fleet that starts: a thousand duties are vacant at once, and it takes a second or two until
 // a host hears that those before it have taken theirs. Hosts that waited for a fixed time tried in vain, each by itself.
-func ClaimWait(before int, lag time.Duration) time.Duration {
+func ClaimDelay(before int, lag time.Duration) time.Duration {
 	if before == 0 {
 		return 0
 	}
-	return time.Duration(before)*claimStagger + 2*min(max(0, lag-usualLag), longestLag)
+	return time.Duration(before)*claimStagger + 2*min(max(0, lag-typicalLag), maxLag)
 }
--- a/core/leadership/duty.go
+++ b/core/leadership/duty.go
@@ -35,38 +35,38 @@
 	// Held is true if this host took the duty at Token and knows of no other holder.
 	Held  bool
 	Token kv.Revision
-	// Entry is the revision at which the duty's entry was written, or zero if there is none. Own is true if it names
+	// EntryRevision is the revision at which the duty's entry was written, or zero if there is none. Own is true if it names
 	// this host.
-	Entry kv.Revision
-	Own   bool
-	// Known is the revision up to which the host knows the store.
-	Known kv.Revision
-	// Stopping is true once the host is to end, and MayServe while it may take duties. Candidate is true if it is among
-	// the hosts that take this one when nobody holds it, and Informed while its news of the store are recent: a host
+	EntryRevision kv.Revision
+	OwnEntry      bool
+	// StoreRevision is the revision up to which the host knows the store.
+	StoreRevision kv.Revision
+	// Stopping is true once the host is to end, and MayTakeDuty while it may take duties. Candidate is true if it is among
+	// the hosts that take this one when nobody holds it, and UpToDate while its news of the store are recent: a host
 	// whose news lag would try to take what others hold by now.
-	Stopping, MayServe, Candidate, Informed bool
-	// Inherited is true once the record of the holder before was read.
-	Inherited bool
+	Stopping, MayTakeDuty, Candidate, UpToDate bool
+	// RecordInherited is true once the record of the holder before was read.
+	RecordInherited bool
 }
 
 // Next returns the next step.
 func (d DutyState) Next() DutyStep {
 	switch {
-	case d.Held && d.Known.Epoch() > d.Token.Epoch():
+	case d.Held && d.StoreRevision.Epoch() > d.Token.Epoch():
 		return LoseToRestore
-	case d.Held && d.Entry > d.Token:
+	case d.Held && d.EntryRevision > d.Token:
 		return LoseToHolder
-	case d.Held && d.Entry == 0 && d.Known > d.Token:
+	case d.Held && d.EntryRevision == 0 && d.StoreRevision > d.Token:
 		return LoseToRemoval
 	case d.Held && d.Stopping:
 		return ResignDuty
-	case d.Held && !d.Inherited:
+	case d.Held && !d.RecordInherited:
 		return InheritRecord
 	case d.Held:
 		return KeepDuty
-	case d.Entry > d.Token && d.Own && d.MayServe:
+	case d.EntryRevision > d.Token && d.OwnEntry && d.MayTakeDuty:
 		return ReclaimDuty
-	case d.Entry != 0 || !d.MayServe || !d.Candidate || !d.Informed:
+	case d.EntryRevision != 0 || !d.MayTakeDuty || !d.Candidate || !d.UpToDate:
 		return ForgetVacancy
 	}
 	return ClaimDuty
--- a/core/leadership/inherit.go
+++ b/core/leadership/inherit.go
@@ -6,17 +6,17 @@
 	"pearlatch/core/kv"
 )
 
-// Found is a record as a host found it in the store.
-type Found struct {
+// StoredRecord is a record as a host found it in the store.
+type StoredRecord struct {
 	Record
-	// At is the revision at which its holder wrote it, or zero if there is no record. A copy of the store keeps that
+	// Revision is the revision at which its holder wrote it, or zero if there is no record. A copy of the store keeps that
 	// revision's number, so its epoch is the record's own.
-	At kv.Revision
+	Revision kv.Revision
 }
 
-// NewFound returns a record that a store shows at a revision.
-func NewFound(r Record, shown kv.Revision) Found {
-	return Found{r, kv.NewRevision(r.Epoch, shown.Number())}
+// NewStoredRecord returns a record that a store shows at a revision.
+func NewStoredRecord(r Record, shown kv.Revision) StoredRecord {
+	return StoredRecord{r, kv.NewRevision(r.Epoch, shown.Number())}
 }
 
 // Inherit returns the record on which a holder goes on that has taken the duty in an epoch, out of the one in the store
@@ -25,14 +25,14 @@
 //
 // certain is false if another host may have held the duty since the record was written, and wrote nothing that has
 // outlasted the store's return. Then it was not handed back, whatever the record says.
-func Inherit(stored, remembered Found, taken kv.Epoch) (out Found, certain bool) {
+func Inherit(stored, remembered StoredRecord, taken kv.Epoch) (out StoredRecord, certain bool) {
 	out = stored
-	if stored.At.Epoch() < taken && remembered.At > stored.At {
+	if stored.Revision.Epoch() < taken && remembered.Revision > stored.Revision {
 		out = remembered
 		out.Grantees = Union(stored.Grantees, remembered.Grantees...)
 		out.Granters = Union(stored.Granters, remembered.Granters...)
 	}
-	if certain = out.At.Epoch() == taken; !certain {
+	if certain = out.Revision.Epoch() == taken; !certain {
 		out.HandedBack = false
 	}
 	return out, certain
--- a/core/leadership/inherit_test.go
+++ b/core/leadership/inherit_test.go
@@ -8,21 +8,21 @@
 )
 
 func TestInherit(t *testing.T) {
-	record := func(holder string, epoch kv.Epoch, number int64, handedBack bool) Found {
-		return NewFound(Record{Holder: holder, Epoch: epoch, HandedBack: handedBack, Grantees: []string{holder}}, kv.NewRevision(epoch+1, number))
+	record := func(holder string, epoch kv.Epoch, number int64, handedBack bool) StoredRecord {
+		return NewStoredRecord(Record{Holder: holder, Epoch: epoch, HandedBack: handedBack, Grantees: []string{holder}}, kv.NewRevision(epoch+1, number))
 	}
 	for _, c := range []struct {
 		name               string
-		stored, remembered Found
+		stored, remembered StoredRecord
 		taken              kv.Epoch
 		holder             string
 		grantees           []string
 		certain, handed    bool
 	}{
-		{"nothing, in the first epoch", Found{}, Found{}, 0, "", nil, true, false},
-		{"nothing, after the store came back", Found{}, Found{}, 1, "", nil, false, false},
-		{"handed back in this epoch", record("a", 1, 30, true), Found{}, 1, "a", []string{"a"}, true, true},
-		{"handed back in the copy", record("a", 0, 30, true), Found{}, 1, "a", []string{"a"}, false, false},
+		{"nothing, in the first epoch", StoredRecord{}, StoredRecord{}, 0, "", nil, true, false},
+		{"nothing, after the store came back", StoredRecord{}, StoredRecord{}, 1, "", nil, false, false},
+		{"handed back in this epoch", record("a", 1, 30, true), StoredRecord{}, 1, "a", []string{"a"}, true, true},
+		{"handed back in the copy", record("a", 0, 30, true), StoredRecord{}, 1, "a", []string{"a"}, false, false},
 		{"a newer one is remembered", record("a", 0, 30, true), record("b", 0, 37, false), 1, "b", []string{"a", "b"}, false, false},
 		{"an older one is remembered", record("a", 0, 30, false), record("b", 0, 20, false), 1, "a", []string{"a"}, false, false},
 		{"one of this epoch stands over the remembered one", record("c", 1, 31, true), record("b", 0, 37, false), 1, "c", []string{"c"}, true, true},
--- a/core/leadership/leadership_test.go
+++ b/core/leadership/leadership_test.go
@@ -8,32 +8,32 @@
 	"pearlatch/core/group"
 )
 
-func at(ms int) time.Time { return time.Unix(1000, 0).Add(time.Duration(ms) * time.Millisecond) }
+func timeAt(ms int) time.Time { return time.Unix(1000, 0).Add(time.Duration(ms) * time.Millisecond) }
 
-func lease(member string, term group.Term, asked int, granted time.Duration) Lease {
-	return Lease{Member: member, Term: term, From: at(asked), Until: at(asked).Add(granted)}
+func newLease(member string, term group.Term, asked int, granted time.Duration) Lease {
+	return Lease{Member: member, Term: term, From: timeAt(asked), Until: timeAt(asked).Add(granted)}
 }
 
 func TestGrant(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		now  int
-		s    Standing
+		s    GrantLimits
 		want time.Duration
 	}{
-		{"heard just now", 0, Standing{Heard: at(0), DutyEnds: at(5000)}, Duration},
-		{"heard a while ago", 300, Standing{Heard: at(0), DutyEnds: at(5000)}, Duration - 300*time.Millisecond},
-		{"the duty ends first", 0, Standing{Heard: at(0), DutyEnds: at(400)}, 400 * time.Millisecond},
-		{"too short to be of use", 950, Standing{Heard: at(0), DutyEnds: at(5000)}, 0},
-		{"the duty has ended", 500, Standing{Heard: at(500), DutyEnds: at(400)}, 0},
-		{"a primary heard of after the question came", 0, Standing{Heard: at(200), DutyEnds: at(5000)}, Duration},
+		{"heard just now", 0, GrantLimits{LastReply: timeAt(0), DutyUntil: timeAt(5000)}, LeaseDuration},
+		{"heard a while ago", 300, GrantLimits{LastReply: timeAt(0), DutyUntil: timeAt(5000)}, LeaseDuration - 300*time.Millisecond},
+		{"the duty ends first", 0, GrantLimits{LastReply: timeAt(0), DutyUntil: timeAt(400)}, 400 * time.Millisecond},
+		{"too short to be of use", 950, GrantLimits{LastReply: timeAt(0), DutyUntil: timeAt(5000)}, 0},
+		{"the duty has ended", 500, GrantLimits{LastReply: timeAt(500), DutyUntil: timeAt(400)}, 0},
+		{"a primary heard of after the question came", 0, GrantLimits{LastReply: timeAt(200), DutyUntil: timeAt(5000)}, LeaseDuration},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			var g Grants
-			if got := g.Grant("h", at(c.now), c.s); got != c.want {
+			if got := g.Grant("h", timeAt(c.now), c.s); got != c.want {
 				t.Errorf("%s, want %s", got, c.want)
 			}
-			if open := len(g.Outstanding(at(c.now))) == 1; open != (c.want > 0) {
+			if open := len(g.Outstanding(timeAt(c.now))) == 1; open != (c.want > 0) {
 				t.Errorf("outstanding: %v", open)
 			}
 		})
@@ -42,72 +42,72 @@
 
 func TestOutstanding(t *testing.T) {
 	var g Grants
-	g.Grant("a", at(0), Standing{Heard: at(0), DutyEnds: at(5000)})
-	g.Grant("b", at(500), Standing{Heard: at(500), DutyEnds: at(5000)})
-	g.Grant("a", at(100), Standing{Heard: at(-700), DutyEnds: at(5000)}) // a shorter one does not end the longer
-	if got := g.Outstanding(at(900)); !slices.Equal(got, []string{"a", "b"}) {
+	g.Grant("a", timeAt(0), GrantLimits{LastReply: timeAt(0), DutyUntil: timeAt(5000)})
+	g.Grant("b", timeAt(500), GrantLimits{LastReply: timeAt(500), DutyUntil: timeAt(5000)})
+	g.Grant("a", timeAt(100), GrantLimits{LastReply: timeAt(-700), DutyUntil: timeAt(5000)}) // a shorter one does not end the longer
+	if got := g.Outstanding(timeAt(900)); !slices.Equal(got, []string{"a", "b"}) {
 		t.Errorf("%v", got)
 	}
-	if got := g.Outstanding(at(1100)); !slices.Equal(got, []string{"b"}) {
+	if got := g.Outstanding(timeAt(1100)); !slices.Equal(got, []string{"b"}) {
 		t.Errorf("%v", got)
 	}
-	g.Returned("b")
-	if got := g.Outstanding(at(1100)); len(got) > 0 || !g.End().IsZero() {
-		t.Errorf("%v until %v", got, g.End())
+	g.Release("b")
+	if got := g.Outstanding(timeAt(1100)); len(got) > 0 || !g.LastEnd().IsZero() {
+		t.Errorf("%v until %v", got, g.LastEnd())
 	}
 }
 
 // The host counts a lease from when it asked, the holder from when it was asked: the host's
 // ends first, so no promotion can come while the host still counts on it.
-func TestLeaseEndsAtTheHostFirst(t *testing.T) {
+func TestLeaseEndsAtHostFirst(t *testing.T) {
 	var g Grants
-	granted := g.Grant("h", at(40), Standing{Heard: at(40), DutyEnds: at(5000)})
-	l := Lease{}.Extend(lease("m", 1, 0, granted))
-	if !g.End().After(l.Until) {
-		t.Errorf("the holder waits until %v, the host counts on it until %v", g.End(), l.Until)
+	granted := g.Grant("h", timeAt(40), GrantLimits{LastReply: timeAt(40), DutyUntil: timeAt(5000)})
+	l := Lease{}.Extend(newLease("m", 1, 0, granted))
+	if !g.LastEnd().After(l.Until) {
+		t.Errorf("the holder waits until %v, the host counts on it until %v", g.LastEnd(), l.Until)
 	}
 }
 
 // In a planned change the host keeps its lease for writes. What it reads must be proven
 // otherwise, and another holder's unplanned change must wait for it as well.
-func TestHandedLease(t *testing.T) {
+func TestDowngradedLease(t *testing.T) {
 	var g Grants
-	g.Grant("h", at(0), Standing{Heard: at(0), DutyEnds: at(5000)})
-	g.Handed("h")
-	if len(g.Reading(at(500))) > 0 || len(g.Outstanding(at(500))) != 1 {
-		t.Errorf("reading %v, outstanding %v", g.Reading(at(500)), g.Outstanding(at(500)))
+	g.Grant("h", timeAt(0), GrantLimits{LastReply: timeAt(0), DutyUntil: timeAt(5000)})
+	g.Downgrade("h")
+	if len(g.OutstandingFull(timeAt(500))) > 0 || len(g.Outstanding(timeAt(500))) != 1 {
+		t.Errorf("reading %v, outstanding %v", g.OutstandingFull(timeAt(500)), g.Outstanding(timeAt(500)))
 	}
-	g.Grant("h", at(500), Standing{Heard: at(500), DutyEnds: at(5000), HandsOver: true})
-	if len(g.Reading(at(600))) > 0 || len(g.Outstanding(at(1400))) != 1 {
-		t.Errorf("reading %v, outstanding %v", g.Reading(at(600)), g.Outstanding(at(1400)))
+	g.Grant("h", timeAt(500), GrantLimits{LastReply: timeAt(500), DutyUntil: timeAt(5000), InSwitchover: true})
+	if len(g.OutstandingFull(timeAt(600))) > 0 || len(g.Outstanding(timeAt(1400))) != 1 {
+		t.Errorf("reading %v, outstanding %v", g.OutstandingFull(timeAt(600)), g.Outstanding(timeAt(1400)))
 	}
-	l := lease("m", 1, 0, time.Second).Handed()
-	if l.Covers("m", at(500)) || !l.Keeps("m", at(500)) || l.Keeps("m", at(1000)) {
+	l := newLease("m", 1, 0, time.Second).Downgraded()
+	if l.CoversReads("m", timeAt(500)) || !l.CoversWrites("m", timeAt(500)) || l.CoversWrites("m", timeAt(1000)) {
 		t.Errorf("%+v", l)
 	}
-	if full := l.Extend(lease("m", 1, 300, time.Second)); !full.Covers("m", at(400)) || full.Covers("m", at(200)) {
+	if full := l.Extend(newLease("m", 1, 300, time.Second)); !full.CoversReads("m", timeAt(400)) || full.CoversReads("m", timeAt(200)) {
 		t.Errorf("a full lease after a handed one: %+v", full)
 	}
 }
 
-func TestUndisputed(t *testing.T) {
-	follows := Answer{Member: "b", Answered: true, Term: 1}
+func TestWriteConfirmed(t *testing.T) {
+	follows := ProbeResult{Member: "b", Answered: true, Term: 1}
 	for _, c := range []struct {
 		name    string
-		answers []Answer
+		answers []ProbeResult
 		want    bool
 	}{
-		{"both follow", []Answer{follows, {Member: "c", Answered: true, Term: 1}}, true},
-		{"one is silent", []Answer{follows, {Member: "c"}}, false},
-		{"one has ended", []Answer{follows, {Member: "c", Ended: true}}, false},
-		{"both have ended", []Answer{{Member: "b", Ended: true}, {Member: "c", Ended: true}}, false},
-		{"one is fenced", []Answer{follows, {Member: "c", Answered: true, Term: 1, Fenced: 2}}, false},
-		{"one was fenced in an earlier term", []Answer{follows, {Member: "c", Answered: true, Term: 1, Fenced: 1}}, true},
-		{"one leads", []Answer{follows, {Member: "c", Answered: true, Leads: true, Term: 2}}, false},
-		{"only the primary answers", []Answer{{Member: "a", Answered: true, Leads: true, Term: 1}}, false},
+		{"both follow", []ProbeResult{follows, {Member: "c", Answered: true, Term: 1}}, true},
+		{"one is silent", []ProbeResult{follows, {Member: "c"}}, false},
+		{"one has ended", []ProbeResult{follows, {Member: "c", ProcessEnded: true}}, false},
+		{"both have ended", []ProbeResult{{Member: "b", ProcessEnded: true}, {Member: "c", ProcessEnded: true}}, false},
+		{"one is fenced", []ProbeResult{follows, {Member: "c", Answered: true, Term: 1, FenceTerm: 2}}, false},
+		{"one was fenced in an earlier term", []ProbeResult{follows, {Member: "c", Answered: true, Term: 1, FenceTerm: 1}}, true},
+		{"one leads", []ProbeResult{follows, {Member: "c", Answered: true, Leads: true, Term: 2}}, false},
+		{"only the primary answers", []ProbeResult{{Member: "a", Answered: true, Leads: true, Term: 1}}, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			if got := Undisputed("a", 1, []string{"a", "b", "c"}, c.answers); got != c.want {
+			if got := WriteConfirmed("a", 1, []string{"a", "b", "c"}, c.answers); got != c.want {
 				t.Errorf("%v", got)
 			}
 		})
@@ -115,69 +115,69 @@
 }
 
 func TestExtend(t *testing.T) {
-	l := Lease{}.Extend(lease("m", 1, 0, time.Second))
-	row := l.Extend(lease("m", 1, 300, time.Second))
-	if !row.Covers("m", at(100)) || !row.Covers("m", at(1200)) || row.Covers("m", at(1300)) {
+	l := Lease{}.Extend(newLease("m", 1, 0, time.Second))
+	row := l.Extend(newLease("m", 1, 300, time.Second))
+	if !row.CoversReads("m", timeAt(100)) || !row.CoversReads("m", timeAt(1200)) || row.CoversReads("m", timeAt(1300)) {
 		t.Errorf("an unbroken row: %+v", row)
 	}
-	gap := l.Extend(lease("m", 1, 1500, time.Second))
-	if gap.Covers("m", at(1200)) || gap.Covers("m", at(500)) || !gap.Covers("m", at(1500)) {
+	gap := l.Extend(newLease("m", 1, 1500, time.Second))
+	if gap.CoversReads("m", timeAt(1200)) || gap.CoversReads("m", timeAt(500)) || !gap.CoversReads("m", timeAt(1500)) {
 		t.Errorf("after a gap: %+v", gap)
 	}
-	next := l.Extend(lease("n", 2, 300, time.Second))
-	if next.Covers("m", at(400)) || next.Covers("n", at(200)) || !next.Covers("n", at(400)) {
+	next := l.Extend(newLease("n", 2, 300, time.Second))
+	if next.CoversReads("m", timeAt(400)) || next.CoversReads("n", timeAt(200)) || !next.CoversReads("n", timeAt(400)) {
 		t.Errorf("another primary: %+v", next)
 	}
-	if (Lease{}).Covers("", at(0)) {
+	if (Lease{}).CoversReads("", timeAt(0)) {
 		t.Error("the zero lease covers something")
 	}
 }
 
-func TestUnchallenged(t *testing.T) {
+func TestPrimaryConfirmed(t *testing.T) {
 	members := []string{"a", "b", "c"}
-	follows := func(m string, term group.Term) Answer { return Answer{Member: m, Answered: true, Term: term} }
-	leads := Answer{Member: "c", Answered: true, Leads: true, Term: 1}
+	follows := func(m string, term group.Term) ProbeResult { return ProbeResult{Member: m, Answered: true, Term: term} }
+	leads := ProbeResult{Member: "c", Answered: true, Leads: true, Term: 1}
 	for _, c := range []struct {
 		name    string
 		members []string
-		answers []Answer
+		answers []ProbeResult
 		want    bool
 	}{
-		{"all others follow", members, []Answer{follows("b", 1), follows("c", 1)}, true},
-		{"one is silent", members, []Answer{follows("b", 1), {Member: "c"}}, false},
-		{"one has ended", members, []Answer{follows("b", 1), {Member: "c", Ended: true}}, true},
-		{"one was not asked", members, []Answer{follows("b", 1)}, false},
-		{"one has heard of a later term", members, []Answer{follows("b", 2), follows("c", 1)}, false},
-		{"one leads", members, []Answer{follows("b", 1), leads}, false},
+		{"all others follow", members, []ProbeResult{follows("b", 1), follows("c", 1)}, true},
+		{"one is silent", members, []ProbeResult{follows("b", 1), {Member: "c"}}, false},
+		{"one has ended", members, []ProbeResult{follows("b", 1), {Member: "c", ProcessEnded: true}}, true},
+		{"one was not asked", members, []ProbeResult{follows("b", 1)}, false},
+		{"one has heard of a later term", members, []ProbeResult{follows("b", 2), follows("c", 1)}, false},
+		{"one leads", members, []ProbeResult{follows("b", 1), leads}, false},
 		{"nobody else is listed", members[:1], nil, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			if got := Unchallenged("a", 1, c.members, c.answers); got != c.want {
+			if got := PrimaryConfirmed("a", 1, c.members, c.answers); got != c.want {
 				t.Errorf("%v", got)
 			}
 		})
 	}
 }
 
-func TestRecordCovers(t *testing.T) {
-	r := Record{Members: []Lifetime{{"a", 1}, {"b", 1}}, Floor: group.Position{Term: 1, LSN: 7}}
+func TestRecordFloorValidFor(t *testing.T) {
+	r := Record{Members: []Incarnation{{"a", 1}, {"b", 1}}, Floor: group.Position{Term: 1, LSN: 7}}
 	for _, c := range []struct {
 		name string
-		now  []Lifetime
+		now  []Incarnation
 		want bool
 	}{
-		{"the same members", []Lifetime{{"b", 1}, {"a", 1}}, true},
-		{"one has joined", []Lifetime{{"a", 1}, {"b", 1}, {"c", 1}}, true},
-		{"one has left", []Lifetime{{"a", 1}}, false},
-		{"one has started again", []Lifetime{{"a", 1}, {"b", 2}}, false},
+		{"the same members", []Incarnation{{"b", 1}, {"a", 1}}, true},
+		{"one has joined", []Incarnation{{"a", 1}, {"b", 1}, {"c", 1}}, true},
+		{"one has left", []Incarnation{{"a", 1}}, false},
+		{"one has started again", []Incarnation{{"a", 1}, {"b", 2}}, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			if got := r.Covers(c.now); got != c.want {
+			if got := r.FloorValidFor(c.now); got != c.want {
 				t.Errorf("%v", got)
 			}
 		})
 	}
-	if (Record{Members: r.Members}).Covers(r.Members) {
+	if (Record{Members: r.Members}).FloorValidFor(r.Members) {
 		t.Error("a record without a floor covers")
 	}
 }
--- a/core/leadership/lease.go
+++ b/core/leadership/lease.go
@@ -21,20 +21,20 @@
 	From, Until time.Time
 }
 
-// Covers reports whether the lease is one on the member and holds at the given time. What
+// CoversReads reports whether the lease is one on the member and holds at the given time. What
 // the member's log holds at that time includes everything that was acknowledged before.
-func (l Lease) Covers(member string, at time.Time) bool {
-	return !l.WritesOnly && l.Keeps(member, at)
+func (l Lease) CoversReads(member string, at time.Time) bool {
+	return !l.WritesOnly && l.CoversWrites(member, at)
 }
 
-// Keeps reports whether the lease is one on the member, of either kind, and holds at the
+// CoversWrites reports whether the lease is one on the member, of either kind, and holds at the
 // given time. What the member has acknowledged by then stays.
-func (l Lease) Keeps(member string, at time.Time) bool {
+func (l Lease) CoversWrites(member string, at time.Time) bool {
 	return member != "" && l.Member == member && !at.Before(l.From) && at.Before(l.Until)
 }
 
-// Handed returns the lease after the holder took back all but the right to write.
-func (l Lease) Handed() Lease {
+// Downgraded returns the lease after the holder took back all but the right to write.
+func (l Lease) Downgraded() Lease {
 	l.WritesOnly = true
 	return l
 }
--- a/core/leadership/raise_test.go
+++ b/core/leadership/raise_test.go
@@ -10,7 +10,7 @@
 
 // Of 986 hosts 55 % are lost, and 550 duties change their holders over three seconds before a platform that takes 50
 // calls a second. Each holder tried three times a second until its token was taken, so that 97 of 100 calls were refused.
-func TestTokensAreRaisedWithoutACrowd(t *testing.T) {
+func TestTokenRetryDelayLimitsCalls(t *testing.T) {
 	const holders, aSecond = 550, 50
 	type holder struct{ due, pause time.Duration }
 	random := rand.New(rand.NewPCG(1, 2))
@@ -32,7 +32,7 @@
 			waiting = slices.DeleteFunc(waiting, func(o *holder) bool { return o == h })
 			continue
 		}
-		h.pause = RaisePause(h.pause, random.Float64())
+		h.pause = TokenRetryDelay(h.pause, random.Float64())
 		h.due += h.pause
 	}
 	if most := 6 * holders; calls > most {
--- a/core/leadership/record.go
+++ b/core/leadership/record.go
@@ -7,9 +7,9 @@
 	"pearlatch/core/kv"
 )
 
-// Lifetime is one run of a member with what it holds. A member may start again under
+// Incarnation is one run of a member with what it holds. A member may start again under
 // its identifier and hold nothing of before.
-type Lifetime struct {
+type Incarnation struct {
 	Member string
 	// Born tells runs of a member apart, or is zero where the member does not say.
 	Born int64
@@ -26,13 +26,13 @@
 	// Term is the highest one in which a member led, as far as the holder knew.
 	Term group.Term
 	// Members are those of the group when Floor was taken.
-	Members []Lifetime
+	Members []Incarnation
 	// Floor is a position of the primary from after all others had left that have
 	// left. It is the zero position while none is known.
 	Floor group.Position
-	// Ordered names the member of an order that may still be carried out, or is empty.
+	// PendingPromotion names the member of an order that may still be carried out, or is empty.
 	// No order is given before it stands here.
-	Ordered string
+	PendingPromotion string
 	// HandedBack is true once the holder has given the duty back: it gives no more orders, also
 	// none that do not stand here.
 	HandedBack bool
@@ -42,9 +42,9 @@
 	Granters []string
 }
 
-// Covers reports whether the record's floor holds for the members of now: none of those
+// FloorValidFor reports whether the record's floor holds for the members of now: none of those
 // of then has left, so nobody took along what only it and the primary held.
-func (r Record) Covers(now []Lifetime) bool {
+func (r Record) FloorValidFor(now []Incarnation) bool {
 	if r.Floor == (group.Position{}) {
 		return false
 	}
@@ -57,6 +57,6 @@
 }
 
 // SameMembers reports whether the record names exactly these members.
-func (r Record) SameMembers(now []Lifetime) bool {
-	return len(r.Members) == len(now) && r.Covers(now)
+func (r Record) SameMembers(now []Incarnation) bool {
+	return len(r.Members) == len(now) && r.FloorValidFor(now)
 }
--- a/core/outage/forecast_test.go
+++ b/core/outage/forecast_test.go
@@ -20,9 +20,9 @@
 		{"the last one weighs half", []time.Duration{3 * second, second}, 0, 2 * second},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			var f Forecast
+			var f Estimator
 			for _, d := range c.seen {
-				f.Over(d)
+				f.Observe(d)
 			}
 			if got := f.Remaining(c.lasted); got != c.want {
 				t.Errorf("%s, want %s", got, c.want)
--- a/core/placement/member.go
+++ b/core/placement/member.go
@@ -11,24 +11,24 @@
 	Running int
 	// SameZone is true when the member is in the host's availability zone.
 	SameZone bool
-	// Leads is true for the primary.
-	Leads bool
+	// IsPrimary is true for the primary.
+	IsPrimary bool
 	// Suspect members failed to answer lately.
 	Suspect bool
 }
 
 const (
-	// hop is what a member in another availability zone costs: the two ways of
+	// crossZoneCost is what a member in another availability zone costs: the two ways of
 	// about 1 ms that the users' sites have, and its price in bytes.
-	hop = 3 * time.Millisecond
-	// primaryPremium keeps reads off the primary, which alone takes writes,
+	crossZoneCost = 3 * time.Millisecond
+	// primaryCost keeps reads off the primary, which alone takes writes,
 	// while a replica is no more than about one statement slower.
-	primaryPremium = 12 * time.Millisecond
-	// suspicion puts a member that did not answer behind all others.
-	suspicion = time.Second
-	// unknownLatency stands for a member without a sample: low, so that a new
+	primaryCost = 12 * time.Millisecond
+	// suspectCost puts a member that did not answer behind all others.
+	suspectCost = time.Second
+	// defaultLatency stands for a member without a sample: low, so that a new
 	// member is tried.
-	unknownLatency = 5 * time.Millisecond
+	defaultLatency = 5 * time.Millisecond
 	// latencyWeight of a new sample in the moving average: about ten statements
 	// decide, half a second of an ordinary load.
 	latencyWeight = 0.15
@@ -39,23 +39,23 @@
 func (m Member) Cost() time.Duration {
 	latency := m.Latency
 	if latency == 0 {
-		latency = unknownLatency
+		latency = defaultLatency
 	}
 	cost := latency * time.Duration(m.Running+1)
 	if !m.SameZone {
-		cost += hop
+		cost += crossZoneCost
 	}
-	if m.Leads {
-		cost += primaryPremium
+	if m.IsPrimary {
+		cost += primaryCost
 	}
 	if m.Suspect {
-		cost += suspicion
+		cost += suspectCost
 	}
 	return cost
 }
 
-// Observe returns the average latency after another sample.
-func Observe(average, sample time.Duration) time.Duration {
+// UpdateLatency returns the average latency after another sample.
+func UpdateLatency(average, sample time.Duration) time.Duration {
 	if average == 0 {
 		return sample
 	}
--- a/core/pool/member.go
+++ b/core/pool/member.go
@@ -66,7 +66,7 @@
 func (m *Member) ID() string { return m.id }
 
 // Observe records how long a statement took.
-func (m *Member) Observe(d time.Duration) { m.latency = placement.Observe(m.latency, d) }
+func (m *Member) Observe(d time.Duration) { m.latency = placement.UpdateLatency(m.latency, d) }
 
 // Latency returns how long statements took lately, or zero.
 func (m *Member) Latency() time.Duration { return m.latency }
--- a/core/pool/pool.go
+++ b/core/pool/pool.go
@@ -142,7 +142,7 @@
 func (p *Pool) cost(m *Member, now time.Time) time.Duration {
 	at := p.beliefs.Place(m.id, now)
 	return placement.Member{
-		Latency: m.latency, Running: m.active + m.dialing(), SameZone: at.SameZone, Leads: at.Leads, Suspect: at.Suspect,
+		Latency: m.latency, Running: m.active + m.dialing(), SameZone: at.SameZone, IsPrimary: at.Leads, Suspect: at.Suspect,
 	}.Cost()
 }
 
--- a/core/quota/ledger.go
+++ b/core/quota/ledger.go
@@ -82,7 +82,7 @@
 		return apart
 	case l.Known(now):
 		return whole
-	case len(l.before) == 0 || !now.Before(l.began.Add(leadership.Certainty+drift)):
+	case len(l.before) == 0 || !now.Before(l.began.Add(leadership.DutyValidity+drift)):
 		return sole
 	}
 	return apart
@@ -112,7 +112,7 @@
 // Extend records that the granter held its duty at a time, so that whoever succeeds it begins no sooner. It goes
 // on for Lifetime, with what its followers hold.
 func (l *Ledger) Extend(held time.Time) {
-	l.certain, l.until = held.Add(leadership.Certainty), held.Add(Lifetime)
+	l.certain, l.until = held.Add(leadership.DutyValidity), held.Add(Lifetime)
 }
 
 // Knows reports whether the host may be given portions: it is among those that a successor will ask.
@@ -337,7 +337,7 @@
 		out.After = b.wait(l.scope)
 		if l.scope == apart && now.Before(l.certain) {
 			// It will be the only one.
-			out.After = min(out.After, max(shortestWait, l.began.Add(leadership.Certainty+drift).Sub(now)))
+			out.After = min(out.After, max(shortestWait, l.began.Add(leadership.DutyValidity+drift).Sub(now)))
 		}
 	}
 	return out
--- a/core/quota/ledger_test.go
+++ b/core/quota/ledger_test.go
@@ -170,8 +170,8 @@
 	}{
 		{0, apart, 0},
 		{chargedAfter + 100*ms, apart, held},
-		{leadership.Certainty + 2*drift, sole, (1-heldShare)*forty.Rate + held},
-		{leadership.Certainty + 5*time.Second, sole, (1-heldShare)*forty.Rate + held},
+		{leadership.DutyValidity + 2*drift, sole, (1-heldShare)*forty.Rate + held},
+		{leadership.DutyValidity + 5*time.Second, sole, (1-heldShare)*forty.Rate + held},
 		{Lifetime + drift, whole, 0},
 	} {
 		at := now.Add(c.after)
--- a/core/recall/log.go
+++ b/core/recall/log.go
@@ -7,7 +7,7 @@
 
 // Key names a request: the process that sent it, and its number there.
 type Key struct {
-	From   string
+	Sender string
 	Serial uint64
 }
 
@@ -21,18 +21,18 @@
 }
 
 type entry[R any] struct {
-	// at is when the request came, or was recalled before it came.
-	at time.Time
-	// refused is true for a request that was recalled before it came.
-	refused bool
+	// recorded is when the request came, or was recalled before it came.
+	recorded time.Time
+	// rejected is true for a request that was recalled before it came.
+	rejected bool
 	// done is true once the request has its answer.
 	done  bool
 	reply R
 }
 
-// Remembered is how long a request is remembered: the longest timeout of the users'
+// Retention is how long a request is remembered: the longest timeout of the users'
 // statements, 2 s, and as long again for the questions after it.
-const Remembered = 4 * time.Second
+const Retention = 4 * time.Second
 
 // Admit records a request and reports whether it may run.
 func (l *Log[R]) Admit(k Key, now time.Time) bool {
@@ -41,12 +41,12 @@
 	if l.entries[k] != nil {
 		return false
 	}
-	l.add(k, &entry[R]{at: now})
+	l.add(k, &entry[R]{recorded: now})
 	return true
 }
 
-// Done records the answer to a request.
-func (l *Log[R]) Done(k Key, reply R) {
+// Complete records the answer to a request.
+func (l *Log[R]) Complete(k Key, reply R) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if e := l.entries[k]; e != nil {
@@ -59,27 +59,27 @@
 
 // The outcomes.
 const (
-	// Unknown means that the request has not come, and will be refused if it does.
-	Unknown Outcome = iota
+	// NotReceived means that the request has not come, and will be refused if it does.
+	NotReceived Outcome = iota
 	// Running means that it is being worked on.
 	Running
 	// Answered means that it has its answer.
 	Answered
 )
 
-// Recall says what became of a request, with its answer. One that is not known is refused from then on,
+// Resolve says what became of a request, with its answer. One that is not known is refused from then on,
 // so that it can't run after its sender was told.
-func (l *Log[R]) Recall(k Key, now time.Time) (Outcome, R) {
+func (l *Log[R]) Resolve(k Key, now time.Time) (Outcome, R) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var none R
 	e := l.entries[k]
 	switch {
 	case e == nil:
-		l.add(k, &entry[R]{at: now, refused: true})
-		return Unknown, none
-	case e.refused:
-		return Unknown, none
+		l.add(k, &entry[R]{recorded: now, rejected: true})
+		return NotReceived, none
+	case e.rejected:
+		return NotReceived, none
 	case !e.done:
 		return Running, none
 	}
@@ -92,7 +92,7 @@
 	}
 	for len(l.order) > 0 {
 		oldest := l.entries[l.order[0]]
-		if e.at.Sub(oldest.at) < Remembered {
+		if e.recorded.Sub(oldest.recorded) < Retention {
 			break
 		}
 		delete(l.entries, l.order[0])
--- a/internal/follow/join.go
+++ b/internal/follow/join.go
@@ -24,17 +24,17 @@
 		case joining.ReadStore:
 			reads++
 			err = f.listAll(ctx)
-		case joining.CountHosts:
+		case joining.ListHosts:
 			var hosts []netip.AddrPort
 			if hosts, err = f.countHosts(ctx); err == nil {
-				j.Counted(hosts)
+				j.SetListedHosts(hosts)
 			}
 		case joining.AskHost:
 			asked++
 			from = FromHost{step.Addr}
 			err = from.follow(ctx, f, 0)
 			if busy := (*busyError)(nil); errors.As(err, &busy) {
-				j.Busy(busy.elsewhere)
+				j.Redirect(busy.elsewhere)
 			}
 		case joining.Pause:
 			pause.For(ctx, step.For)
--- a/internal/gateway/coordinator.go
+++ b/internal/gateway/coordinator.go
@@ -62,7 +62,7 @@
 	// record is the last one that this host has written of the group, in any time that it held the duty. It lies
 	// in the store for the next holder, as written at recordRevision.
 	// That is zero while it is not known.
-	record         leadership.Found
+	record         leadership.StoredRecord
 	recordRevision kv.Revision
 	// recordInherited is true once the record of the holder before was read.
 	recordInherited bool
@@ -177,8 +177,8 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return leadership.DutyState{
-		Held: d.held, Token: d.token, Entry: entry.Revision, Own: holder == h.settings.Host, Known: known,
-		Stopping: h.stopping.Load(), MayServe: h.mayCoordinate(), Candidate: h.isCandidate(d.group.name), Informed: informed, Inherited: d.recordRevision != 0,
+		Held: d.held, Token: d.token, EntryRevision: entry.Revision, OwnEntry: holder == h.settings.Host, StoreRevision: known,
+		Stopping: h.stopping.Load(), MayTakeDuty: h.mayCoordinate(), Candidate: h.isCandidate(d.group.name), UpToDate: informed, RecordInherited: d.recordRevision != 0,
 	}, holder
 }
 
@@ -188,7 +188,7 @@
 		d.vacantSince = now
 		return false
 	}
-	wait := leadership.ClaimWait(d.host.fleet.Place(d.group.name), d.host.storeView.Lag())
+	wait := leadership.ClaimDelay(d.host.fleet.Place(d.group.name), d.host.storeView.Lag())
 	return now.Sub(d.vacantSince) >= wait && !now.Before(d.nextAcquireAt)
 }
 
@@ -303,7 +303,7 @@
 
 // soleHolderUntil returns until when this host may grant leases, and order without a token that the platform
 // checks. d.mu is held.
-func (d *coordinator) soleHolderUntil() time.Time { return d.renewedAt.Add(leadership.Certainty) }
+func (d *coordinator) soleHolderUntil() time.Time { return d.renewedAt.Add(leadership.DutyValidity) }
 
 // unrecordedPromotionsUntil returns until when an earlier holder may have ordered without a record: until
 // the platform had seen this host's token, until this process began if the holder was an earlier one of
@@ -331,9 +331,9 @@
 	case d.predecessorHandedBack:
 		return time.Time{}
 	case d.reclaimed:
-		return d.host.started.Add(leadership.Duration)
+		return d.host.started.Add(leadership.LeaseDuration)
 	}
-	return d.acquiredAt.Add(leadership.Certainty)
+	return d.acquiredAt.Add(leadership.DutyValidity)
 }
 
 // isHeld reports whether this host took the duty and knows of no other holder.
--- a/internal/gateway/coordinator_lease.go
+++ b/internal/gateway/coordinator_lease.go
@@ -30,7 +30,7 @@
 	lease, renewed = l.lease, l.renewedAt
 	l.mu.Unlock()
 	switch {
-	case lease != 0 && now.Sub(renewed) < 2*leadership.RenewalPause:
+	case lease != 0 && now.Sub(renewed) < 2*leadership.RenewalInterval:
 		return lease, renewed, nil
 	case lease != 0 && now.Sub(renewed) < coordinatorLeaseTTL:
 		return 0, time.Time{}, errLeaseNotRenewed
--- a/internal/gateway/coordinator_test.go
+++ b/internal/gateway/coordinator_test.go
@@ -84,7 +84,7 @@
 		f.setFault(f.unreachable, holder.settings.Host, true) // nor does it hear of it from others
 		f.setFault(f.storeRejects, holder.settings.Host, true)
 		s.removeCoordinatorEntry(holder)
-		time.Sleep(leadership.RenewalPause + coordinatorPollInterval + storeTimeout + 50*time.Millisecond) // a renewal has failed
+		time.Sleep(leadership.RenewalInterval + coordinatorPollInterval + storeTimeout + 50*time.Millisecond) // a renewal has failed
 		d := holder.coordinatorOf(testGroup)
 		f.setFault(f.storeRejects, holder.settings.Host, false)
 		renewLeaseNow(holder, d)
--- a/internal/gateway/floor.go
+++ b/internal/gateway/floor.go
@@ -64,7 +64,7 @@
 
 // tryAdoptFloor adopts the inherited floor once all its members are listed, unless one has left since.
 func (g *Group) tryAdoptFloor() {
-	if g.inheritedRevision == 0 || g.departedRevision >= g.inheritedRevision || g.floorValid() || !g.inheritedRecord.Covers(g.listedLifetimes()) {
+	if g.inheritedRevision == 0 || g.departedRevision >= g.inheritedRevision || g.floorValid() || !g.inheritedRecord.FloorValidFor(g.listedLifetimes()) {
 		return
 	}
 	for _, m := range g.sortedMembers {
@@ -78,11 +78,11 @@
 }
 
 // listedLifetimes returns the members that are listed.
-func (g *Group) listedLifetimes() []leadership.Lifetime {
-	var out []leadership.Lifetime
+func (g *Group) listedLifetimes() []leadership.Incarnation {
+	var out []leadership.Incarnation
 	for _, m := range g.sortedMembers {
 		if m.missingSince.IsZero() && !m.gone {
-			out = append(out, leadership.Lifetime{Member: m.ID, Born: m.Incarnation})
+			out = append(out, leadership.Incarnation{Member: m.ID, Born: m.Incarnation})
 		}
 	}
 	return out
--- a/internal/gateway/forwarded_session.go
+++ b/internal/gateway/forwarded_session.go
@@ -36,7 +36,7 @@
 func (g *ForwardedSession) Accept(r *PeerRequest) (declined *PeerReply) {
 	h := g.host
 	why := g.declineReason(r)
-	if why == Accepted && !h.recentRequests.Admit(recall.Key{From: r.From, Serial: r.Serial}, h.now()) {
+	if why == Accepted && !h.recentRequests.Admit(recall.Key{Sender: r.From, Serial: r.Serial}, h.now()) {
 		why = ReportedUnknown
 	}
 	if why == Accepted {
@@ -55,7 +55,7 @@
 	}
 	reply := g.run(ctx, r)
 	g.updateCount()
-	h.recentRequests.Done(recall.Key{From: r.From, Serial: r.Serial}, reply)
+	h.recentRequests.Complete(recall.Key{Sender: r.From, Serial: r.Serial}, reply)
 	return reply
 }
 
@@ -180,7 +180,7 @@
 
 // OutcomeOf says what became of a request of another host.
 func (h *Host) OutcomeOf(from string, serial uint64) RequestOutcome {
-	switch outcome, reply := h.recentRequests.Recall(recall.Key{From: from, Serial: serial}, h.now()); outcome {
+	switch outcome, reply := h.recentRequests.Resolve(recall.Key{Sender: from, Serial: serial}, h.now()); outcome {
 	case recall.Answered:
 		return OutcomeDone{reply}
 	case recall.Running:
--- a/internal/gateway/group.go
+++ b/internal/gateway/group.go
@@ -89,7 +89,7 @@
 	// unverifiedSince is since when the primary could not be proven to lead, or zero, and
 	// outageForecast what was learned of its outages.
 	unverifiedSince time.Time
-	outageForecast  outage.Forecast
+	outageForecast  outage.Estimator
 	// pendingWrites counts writes without an answer; noAckSince is since when none of them has
 	// been acknowledged, or zero. replicaLaggedAt is when a replica was last seen far behind, and lastQueuedAt
 	// when a statement last had to wait.
@@ -360,7 +360,7 @@
 	defer g.mu.Unlock()
 	switch {
 	case p == (group.Position{}):
-	case g.lease.Covers(m.ID, at):
+	case g.lease.CoversReads(m.ID, at):
 		g.addSample(m.ID, at, p)
 	case g.passedCheck.primary == m.ID && !at.Before(g.passedCheck.started):
 		g.addSample(m.ID, g.passedCheck.started, p)
--- a/internal/gateway/group_monitor.go
+++ b/internal/gateway/group_monitor.go
@@ -248,7 +248,7 @@
 	call, cancel := context.WithTimeout(ctx, promoteCallTimeout)
 	defer cancel()
 	if err := w.host.ports.Promoter.RaiseToken(call, w.host.settings.Host, int64(token), w.group.name); err != nil {
-		w.raiseBackoff = leadership.RaisePause(w.raiseBackoff, rand.Float64())
+		w.raiseBackoff = leadership.TokenRetryDelay(w.raiseBackoff, rand.Float64())
 		w.nextRaiseAt = now.Add(w.raiseBackoff)
 		w.log("token_not_raised", "token", int64(token), "again_ms", w.raiseBackoff.Milliseconds(), "err", err)
 		return
--- a/internal/gateway/host.go
+++ b/internal/gateway/host.go
@@ -110,7 +110,7 @@
 	// coordinatorLease is the lease of those that this host holds.
 	coordinatorLease coordinatorLease
 	// formerRecords holds, by group, the newest record known from before the store last came back from an older copy.
-	formerRecords map[string]leadership.Found
+	formerRecords map[string]leadership.StoredRecord
 
 	quotas *quotas.Keeper
 	// coordinatorEntries holds the last entry seen of each duty.
@@ -156,7 +156,7 @@
 	h.follower = follow.New(follow.Settings{Self: s.Peer, Seeds: s.Seeds, Hosts: h.hostsPrefix()}, follow.Ports{
 		Store: p.Store, Peers: p.Peers, Apply: h.applyChanges, Log: h.log,
 	}, h.fleet, h.storeView, now)
-	h.coordinatorEntries, h.formerRecords = map[string]kv.Item{}, map[string]leadership.Found{}
+	h.coordinatorEntries, h.formerRecords = map[string]kv.Item{}, map[string]leadership.StoredRecord{}
 	h.quotas = quotas.New(quotas.Settings{Host: s.Host, Process: h.processID, Terms: s.Quotas}, quotaFleet{h}, logger, now)
 	return h
 }
--- a/internal/gateway/leadership_test.go
+++ b/internal/gateway/leadership_test.go
@@ -209,7 +209,7 @@
 	withHost(t, freshness.Latest{}, func(s *fakeSite, h *Host) {
 		exec(h, Write{})
 		s.put(h.coordinatorKey(testGroup), []byte("h2"), 0)
-		time.Sleep(leadership.Duration + 100*time.Millisecond)
+		time.Sleep(leadership.LeaseDuration + 100*time.Millisecond)
 		if r := exec(h, Write{}); r.Failure != nil {
 			t.Errorf("a write that no one disputes failed: %v", r.Failure)
 		}
@@ -289,7 +289,7 @@
 	withHost(t, freshness.Latest{}, func(s *fakeSite, h *Host) {
 		exec(h, Write{})
 		s.put(h.coordinatorKey(testGroup), []byte("h2"), 0)
-		time.Sleep(leadership.Duration + 100*time.Millisecond)
+		time.Sleep(leadership.LeaseDuration + 100*time.Millisecond)
 		s.updateMember("b", func(m *fakeMember) { m.resets = true })
 		if r := exec(h, Read{}); r.Failure == nil {
 			t.Error("a read was served beside a member that may lead")
@@ -346,7 +346,7 @@
 	withHost(t, freshness.Latest{}, func(s *fakeSite, h *Host) {
 		exec(h, Write{})
 		s.put(h.coordinatorKey(testGroup), []byte("h2"), 0)
-		time.Sleep(leadership.Duration + 100*time.Millisecond)
+		time.Sleep(leadership.LeaseDuration + 100*time.Millisecond)
 		exec(h, Write{})
 		time.Sleep(10 * time.Millisecond)
 		s.updateMember("a", func(m *fakeMember) { m.partitioned = true })
--- a/internal/gateway/lease_client.go
+++ b/internal/gateway/lease_client.go
@@ -148,7 +148,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := g.now()
-	if now.Sub(g.primaryNeededAt) >= leaseIdleTimeout || !g.lease.Covers(g.primaryID, now) {
+	if now.Sub(g.primaryNeededAt) >= leaseIdleTimeout || !g.lease.CoversReads(g.primaryID, now) {
 		g.signalLease()
 	}
 	g.primaryNeededAt = now
@@ -170,7 +170,7 @@
 	if m == nil || m.gone || r.Term < g.primaryTerm || !asked.After(g.leaseRevokedAt) {
 		return
 	}
-	had := g.lease.Covers(r.Member, asked)
+	had := g.lease.CoversReads(r.Member, asked)
 	if g.lease.WritesOnly && g.lease.Member != r.Member {
 		// What the primary before acknowledged until its heir led may still be on its way.
 		g.writeLease = g.lease
@@ -207,14 +207,14 @@
 func (g *Group) leaseKeeps(id string, term group.Term, at time.Time) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.lease.Term == term && g.lease.Keeps(id, at) || g.writeLease.Term == term && g.writeLease.Keeps(id, at)
+	return g.lease.Term == term && g.lease.CoversWrites(id, at) || g.writeLease.Term == term && g.writeLease.CoversWrites(id, at)
 }
 
 // hasLease reports whether the host holds a lease on the member.
 func (g *Group) hasLease(id string, at time.Time) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.lease.Covers(id, at)
+	return g.lease.CoversReads(id, at)
 }
 
 // RevokeLease gives the host's lease on a group's primary back: the holder of the duty is about
@@ -233,7 +233,7 @@
 	// returned with this answer.
 	g.leaseRevokedAt = g.now()
 	if planned {
-		g.lease = g.lease.Handed()
+		g.lease = g.lease.Downgraded()
 		return
 	}
 	if g.lease.Member == id {
--- a/internal/gateway/lease_grants.go
+++ b/internal/gateway/lease_grants.go
@@ -67,7 +67,7 @@
 	if alive && heard.After(s.heardAt) {
 		s.heardAt = heard
 	}
-	granted := d.grants.Grant(host, now, leadership.Standing{Heard: s.heardAt, DutyEnds: d.soleHolderUntil(), HandsOver: s.inSwitchover})
+	granted := d.grants.Grant(host, now, leadership.GrantLimits{LastReply: s.heardAt, DutyUntil: d.soleHolderUntil(), InSwitchover: s.inSwitchover})
 	if granted == 0 && now.Sub(d.lastWoken) >= probeInterval {
 		// The primary may not have been asked for long, since nobody needed it.
 		d.lastWoken = now
@@ -147,7 +147,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if planned {
-		return w.grants.Reading(w.host.now())
+		return w.grants.OutstandingFull(w.host.now())
 	}
 	return w.grants.Outstanding(w.host.now())
 }
@@ -156,7 +156,7 @@
 func (w *groupMonitor) lastGrantEnd() time.Time {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.grants.End()
+	return w.grants.LastEnd()
 }
 
 func (w *groupMonitor) revokeLeaseOf(ctx context.Context, host, member string, planned bool) {
@@ -178,8 +178,8 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if planned {
-		w.grants.Handed(host)
+		w.grants.Downgrade(host)
 		return
 	}
-	w.grants.Returned(host)
+	w.grants.Release(host)
 }
--- a/internal/gateway/outage.go
+++ b/internal/gateway/outage.go
@@ -17,7 +17,7 @@
 // primaryOutage returns for how long the primary has been out of reach, not known, or not proven to
 // lead. The group's lock is held.
 func (g *Group) primaryOutage(now time.Time) time.Duration {
-	if g.lease.Covers(g.primaryID, now) && !g.primarySilent() {
+	if g.lease.CoversReads(g.primaryID, now) && !g.primarySilent() {
 		return 0
 	}
 	since := g.unverifiedSince
@@ -70,7 +70,7 @@
 		since = earlierTime(since, g.noPrimarySince)
 	}
 	if lasted := now.Sub(since); !since.IsZero() && lasted >= primaryReachTimeout {
-		g.outageForecast.Over(lasted)
+		g.outageForecast.Observe(lasted)
 	}
 	g.unverifiedSince = time.Time{}
 }
--- a/internal/gateway/primary_check.go
+++ b/internal/gateway/primary_check.go
@@ -15,7 +15,7 @@
 	// done is closed when the others are set.
 	done    chan struct{}
 	members []string
-	answers []leadership.Answer
+	answers []leadership.ProbeResult
 	primary string
 	// term is the one in which the primary was believed to lead, or zero.
 	term group.Term
@@ -66,7 +66,7 @@
 			return false
 		}
 		if !p.started.Before(now) {
-			return term > 0 && leadership.Undisputed(id, term, p.members, p.answers)
+			return term > 0 && leadership.WriteConfirmed(id, term, p.members, p.answers)
 		}
 	}
 	return false
@@ -148,7 +148,7 @@
 		}
 	}
 	p.answers = toLeadershipAnswers(answers)
-	p.passed = p.term > 0 && leadership.Unchallenged(p.primary, p.term, p.members, p.answers)
+	p.passed = p.term > 0 && leadership.PrimaryConfirmed(p.primary, p.term, p.members, p.answers)
 	if g.finishCheck(p) {
 		g.log("leadership", "proven", p.passed, "member", p.primary, "term", p.term, "answers", formatResults(answers))
 	}
@@ -186,11 +186,11 @@
 	maxCheckBackoff = 320 * time.Millisecond
 )
 
-func toLeadershipAnswers(in []controlResult) []leadership.Answer {
-	out := make([]leadership.Answer, len(in))
+func toLeadershipAnswers(in []controlResult) []leadership.ProbeResult {
+	out := make([]leadership.ProbeResult, len(in))
 	for i, a := range in {
-		out[i] = leadership.Answer{Member: a.member.ID, Answered: a.err == nil, Ended: connRefused(a.err),
-			Leads: a.status.IsPrimary, Term: a.status.Term, Fenced: a.status.Fenced}
+		out[i] = leadership.ProbeResult{Member: a.member.ID, Answered: a.err == nil, ProcessEnded: connRefused(a.err),
+			Leads: a.status.IsPrimary, Term: a.status.Term, FenceTerm: a.status.Fenced}
 	}
 	return out
 }
--- a/internal/gateway/record.go
+++ b/internal/gateway/record.go
@@ -27,41 +27,41 @@
 			h.log("record_unreadable", "group", name, "revision", i.Revision, "err", err)
 			continue
 		}
-		if f := leadership.NewFound(r, i.Revision); f.At > h.formerRecords[name].At {
+		if f := leadership.NewStoredRecord(r, i.Revision); f.Revision > h.formerRecords[name].Revision {
 			h.formerRecords[name] = f
 		}
 	}
 }
 
 // newestKnownRecord returns the newest record that this host knows from before the store last came back.
-func (d *coordinator) newestKnownRecord() leadership.Found {
+func (d *coordinator) newestKnownRecord() leadership.StoredRecord {
 	d.host.mu.Lock()
 	out := d.host.formerRecords[d.group.name]
 	d.host.mu.Unlock()
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.record.At > out.At {
+	if d.record.Revision > out.Revision {
 		return d.record
 	}
 	return out
 }
 
 // parseStoredRecord returns the record that was read, or false if there is one that can't be read.
-func (d *coordinator) parseStoredRecord(read kv.Item) (leadership.Found, bool) {
+func (d *coordinator) parseStoredRecord(read kv.Item) (leadership.StoredRecord, bool) {
 	if len(read.Value) == 0 {
-		return leadership.Found{}, true
+		return leadership.StoredRecord{}, true
 	}
 	r, err := decodeRecord(read.Value)
 	if err != nil {
 		d.log("record_unreadable", "revision", read.Revision, "err", err)
-		return leadership.Found{}, false
+		return leadership.StoredRecord{}, false
 	}
-	return leadership.NewFound(r, read.Revision), true
+	return leadership.NewStoredRecord(r, read.Revision), true
 }
 
 // inheritedRecord is what a holder takes over of the one before.
 type inheritedRecord struct {
-	found leadership.Found
+	found leadership.StoredRecord
 	// certain is true if no other host can have held the duty since the record was written.
 	certain bool
 	// formerGranters are the hosts that may take themselves for the granter of the group's accounts.
@@ -104,7 +104,7 @@
 // adoptRecord takes over what the holder before has left, once it is written under this one's name.
 func (d *coordinator) adoptRecord(i inheritedRecord) {
 	r, found := i.record, i.found
-	d.group.inheritFloor(r, found.At)
+	d.group.inheritFloor(r, found.Revision)
 	d.group.noteTerm(r.Term)
 	d.startGranting(r.Grantees, i.formerGranters)
 	d.mu.Lock()
@@ -115,10 +115,10 @@
 			d.firstToken = d.token
 		}
 		d.reclaimed = d.reclaimed && i.certain && found.Holder == d.host.settings.Host
-		d.pendingMember, d.pendingToken, d.pendingAt = found.Ordered, 0, d.host.now()
+		d.pendingMember, d.pendingToken, d.pendingAt = found.PendingPromotion, 0, d.host.now()
 	}
 	d.mu.Unlock()
-	d.log("record_inherited", "before", found.Holder, "term", r.Term, "floor", r.Floor, "ordered", found.Ordered, "written", found.At, "certain", i.certain)
+	d.log("record_inherited", "before", found.Holder, "term", r.Term, "floor", r.Floor, "ordered", found.PendingPromotion, "written", found.Revision, "certain", i.certain)
 }
 
 // saveRecord writes the record. After an error nobody knows whether it was written, and it must
@@ -168,7 +168,7 @@
 func (d *coordinator) noteRecordWritten(r leadership.Record, written kv.Revision) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.record, d.recordRevision = leadership.Found{Record: r, At: written}, written
+	d.record, d.recordRevision = leadership.StoredRecord{Record: r, Revision: written}, written
 }
 
 // knowsPromotions reports whether this host knows of all recorded orders of earlier holders.
@@ -218,7 +218,7 @@
 	}
 	r, known := w.group.successorRequirements()
 	r.Grantees, r.Granters = old.Grantees, w.granters(old)
-	if !known || old.Ordered == "" && old.Term == r.Term && old.SameMembers(r.Members) && len(r.Granters) == len(old.Granters) {
+	if !known || old.PendingPromotion == "" && old.Term == r.Term && old.SameMembers(r.Members) && len(r.Granters) == len(old.Granters) {
 		return
 	}
 	if err := w.saveRecord(ctx, r); err != nil {
@@ -233,10 +233,10 @@
 	if !ok {
 		return errRecordUnknown
 	}
-	if r.Ordered == id {
+	if r.PendingPromotion == id {
 		return nil
 	}
-	r.Ordered, r.Term = id, max(r.Term, w.group.highestSeenTerm())
+	r.PendingPromotion, r.Term = id, max(r.Term, w.group.highestSeenTerm())
 	return w.saveRecord(ctx, r)
 }
 
--- a/internal/gateway/record_codec.go
+++ b/internal/gateway/record_codec.go
@@ -33,7 +33,7 @@
 
 func encodeRecord(r leadership.Record) ([]byte, error) {
 	out := wireRecord{
-		Holder: r.Holder, Epoch: int64(r.Epoch), Term: uint64(r.Term), Ordered: r.Ordered, HandedBack: r.HandedBack, Grantees: r.Grantees, Granters: r.Granters,
+		Holder: r.Holder, Epoch: int64(r.Epoch), Term: uint64(r.Term), Ordered: r.PendingPromotion, HandedBack: r.HandedBack, Grantees: r.Grantees, Granters: r.Granters,
 		FloorTerm: uint64(r.Floor.Term), FloorLSN: uint64(r.Floor.LSN),
 	}
 	for _, m := range r.Members {
@@ -48,11 +48,11 @@
 		return leadership.Record{}, errors.Wrap(err, "record of a group's leadership")
 	}
 	out := leadership.Record{
-		Holder: in.Holder, Epoch: kv.Epoch(in.Epoch), Term: group.Term(in.Term), Ordered: in.Ordered, HandedBack: in.HandedBack, Grantees: in.Grantees, Granters: in.Granters,
+		Holder: in.Holder, Epoch: kv.Epoch(in.Epoch), Term: group.Term(in.Term), PendingPromotion: in.Ordered, HandedBack: in.HandedBack, Grantees: in.Grantees, Granters: in.Granters,
 		Floor: group.Position{Term: group.Term(in.FloorTerm), LSN: group.LSN(in.FloorLSN)},
 	}
 	for _, m := range in.Members {
-		out.Members = append(out.Members, leadership.Lifetime{Member: m.Member, Born: m.Born})
+		out.Members = append(out.Members, leadership.Incarnation{Member: m.Member, Born: m.Born})
 	}
 	return out, nil
 }
--- a/internal/gateway/record_test.go
+++ b/internal/gateway/record_test.go
@@ -86,15 +86,15 @@
 // The record of a holder reads back as it was written.
 func TestRecordRoundTrip(t *testing.T) {
 	r := leadership.Record{
-		Holder: "h1", Term: 3, Floor: group.Position{Term: 2, LSN: 77}, Ordered: "b",
-		Members: []leadership.Lifetime{{Member: "a", Born: 5}, {Member: "b"}},
+		Holder: "h1", Term: 3, Floor: group.Position{Term: 2, LSN: 77}, PendingPromotion: "b",
+		Members: []leadership.Incarnation{{Member: "a", Born: 5}, {Member: "b"}},
 	}
 	value, err := encodeRecord(r)
 	if err != nil {
 		t.Fatal(err)
 	}
 	got, err := decodeRecord(value)
-	if err != nil || !got.SameMembers(r.Members) || got.Ordered != "b" || got.Floor != r.Floor || got.Term != r.Term || got.Holder != "h1" {
+	if err != nil || !got.SameMembers(r.Members) || got.PendingPromotion != "b" || got.Floor != r.Floor || got.Term != r.Term || got.Holder != "h1" {
 		t.Errorf("%+v, %v", got, err)
 	}
 	if _, err := decodeRecord([]byte("{")); err == nil {
--- a/internal/gateway/restore_test.go
+++ b/internal/gateway/restore_test.go
@@ -123,7 +123,7 @@
 		if d.wasSoleHolder(time.Now()) {
 			t.Error("the host counts on a duty that is gone")
 		}
-		time.Sleep(leadership.RenewalPause + coordinatorPollInterval + 50*time.Millisecond)
+		time.Sleep(leadership.RenewalInterval + coordinatorPollInterval + 50*time.Millisecond)
 		d.mu.Lock()
 		token := d.token
 		d.mu.Unlock()
--- a/internal/gateway/session_test.go
+++ b/internal/gateway/session_test.go
@@ -126,7 +126,7 @@
 		exec(h, Write{})
 		s.updateMember("a", func(m *fakeMember) { m.partitioned = true })
 		s.put(h.coordinatorKey(testGroup), []byte("h2"), 0)
-		time.Sleep(leadership.Duration) // the other holder waits for the leases
+		time.Sleep(leadership.LeaseDuration) // the other holder waits for the leases
 		s.makePrimary(s.member("b"))
 		if got := s.primaryID(); got != "b" {
 			t.Fatalf("%q leads", got)
