--- a/core/freshness/marks.go
+++ b/core/freshness/marks.go
@@ -12,10 +12,10 @@
 // shard is taken from the low bits of the hash.
 const markShards = 64
 
-// Marks holds, for each session that wrote recently, the position that its
+// SessionMarks holds, for each session that wrote recently, the position that its
 // reads must reach. A session without an entry wrote nothing that some replica
 // may still lack. The zero value is empty and ready for use.
-type Marks struct {
+type SessionMarks struct {
 	shards [markShards]markShard
 }
 
@@ -24,13 +24,13 @@
 	marks map[string]group.Position
 }
 
-func (m *Marks) shard(session string) *markShard {
+func (m *SessionMarks) shard(session string) *markShard {
 	return &m.shards[xxhash.Sum64String(session)%markShards]
 }
 
 // Raise records that session has had the write at p acknowledged. A mark never
 // falls.
-func (m *Marks) Raise(session string, p group.Position) {
+func (m *SessionMarks) Raise(session string, p group.Position) {
 	s := m.shard(session)
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -42,16 +42,16 @@
 	}
 }
 
-// Of returns the session's mark, or the zero position.
-func (m *Marks) Of(session string) group.Position {
+// Get returns the session's mark, or the zero position.
+func (m *SessionMarks) Get(session string) group.Position {
 	s := m.shard(session)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.marks[session]
 }
 
-// Forget drops the marks that every member has reached.
-func (m *Marks) Forget(reached group.Position) {
+// Prune drops the marks that every member has reached.
+func (m *SessionMarks) Prune(reached group.Position) {
 	for i := range m.shards {
 		s := &m.shards[i]
 		s.mu.Lock()
@@ -65,7 +65,7 @@
 }
 
 // Len returns the number of sessions that have a mark.
-func (m *Marks) Len() int {
+func (m *SessionMarks) Len() int {
 	n := 0
 	for i := range m.shards {
 		s := &m.shards[i]
--- a/core/freshness/need.go
+++ b/core/freshness/need.go
@@ -6,8 +6,8 @@
 	"pearlatch/core/group"
 )
 
-// Need is what a read asks of the member that answers it.
-type Need struct {
+// Requirement is what a read asks of the member that answers it.
+type Requirement struct {
 	// Class is the route's class.
 	Class Class
 	// Position is what the member must have replayed: the higher of the
@@ -16,15 +16,15 @@
 	Position group.Position
 }
 
-// Wait predicts how long the replica takes until it may answer the read, from how
+// EstimateWait predicts how long the replica takes until it may answer the read, from how
 // far it is behind. reached is what Ages.Reached returns for n.Position. It returns
 // false when no wait helps, as far as that tells: the replica's lag alone exceeds
 // the age that the class accepts, or is not known.
-func (n Need) Wait(r Replica, reached, now time.Time) (time.Duration, bool) {
-	if r.Since.IsZero() {
+func (n Requirement) EstimateWait(r Replica, reached, now time.Time) (time.Duration, bool) {
+	if r.AsOf.IsZero() {
 		return 0, false
 	}
-	lag := now.Sub(r.Since)
+	lag := now.Sub(r.AsOf)
 	switch c := n.Class.(type) {
 	case Latest:
 		return 0, false
@@ -43,12 +43,12 @@
 type Replica struct {
 	// Position is what the replica has replayed, in the primary's term.
 	Position group.Position
-	// Since is what Ages.Since returns for Position.
-	Since time.Time
+	// AsOf is what Ages.AsOf returns for Position.
+	AsOf time.Time
 }
 
-// Serves reports whether the replica may answer a read at the given time.
-func (n Need) Serves(r Replica, now time.Time) bool {
+// SatisfiedBy reports whether the replica may answer a read at the given time.
+func (n Requirement) SatisfiedBy(r Replica, now time.Time) bool {
 	if n.Position.Compare(r.Position) > 0 {
 		return false
 	}
@@ -58,7 +58,7 @@
 	case OwnWrites:
 		return true
 	case MaxAge:
-		return !r.Since.IsZero() && now.Sub(r.Since) <= c.Age
+		return !r.AsOf.IsZero() && now.Sub(r.AsOf) <= c.Age
 	}
 	return false
 }
--- a/core/group/assess.go
+++ b/core/group/assess.go
@@ -6,9 +6,9 @@
 // Majority returns how many of n members make a majority.
 func Majority(n int) int { return n/2 + 1 }
 
-// Assessment says who leads a group, as far as the samples tell. Its
+// Leadership says who leads a group, as far as the samples tell. Its
 // implementations are Led and Leaderless.
-type Assessment interface{ isAssessment() }
+type Leadership interface{ isLeadership() }
 
 // Led means that one member takes writes in the highest term seen.
 type Led struct {
@@ -24,24 +24,24 @@
 	Highest Term
 }
 
-func (Led) isAssessment()        {}
-func (Leaderless) isAssessment() {}
+func (Led) isLeadership()        {}
+func (Leaderless) isLeadership() {}
 
-// Assess returns who leads the group whose members' latest answers are given.
+// FindPrimary returns who leads the group whose members' latest answers are given.
 //
 // The primary of a term is the member out of recovery that has written the
 // term's record. A replaced primary is out of recovery too: it stores an older
 // fence, or it accepted the new one without ever writing under it.
-func Assess(samples []Sample) Assessment {
+func FindPrimary(samples []Sample) Leadership {
 	var highest Term
 	for _, s := range samples {
-		if s.Known() {
+		if s.Answered() {
 			highest = max(highest, s.Status.Fence.Term)
 		}
 	}
 	primary := NoMember
 	for i, s := range samples {
-		if !s.Known() || !s.Status.Leads() || s.Status.Fence.Term != highest {
+		if !s.Answered() || !s.Status.Leads() || s.Status.Fence.Term != highest {
 			continue
 		}
 		if primary != NoMember {
--- a/core/group/confirm.go
+++ b/core/group/confirm.go
@@ -10,9 +10,9 @@
 type Confirmation struct {
 	// LSN is the highest log sequence number held by a majority.
 	LSN LSN
-	// Asked is the oldest question among the answers that make the majority:
+	// AsOf is the oldest question among the answers that make the majority:
 	// at that moment the term still stood.
-	Asked time.Time
+	AsOf time.Time
 }
 
 // Confirm returns what the majority of samples holds under the given primary,
@@ -20,24 +20,24 @@
 // false when no majority has answered that.
 func Confirm(samples []Sample, primary int, since time.Time) (Confirmation, bool) {
 	p := samples[primary]
-	if !p.Known() || !p.Status.Leads() || p.Asked.Before(since) {
+	if !p.Answered() || !p.Status.Leads() || p.SentAt.Before(since) {
 		return Confirmation{}, false
 	}
 	held := []LSN{p.Status.Received}
-	asked := []time.Time{p.Asked}
+	asked := []time.Time{p.SentAt}
 	for i, s := range samples {
-		if i == primary || !s.Known() || s.Asked.Before(since) || !Follows(s.Status, p.Status) {
+		if i == primary || !s.Answered() || s.SentAt.Before(since) || !Follows(s.Status, p.Status) {
 			continue
 		}
 		held = append(held, s.Status.Received)
-		asked = append(asked, s.Asked)
+		asked = append(asked, s.SentAt)
 	}
 	need := Majority(len(samples))
 	if len(held) < need {
 		return Confirmation{}, false
 	}
 	slices.SortFunc(held, func(a, b LSN) int { return -compareLSN(a, b) })
-	return Confirmation{LSN: held[need-1], Asked: majorityAsked(asked, need)}, true
+	return Confirmation{LSN: held[need-1], AsOf: majorityAsked(asked, need)}, true
 }
 
 // majorityAsked returns the latest moment at or after which a majority was
--- a/core/group/promote.go
+++ b/core/group/promote.go
@@ -1,8 +1,8 @@
 package group
 
-// Fenced is a member's answer to an accepted fence: its log can no longer grow
+// FenceAck is a member's answer to an accepted fence: its log can no longer grow
 // under an older term.
-type Fenced struct {
+type FenceAck struct {
 	// Member is the index of the member.
 	Member int
 	// LogTerm is the term of the last record that it holds.
@@ -14,7 +14,7 @@
 }
 
 // position returns the end of the member's log.
-func (f Fenced) position() Position { return Position{Term: f.LogTerm, LSN: f.Received} }
+func (f FenceAck) position() Position { return Position{Term: f.LogTerm, LSN: f.Received} }
 
 // Candidate returns the member to promote out of those that accepted a fence,
 // of a group of n members, or false when a majority has not accepted. The
@@ -22,9 +22,9 @@
 // acknowledged write overlaps the fenced one, so the highest position includes
 // every acknowledged write. Members for which barred returns true are passed
 // over only if another member holds as much.
-func Candidate(fenced []Fenced, n int, barred func(member int) bool) (Fenced, bool) {
+func Candidate(fenced []FenceAck, n int, barred func(member int) bool) (FenceAck, bool) {
 	if len(fenced) < Majority(n) {
-		return Fenced{}, false
+		return FenceAck{}, false
 	}
 	best := fenced[0]
 	for _, f := range fenced[1:] {
--- a/core/group/race_test.go
+++ b/core/group/race_test.go
@@ -24,16 +24,16 @@
 type modelHost struct {
 	term     Term // that it fences for, or zero
 	accepted [modelMembers]bool
-	at       [modelMembers]string // the member's log when it accepted
-	done     bool
+	logs     [modelMembers]string // the member's log when it accepted
+	promoted bool
 }
 
 type model struct {
-	members [modelMembers]modelMember
-	hosts   [2]modelHost
-	writes  int
-	acked   string // writes that were confirmed
-	skip    bool   // fences accept everything: the broken variant
+	members         [modelMembers]modelMember
+	hosts           [2]modelHost
+	writes          int
+	acked           string // writes that were confirmed
+	fencingDisabled bool   // fences accept everything: the broken variant
 }
 
 // term returns the term of the last term record in a log.
@@ -60,7 +60,7 @@
 // on the samples of one moment.
 func (m *model) confirm(p int) {
 	samples := m.samples()
-	c, ok := Confirm(samples, p, samples[p].Asked)
+	c, ok := Confirm(samples, p, samples[p].SentAt)
 	if !ok {
 		return
 	}
@@ -71,8 +71,8 @@
 	}
 }
 
-// next returns every state that one step leads to.
-func (m *model) next() []model {
+// successors returns every state that one step leads to.
+func (m *model) successors() []model {
 	var out []model
 	add := func(change func(*model) bool) {
 		n := *m
@@ -87,7 +87,7 @@
 		add(func(n *model) bool { before := n.acked; n.confirmIfPrimary(i); return n.acked != before })
 	}
 	for h := range m.hosts {
-		add(func(n *model) bool { return n.begin(h) })
+		add(func(n *model) bool { return n.startPromotion(h) })
 		add(func(n *model) bool { return n.promote(h) })
 		for i := range m.members {
 			add(func(n *model) bool { return n.fence(h, i) })
@@ -123,7 +123,7 @@
 // rebuild makes a member whose log has diverged a replica of the primary that
 // leads, as the platform does.
 func (m *model) rebuild(i int) bool {
-	led, ok := Assess(m.samples()).(Led)
+	led, ok := FindPrimary(m.samples()).(Led)
 	if !ok || led.Primary == i || strings.HasPrefix(m.members[led.Primary].log, m.members[i].log) {
 		return false
 	}
@@ -147,7 +147,7 @@
 	}
 }
 
-func (m *model) begin(h int) bool {
+func (m *model) startPromotion(h int) bool {
 	if m.hosts[h].term != 0 {
 		return false
 	}
@@ -162,11 +162,11 @@
 func (m *model) fence(h, i int) bool {
 	host, b := &m.hosts[h], &m.members[i]
 	f := Fence{Term: host.term, Host: string(rune('A' + h))}
-	if host.term == 0 || host.done || host.accepted[i] || !b.fence.Accepts(f) {
+	if host.term == 0 || host.promoted || host.accepted[i] || !b.fence.Accepts(f) {
 		return false
 	}
-	host.accepted[i], host.at[i] = true, b.log
-	if m.skip {
+	host.accepted[i], host.logs[i] = true, b.log
+	if m.fencingDisabled {
 		return true
 	}
 	b.fence, b.source = f, -1
@@ -177,25 +177,25 @@
 // is promoted all the same, and then does not lead.
 func (m *model) promote(h int) bool {
 	host := &m.hosts[h]
-	if host.term == 0 || host.done {
+	if host.term == 0 || host.promoted {
 		return false
 	}
-	var fenced []Fenced
+	var fenced []FenceAck
 	for i := range m.members {
 		// The old primary stands for one that is out of reach.
 		if host.accepted[i] && !m.members[i].primary {
-			fenced = append(fenced, Fenced{Member: i, LogTerm: term(host.at[i]), Received: LSN(len(host.at[i])), InRecovery: true})
+			fenced = append(fenced, FenceAck{Member: i, LogTerm: term(host.logs[i]), Received: LSN(len(host.logs[i])), InRecovery: true})
 		}
 	}
 	best, ok := Candidate(fenced, modelMembers, func(int) bool { return false })
 	if !ok {
 		return false
 	}
-	host.done = true
+	host.promoted = true
 	b := &m.members[best.Member]
 	b.primary, b.source = true, -1
 	b.log += string(rune('0' + host.term))
-	if m.skip {
+	if m.fencingDisabled {
 		b.fence = Fence{Term: host.term, Host: string(rune('A' + h))}
 	}
 	return true
@@ -205,7 +205,7 @@
 func (m *model) attach(h, i int) bool {
 	host, b := &m.hosts[h], &m.members[i]
 	f := Fence{Term: host.term, Host: string(rune('A' + h))}
-	if !host.done || b.primary || b.source >= 0 && m.members[b.source].fence == f || !b.fence.Accepts(f) {
+	if !host.promoted || b.primary || b.source >= 0 && m.members[b.source].fence == f || !b.fence.Accepts(f) {
 		return false
 	}
 	for p := range m.members {
@@ -217,12 +217,12 @@
 	return false
 }
 
-// lost returns an acknowledged write that a primary lacks which a majority still
+// lostWrite returns an acknowledged write that a primary lacks which a majority still
 // follows, or zero. Only such a primary is given reads or writes.
-func (m *model) lost() rune {
+func (m *model) lostWrite() rune {
 	samples := m.samples()
 	for i := range m.members {
-		if _, ok := Confirm(samples, i, samples[i].Asked); !ok {
+		if _, ok := Confirm(samples, i, samples[i].SentAt); !ok {
 			continue
 		}
 		for _, w := range m.acked {
@@ -244,10 +244,10 @@
 	for len(queue) > 0 {
 		m := queue[0]
 		queue = queue[1:]
-		if m.lost() != 0 {
+		if m.lostWrite() != 0 {
 			return &m, len(seen)
 		}
-		for _, n := range m.next() {
+		for _, n := range m.successors() {
 			if !seen[n] {
 				seen[n] = true
 				queue = append(queue, n)
@@ -260,7 +260,7 @@
 	return nil, len(seen)
 }
 
-func firstModel() model {
+func initialModel() model {
 	var m model
 	m.members[0].primary, m.members[0].source = true, -1
 	return m
@@ -268,17 +268,17 @@
 
 // Two hosts promote at once while the primary writes. Whatever the order of
 // their steps, no acknowledged write is missing from the primary that results.
-func TestNoInterleavingOfPromotionsLosesAWrite(t *testing.T) {
-	bad, visited := explore(t, firstModel())
+func TestConcurrentPromotionsLoseNoWrite(t *testing.T) {
+	bad, visited := explore(t, initialModel())
 	if bad != nil {
 		t.Errorf("an acknowledged write was lost: %+v", *bad)
 	}
 	t.Logf("%d states", visited)
 }
 
-func TestExplorationFindsMissingFence(t *testing.T) {
-	m := firstModel()
-	m.skip = true
+func TestModelDetectsMissingFencing(t *testing.T) {
+	m := initialModel()
+	m.fencingDisabled = true
 	if bad, visited := explore(t, m); bad == nil {
 		t.Errorf("no loss found in %d states although members are not fenced", visited)
 	}
--- a/core/group/relief_test.go
+++ b/core/group/relief_test.go
@@ -9,11 +9,11 @@
 // at the moments of the questions it ran 1, 0, 0, 1, 1, 1, 0, 0, 1, 0, 0, 3 and 0 of them: it was never relieved, since only
 // that moment counted, and a round without a full primary began the count anew. What settled it was a line of each round
 // from a run on one processor, beside the callers that waited all the while.
-func TestPrimaryIsRelievedThoughIdleAtTheMomentOfAsking(t *testing.T) {
-	var r Relief
+func TestOverloadDetectedByQueuedStatements(t *testing.T) {
+	var r OverloadDetector
 	at := time.Unix(100, 0)
 	for round, running := range []int{1, 0, 0, 1, 1, 1, 0, 0, 1, 0, 0, 3, 0} {
-		if r.Observe(Load{Lagging: true, Running: running, Slots: 2, Waited: 60}, at) {
+		if r.Observe(PrimaryLoad{ReplicasLagging: true, Running: running, Slots: 2, Waits: 60}, at) {
 			if round != 1 {
 				t.Errorf("relieved in round %d", round)
 			}
@@ -24,20 +24,20 @@
 	t.Error("never relieved")
 }
 
-func TestRelief(t *testing.T) {
-	full := Load{Lagging: true, Running: 2, Slots: 2}
+func TestOverloadDetector(t *testing.T) {
+	full := PrimaryLoad{ReplicasLagging: true, Running: 2, Slots: 2}
 	for _, c := range []struct {
 		name   string
-		rounds []Load
+		rounds []PrimaryLoad
 		want   int
 	}{
-		{"full in two rounds", []Load{full, full}, 1},
-		{"full once", []Load{full, {Lagging: true, Slots: 2}, full}, 0},
-		{"replicas are fresh", []Load{{Running: 2, Slots: 2}, {Running: 2, Slots: 2}, {Running: 2, Slots: 2}}, 0},
-		{"a burst", []Load{{Lagging: true, Slots: 2, Waited: 3}, {Lagging: true, Slots: 2, Waited: 5}}, 0},
-		{"not again at once", []Load{full, full, full, full, full}, 1},
+		{"full in two rounds", []PrimaryLoad{full, full}, 1},
+		{"full once", []PrimaryLoad{full, {ReplicasLagging: true, Slots: 2}, full}, 0},
+		{"replicas are fresh", []PrimaryLoad{{Running: 2, Slots: 2}, {Running: 2, Slots: 2}, {Running: 2, Slots: 2}}, 0},
+		{"a burst", []PrimaryLoad{{ReplicasLagging: true, Slots: 2, Waits: 3}, {ReplicasLagging: true, Slots: 2, Waits: 5}}, 0},
+		{"not again at once", []PrimaryLoad{full, full, full, full, full}, 1},
 	} {
-		var r Relief
+		var r OverloadDetector
 		at, got := time.Unix(100, 0), 0
 		for _, l := range c.rounds {
 			if r.Observe(l, at) {
--- a/core/group/status.go
+++ b/core/group/status.go
@@ -46,11 +46,11 @@
 type Sample struct {
 	// Status is the answer.
 	Status Status
-	// Asked is when the question was sent: the answer is no older than that.
-	Asked time.Time
-	// Heard is when the answer arrived.
-	Heard time.Time
+	// SentAt is when the question was sent: the answer is no older than that.
+	SentAt time.Time
+	// ReceivedAt is when the answer arrived.
+	ReceivedAt time.Time
 }
 
-// Known reports whether the member has answered at all.
-func (s Sample) Known() bool { return !s.Heard.IsZero() }
+// Answered reports whether the member has answered at all.
+func (s Sample) Answered() bool { return !s.ReceivedAt.IsZero() }
--- a/core/group/successor.go
+++ b/core/group/successor.go
@@ -36,10 +36,10 @@
 func Successor(demoted *Position, replicas []Standby) (Standby, bool) {
 	best := -1
 	for i, r := range replicas {
-		if !r.Answered || r.Leaving || !holdsAll(i, demoted, replicas) {
+		if !r.Answered || r.Leaving || !holdsEveryWrite(i, demoted, replicas) {
 			continue
 		}
-		if best < 0 || before(r, replicas[best]) {
+		if best < 0 || preferred(r, replicas[best]) {
 			best = i
 		}
 	}
@@ -49,16 +49,16 @@
 	return replicas[best], true
 }
 
-// before orders candidates.
-func before(a, b Standby) bool {
+// preferred orders candidates.
+func preferred(a, b Standby) bool {
 	if c := a.Received.Compare(b.Received); c != 0 {
 		return c > 0
 	}
 	return a.Member < b.Member
 }
 
-// holdsAll reports whether replica i certainly holds every acknowledged write.
-func holdsAll(i int, demoted *Position, replicas []Standby) bool {
+// holdsEveryWrite reports whether replica i certainly holds every acknowledged write.
+func holdsEveryWrite(i int, demoted *Position, replicas []Standby) bool {
 	if demoted != nil && replicas[i].Received.Compare(*demoted) >= 0 {
 		return true
 	}
--- a/core/group/successor_test.go
+++ b/core/group/successor_test.go
@@ -45,7 +45,7 @@
 // A caller's booking is gone after a failover. A draining replica had acknowledged it
 // for the primary while the other replica received nothing, and then ended with its
 // log; the other one answers alone, and its log is the longest of all that are left.
-func TestSuccessorNeedsWhatDepartedMembersAcknowledged(t *testing.T) {
+func TestSuccessorConsidersDepartedMembers(t *testing.T) {
 	deaf := standby("a", 7)
 	deaf.Complete = false
 	if got, ok := Successor(nil, []Standby{deaf}); ok {
--- a/core/pool/member.go
+++ b/core/pool/member.go
@@ -12,17 +12,17 @@
 	// Account is whose statements run on it.
 	Account string
 	member  *Member
-	// used is when it was last taken or given back.
-	used time.Time
-	// active is true while a statement runs on it, or is about to.
-	active bool
+	// lastUsed is when it was last taken or given back.
+	lastUsed time.Time
+	// running is true while a statement runs on it, or is about to.
+	running bool
 }
 
 // Member returns the member that the connection leads to.
 func (c *Conn) Member() *Member { return c.member }
 
-// Used returns when the connection was last taken or given back.
-func (c *Conn) Used() time.Time { return c.used }
+// LastUsed returns when the connection was last taken or given back.
+func (c *Conn) LastUsed() time.Time { return c.lastUsed }
 
 // Member is what a Pool knows of its connections to one member.
 type Member struct {
@@ -32,19 +32,19 @@
 	idle []*Conn
 	// open counts connections, idle ones and those in use.
 	open int
-	// opening counts connections that are being opened, by account.
-	opening map[string]int
-	// running counts connections in use, active those of them on which a statement runs or is about to.
-	running, active int
+	// dials counts connections that are being opened, by account.
+	dials map[string]int
+	// inUse counts connections in use, running those of them on which a statement runs or is about to.
+	inUse, running int
 	// latency is how long statements took lately.
 	latency time.Duration
-	// fullUntil is when the member may be asked again for a connection after it had none left, or could
+	// dialBlockedUntil is when the member may be asked again for a connection after it had none left, or could
 	// not be reached.
-	fullUntil time.Time
-	window    Window
-	allowance allowance
-	// gone is true once the member was dropped. Its connections are closed as they are given back.
-	gone bool
+	dialBlockedUntil time.Time
+	window           Window
+	burst            burst
+	// removed is true once the member was dropped. Its connections are closed as they are given back.
+	removed bool
 }
 
 // Load is how busy a host's connections to a member are.
@@ -59,39 +59,39 @@
 
 // Load returns how busy the connections are.
 func (m *Member) Load() Load {
-	return Load{Open: m.open, InUse: m.running, Running: m.active, Idle: len(m.idle), Window: m.window.Limit(), Latency: m.latency}
+	return Load{Open: m.open, InUse: m.inUse, Running: m.running, Idle: len(m.idle), Window: m.window.Limit(), Latency: m.latency}
 }
 
 // ID returns the member's identifier.
 func (m *Member) ID() string { return m.id }
 
-// Observe records how long a statement took.
-func (m *Member) Observe(d time.Duration) { m.latency = placement.UpdateLatency(m.latency, d) }
+// ObserveLatency records how long a statement took.
+func (m *Member) ObserveLatency(d time.Duration) { m.latency = placement.UpdateLatency(m.latency, d) }
 
 // Latency returns how long statements took lately, or zero.
 func (m *Member) Latency() time.Duration { return m.latency }
 
-// Ran records that the member ran a statement, and Shed that it had no room for one, while so many hosts
+// RecordSuccess records that the member ran a statement, and Shed that it had no room for one, while so many hosts
 // shared it.
-func (m *Member) Ran() { m.window.Grow() }
+func (m *Member) RecordSuccess() { m.window.Grow() }
 
-// Shed is described with Ran.
-func (m *Member) Shed(now time.Time, hosts int) { m.window.Shrink(now, hosts) }
+// RecordOverload is described with Ran.
+func (m *Member) RecordOverload(now time.Time, hosts int) { m.window.Shrink(now, hosts) }
 
-// Retry lets the member be asked for connections at once: it has just answered.
-func (m *Member) Retry() { m.fullUntil = time.Time{} }
+// UnblockDials lets the member be asked for connections at once: it has just answered.
+func (m *Member) UnblockDials() { m.dialBlockedUntil = time.Time{} }
 
-// dialing counts the connections that are being opened.
-func (m *Member) dialing() int {
+// dialCount counts the connections that are being opened.
+func (m *Member) dialCount() int {
 	n := 0
-	for _, each := range m.opening {
+	for _, each := range m.dials {
 		n += each
 	}
 	return n
 }
 
-// idleOf returns the index of the account's idle connection that was used last, or -1.
-func (m *Member) idleOf(account string) int {
+// idleIndex returns the index of the account's idle connection that was used last, or -1.
+func (m *Member) idleIndex(account string) int {
 	for i := len(m.idle) - 1; i >= 0; i-- {
 		if m.idle[i].Account == account {
 			return i
@@ -100,17 +100,17 @@
 	return -1
 }
 
-// unidle takes an idle connection out.
-func (m *Member) unidle(i int) *Conn {
+// removeIdle takes an idle connection out.
+func (m *Member) removeIdle(i int) *Conn {
 	c := m.idle[i]
 	m.idle = slices.Delete(m.idle, i, i+1)
 	return c
 }
 
-// settle records that no statement runs on the connection.
-func (c *Conn) settle() {
-	if c.active {
-		c.active = false
-		c.member.active--
+// clearRunning records that no statement runs on the connection.
+func (c *Conn) clearRunning() {
+	if c.running {
+		c.running = false
+		c.member.running--
 	}
 }
--- a/core/pool/pool_test.go
+++ b/core/pool/pool_test.go
@@ -7,54 +7,56 @@
 	"time"
 )
 
-// site is what a host believes in these tests: a primary p and replicas, all well.
-type site struct {
-	share   int
-	borrows bool
-	dead    map[*Conn]bool
-	lacking map[string]bool
+// fakeView is what a host believes in these tests: a primary p and replicas, all well.
+type fakeView struct {
+	share          int
+	mayExceedShare bool
+	dead           map[*Conn]bool
+	lagging        map[string]bool
 }
 
-var _ Beliefs = (*site)(nil)
+var _ View = (*fakeView)(nil)
 
-func (s *site) Serves(id string, n Need, _ time.Time) bool {
-	return n.Primary && id == "p" || !n.Primary && !s.lacking[id]
+func (s *fakeView) CanServe(id string, n Request, _ time.Time) bool {
+	return n.PrimaryOnly && id == "p" || !n.PrimaryOnly && !s.lagging[id]
 }
-func (s *site) Place(id string, _ time.Time) Place { return Place{SameZone: true, Leads: id == "p"} }
-func (s *site) Keeps(string, time.Time) bool       { return true }
-func (s *site) Share(string) int                   { return s.share }
-func (s *site) Borrows() bool                      { return s.borrows }
-func (s *site) Alive(c *Conn) bool                 { return !s.dead[c] }
+func (s *fakeView) Info(id string, _ time.Time) MemberInfo {
+	return MemberInfo{SameZone: true, Leads: id == "p"}
+}
+func (s *fakeView) KeepsIdle(string, time.Time) bool { return true }
+func (s *fakeView) Share(string) int                 { return s.share }
+func (s *fakeView) MayExceedShare() bool             { return s.mayExceedShare }
+func (s *fakeView) Alive(c *Conn) bool               { return !s.dead[c] }
 
-// bench is a pool before members, with a clock.
-type bench struct {
+// harness is a pool before members, with a clock.
+type harness struct {
 	t    *testing.T
-	site *site
+	view *fakeView
 	pool *Pool
 	now  time.Time
 }
 
-func newBench(t *testing.T, share int, members ...string) *bench {
-	s := &site{share: share, dead: map[*Conn]bool{}, lacking: map[string]bool{}}
-	b := &bench{t: t, site: s, pool: New(s), now: time.UnixMilli(100_000)}
+func newHarness(t *testing.T, share int, members ...string) *harness {
+	s := &fakeView{share: share, dead: map[*Conn]bool{}, lagging: map[string]bool{}}
+	b := &harness{t: t, view: s, pool: New(s), now: time.UnixMilli(100_000)}
 	for _, id := range members {
 		b.pool.Add(id, 3)
 	}
 	return b
 }
 
-func read(account string) Need  { return Need{Account: account} }
-func write(account string) Need { return Need{Account: account, Primary: true} }
+func read(account string) Request  { return Request{Account: account} }
+func write(account string) Request { return Request{Account: account, PrimaryOnly: true} }
 
-// carryOut answers the orders as a member does that has room for everybody, and returns them as texts,
+// runActions answers the orders as a member does that has room for everybody, and returns them as texts,
 // and whom the pool gave what.
-func (b *bench) carryOut() (orders []string, given map[*Waiter]*Conn) {
+func (b *harness) runActions() (orders []string, given map[*Waiter]*Conn) {
 	given = map[*Waiter]*Conn{}
-	for list := b.pool.Orders(); len(list) > 0; list = b.pool.Orders() {
+	for list := b.pool.DrainActions(); len(list) > 0; list = b.pool.DrainActions() {
 		for _, o := range list {
 			switch o := o.(type) {
-			case Give:
-				orders, given[o.To] = append(orders, "give "+o.To.Need.Account), o.Conn
+			case Assign:
+				orders, given[o.Waiter] = append(orders, "give "+o.Waiter.Request.Account), o.Conn
 			case Open:
 				orders = append(orders, fmt.Sprint("open ", o.Member, " ", o.Account))
 				b.pool.Opened(b.pool.members[o.Member], o.Account, b.now)
@@ -67,21 +69,21 @@
 	return orders, given
 }
 
-// get returns a connection for the need, opened if need be, and the orders that it took.
-func (b *bench) get(n Need) (*Conn, []string) {
+// acquire returns a connection for the need, opened if need be, and the orders that it took.
+func (b *harness) acquire(n Request) (*Conn, []string) {
 	b.t.Helper()
-	n.Arrived = b.now
+	n.ArrivedAt = b.now
 	if c := b.pool.Take(n, b.now); c != nil {
-		orders, _ := b.carryOut()
+		orders, _ := b.runActions()
 		return c, orders
 	}
-	w := b.pool.Wait(n)
+	w := b.pool.Enqueue(n)
 	b.pool.Dispatch(b.now, false)
-	orders, given := b.carryOut()
+	orders, given := b.runActions()
 	return given[w], orders
 }
 
-func (b *bench) want(got []string, want ...string) {
+func (b *harness) wantActions(got []string, want ...string) {
 	b.t.Helper()
 	if !slices.Equal(got, want) {
 		b.t.Errorf("orders %q, want %q", got, want)
@@ -90,17 +92,17 @@
 
 // A member runs a statement only on a connection that was opened for the statement's account. One that
 // another account left is as good as none.
-func TestConnectionsServeTheirAccountAlone(t *testing.T) {
-	b := newBench(t, 4, "r")
-	c, orders := b.get(read("bakery"))
-	b.want(orders, "open r bakery", "give bakery")
+func TestConnServesOnlyItsAccount(t *testing.T) {
+	b := newHarness(t, 4, "r")
+	c, orders := b.acquire(read("bakery"))
+	b.wantActions(orders, "open r bakery", "give bakery")
 	b.pool.Release(c, b.now)
-	other, orders := b.get(read("hotel"))
-	b.want(orders, "open r hotel", "give hotel")
+	other, orders := b.acquire(read("hotel"))
+	b.wantActions(orders, "open r hotel", "give hotel")
 	if other == c || other.Account != "hotel" {
 		t.Errorf("got a connection of %q", other.Account)
 	}
-	again, orders := b.get(read("bakery"))
+	again, orders := b.acquire(read("bakery"))
 	if again != c || len(orders) > 0 {
 		t.Errorf("got another connection than the own one, with orders %q", orders)
 	}
@@ -108,106 +110,106 @@
 
 // Members take few connections. The one that was not used for longest makes room for an account that has
 // none.
-func TestTheLeastRecentlyUsedConnectionMakesRoom(t *testing.T) {
-	b := newBench(t, 3, "r")
+func TestLeastRecentlyUsedConnIsReplaced(t *testing.T) {
+	b := newHarness(t, 3, "r")
 	for _, account := range []string{"bakery", "hotel", "canteen"} {
-		c, _ := b.get(read(account))
+		c, _ := b.acquire(read(account))
 		b.pool.Release(c, b.now)
 	}
-	c, _ := b.get(read("bakery"))
+	c, _ := b.acquire(read("bakery"))
 	b.pool.Release(c, b.now)
-	_, orders := b.get(read("school"))
-	b.want(orders, "close r hotel", "open r school", "give school")
+	_, orders := b.acquire(read("school"))
+	b.wantActions(orders, "close r hotel", "open r school", "give school")
 }
 
 // All connections are in use: nothing is closed or opened until one comes back, and a connection whose
 // own account waits is not closed for another one.
-func TestBusyConnectionsAreNotReplaced(t *testing.T) {
-	b := newBench(t, 2, "r")
-	first, _ := b.get(read("bakery"))
-	second, _ := b.get(read("hotel"))
-	if c, orders := b.get(read("school")); c != nil || len(orders) > 0 {
+func TestBusyConnsAreNotReplaced(t *testing.T) {
+	b := newHarness(t, 2, "r")
+	first, _ := b.acquire(read("bakery"))
+	second, _ := b.acquire(read("hotel"))
+	if c, orders := b.acquire(read("school")); c != nil || len(orders) > 0 {
 		t.Fatalf("got %v, orders %q", c, orders)
 	}
-	w := b.pool.Wait(read("hotel"))
+	w := b.pool.Enqueue(read("hotel"))
 	b.pool.Release(second, b.now)
 	b.pool.Dispatch(b.now, false)
-	orders, given := b.carryOut()
-	b.want(orders, "give hotel")
+	orders, given := b.runActions()
+	b.wantActions(orders, "give hotel")
 	if given[w] != second {
 		t.Error("the statement of the same account did not get the connection that came back")
 	}
 	b.pool.Release(first, b.now)
 	b.pool.Dispatch(b.now, false)
-	orders, _ = b.carryOut()
-	b.want(orders, "close r bakery", "open r school", "give school")
+	orders, _ = b.runActions()
+	b.wantActions(orders, "close r bakery", "open r school", "give school")
 }
 
 // A read goes to a replica, and to another one if the first lacks what it asks for; a write opens a
 // connection to the primary.
-func TestReadsAndWritesFindTheirMembers(t *testing.T) {
-	b := newBench(t, 4, "p", "r1", "r2")
-	c, _ := b.get(read("bakery"))
+func TestMemberSelection(t *testing.T) {
+	b := newHarness(t, 4, "p", "r1", "r2")
+	c, _ := b.acquire(read("bakery"))
 	if at := c.Member().ID(); at != "r1" {
 		t.Errorf("a read went to %s", at)
 	}
 	b.pool.Release(c, b.now)
-	b.site.lacking["r1"] = true
-	if c, _ = b.get(read("bakery")); c.Member().ID() != "r2" {
+	b.view.lagging["r1"] = true
+	if c, _ = b.acquire(read("bakery")); c.Member().ID() != "r2" {
 		t.Errorf("a read went to %s, which lacks what it asks for", c.Member().ID())
 	}
-	if c, orders := b.get(write("bakery")); c == nil || c.Member().ID() != "p" {
+	if c, orders := b.acquire(write("bakery")); c == nil || c.Member().ID() != "p" {
 		t.Errorf("the write got %v, orders %q", c, orders)
 	}
 }
 
 // A member has no connection left: it is left alone for a moment, and the host keeps to its share for a while.
-func TestFullMemberIsLeftAlone(t *testing.T) {
-	b := newBench(t, 1, "r")
-	b.site.borrows = true
-	w := b.pool.Wait(read("bakery"))
+func TestFullMemberBacksOff(t *testing.T) {
+	b := newHarness(t, 1, "r")
+	b.view.mayExceedShare = true
+	w := b.pool.Enqueue(read("bakery"))
 	b.pool.Dispatch(b.now, false)
 	m := b.pool.members["r"]
-	if orders := b.pool.Orders(); len(orders) != 1 {
+	if orders := b.pool.DrainActions(); len(orders) != 1 {
 		t.Fatalf("orders %v", orders)
 	}
-	b.pool.Failed(m, "bakery", true, b.now)
+	b.pool.OpenFailed(m, "bakery", true, b.now)
 	b.pool.Dispatch(b.now, false)
-	if orders := b.pool.Orders(); len(orders) > 0 {
+	if orders := b.pool.DrainActions(); len(orders) > 0 {
 		t.Errorf("orders %v right after the member had none left", orders)
 	}
-	b.now = b.now.Add(fullRetry)
+	b.now = b.now.Add(fullBackoff)
 	b.pool.Dispatch(b.now, false)
-	orders, given := b.carryOut()
-	b.want(orders, "open r bakery", "give bakery")
+	orders, given := b.runActions()
+	b.wantActions(orders, "open r bakery", "give bakery")
 	if given[w] == nil {
 		t.Error("nothing was given")
 	}
 }
 
 // A connection that the member has closed is not given out, and another one is opened.
-func TestDeadConnectionsAreReplaced(t *testing.T) {
-	b := newBench(t, 2, "r")
-	c, _ := b.get(read("bakery"))
+func TestDeadConnsAreReplaced(t *testing.T) {
+	b := newHarness(t, 2, "r")
+	c, _ := b.acquire(read("bakery"))
 	b.pool.Release(c, b.now)
-	b.site.dead[c] = true
-	again, orders := b.get(read("bakery"))
-	b.want(orders, "close r bakery", "open r bakery", "give bakery")
+	b.view.dead[c] = true
+	again, orders := b.acquire(read("bakery"))
+	b.wantActions(orders, "close r bakery", "open r bakery", "give bakery")
 	if again == c {
 		t.Error("the dead connection was given out")
 	}
 }
 
 // A member that is dropped gets no work, its idle connections are closed, and those in use as they come back.
-func TestDroppedMember(t *testing.T) {
-	b := newBench(t, 4, "r")
-	busy, _ := b.get(read("bakery"))
-	idle, _ := b.get(read("hotel"))
+func TestRemovedMember(t *testing.T) {
+	b := newHarness(t, 4, "r")
+	busy, _ := b.acquire(read("bakery"))
+	idle, _ := b.acquire(read("hotel"))
 	b.pool.Release(idle, b.now)
-	b.pool.Drop(b.pool.members["r"])
+	b.pool.Remove(b.pool.members["r"])
 	b.pool.Release(busy, b.now)
-	orders, _ := b.carryOut()
-	b.want(orders, "close r hotel", "close r bakery")
+	orders, _ := b.runActions()
+	b.wantActions(orders, "close r hotel", "close r bakery")
 	if c := b.pool.Take(read("bakery"), b.now); c != nil {
 		t.Error("a dropped member got work")
 	}
@@ -217,14 +219,14 @@
 }
 
 // Statements that only the primary can run, while it is out of reach, go by way of other hosts.
-func TestLostPrimarySendsOn(t *testing.T) {
-	b := newBench(t, 4, "p")
-	w := b.pool.Wait(Need{Primary: true, SendOn: true})
-	stays := b.pool.Wait(Need{Primary: true, Account: "bakery"})
+func TestLostPrimaryForwards(t *testing.T) {
+	b := newHarness(t, 4, "p")
+	w := b.pool.Enqueue(Request{PrimaryOnly: true, Forwardable: true})
+	stays := b.pool.Enqueue(Request{PrimaryOnly: true, Account: "bakery"})
 	b.pool.Dispatch(b.now, true)
-	for _, o := range b.pool.Orders() {
-		if g, ok := o.(Give); ok && (g.To != w || g.Conn != nil) {
-			t.Errorf("gave %v to %v", g.Conn, g.To)
+	for _, o := range b.pool.DrainActions() {
+		if g, ok := o.(Assign); ok && (g.Waiter != w || g.Conn != nil) {
+			t.Errorf("gave %v to %v", g.Conn, g.Waiter)
 		}
 	}
 	if b.pool.Waiting() != 1 {
@@ -240,22 +242,22 @@
 		share, hosts, warm int
 		want               int
 	}{
-		{"used lately", shareIdle / 2, 3, 8, 0, 3},
-		{"not used", shareIdle, 3, 8, 0, 0},
-		{"above the share", extraIdle, 2, 8, 0, 2},
-		{"in a crowd", shareIdle, 3, Crowd + 1, 0, 3},
-		{"kept warm", shareIdle, 3, 8, 2, 2},
+		{"used lately", shareIdleTimeout / 2, 3, 8, 0, 3},
+		{"not used", shareIdleTimeout, 3, 8, 0, 0},
+		{"above the share", burstIdleTimeout, 2, 8, 0, 2},
+		{"in a crowd", shareIdleTimeout, 3, ManyHosts + 1, 0, 3},
+		{"kept warm", shareIdleTimeout, 3, 8, 2, 2},
 	} {
-		b := newBench(t, 3, "r")
+		b := newHarness(t, 3, "r")
 		var all []*Conn
 		for _, account := range []string{"a", "b", "c"} {
-			got, _ := b.get(read(account))
+			got, _ := b.acquire(read(account))
 			all = append(all, got)
 		}
 		for _, each := range all {
 			b.pool.Release(each, b.now)
 		}
-		b.site.share = c.share
+		b.view.share = c.share
 		b.now = b.now.Add(c.idle)
 		b.pool.Trim(b.now, c.hosts, func(*Member) int { return c.warm })
 		if got := b.pool.members["r"].Load().Open; got != c.want {
--- a/core/pool/queue.go
+++ b/core/pool/queue.go
@@ -6,33 +6,33 @@
 	"time"
 )
 
-// Wait queues a statement. It is given a connection by an order of a later call.
-func (p *Pool) Wait(n Need) *Waiter {
+// Enqueue queues a statement. It is given a connection by an order of a later call.
+func (p *Pool) Enqueue(n Request) *Waiter {
 	w := &Waiter{n}
 	i := sort.Search(len(p.waiters), func(i int) bool {
-		o := p.waiters[i].Need
+		o := p.waiters[i].Request
 		if o.Priority != n.Priority {
 			return o.Priority > n.Priority
 		}
-		return o.Arrived.After(n.Arrived)
+		return o.ArrivedAt.After(n.ArrivedAt)
 	})
 	p.waiters = slices.Insert(p.waiters, i, w)
 	return w
 }
 
-// Leave takes a statement out of the queue that waits no longer.
-func (p *Pool) Leave(w *Waiter) {
+// CancelWait takes a statement out of the queue that waits no longer.
+func (p *Pool) CancelWait(w *Waiter) {
 	p.waiters = slices.DeleteFunc(p.waiters, func(o *Waiter) bool { return o == w })
 }
 
 // Waiting returns how many statements wait.
 func (p *Pool) Waiting() int { return len(p.waiters) }
 
-// standingQueue is how long the oldest statement may have waited until newer ones of
+// lifoThreshold is how long the oldest statement may have waited until newer ones of
 // its priority go first. While work comes faster than it is done, all would wait
 // until most are too late; newest first, those that are served are served in time.
 // The users' shortest latency objective is twice as long.
-const standingQueue = 50 * time.Millisecond
+const lifoThreshold = 50 * time.Millisecond
 
 // servingOrder returns the waiters in the order in which they are served: by
 // priority, then by arrival, or the other way round while a queue stands.
@@ -40,10 +40,10 @@
 	out := slices.Clone(p.waiters)
 	for from := 0; from < len(out); {
 		to := from + 1
-		for to < len(out) && out[to].Need.Priority == out[from].Need.Priority {
+		for to < len(out) && out[to].Request.Priority == out[from].Request.Priority {
 			to++
 		}
-		if now.Sub(out[from].Need.Arrived) > standingQueue {
+		if now.Sub(out[from].Request.ArrivedAt) > lifoThreshold {
 			slices.Reverse(out[from:to])
 		}
 		from = to
--- a/core/pool/queue_test.go
+++ b/core/pool/queue_test.go
@@ -13,12 +13,12 @@
 	now := time.UnixMilli(10_000)
 	p := New(nil)
 	add := func(name string, priority int, ago time.Duration) {
-		p.Wait(Need{Avoid: name, Priority: priority, Arrived: now.Add(-ago)})
+		p.Enqueue(Request{Avoid: name, Priority: priority, ArrivedAt: now.Add(-ago)})
 	}
 	names := func() []string {
 		var out []string
 		for _, w := range p.servingOrder(now) {
-			out = append(out, w.Need.Avoid)
+			out = append(out, w.Request.Avoid)
 		}
 		return out
 	}
@@ -29,7 +29,7 @@
 	if got, want := names(), []string{"save 1", "save 2", "label 1", "label 2"}; !slices.Equal(got, want) {
 		t.Errorf("a short queue is served as %v, want %v", got, want)
 	}
-	now = now.Add(standingQueue)
+	now = now.Add(lifoThreshold)
 	if got, want := names(), []string{"save 2", "save 1", "label 2", "label 1"}; !slices.Equal(got, want) {
 		t.Errorf("a standing queue is served as %v, want %v", got, want)
 	}
--- a/core/pool/window_test.go
+++ b/core/pool/window_test.go
@@ -8,59 +8,59 @@
 // A member's queue is full and refuses statements. Hosts that send them again at once
 // keep it full, and most of its callers get a refusal rather than an answer. The
 // window of each host must fall to one within a few refusals, and grow back slowly.
-func TestWindowFallsFastAndGrowsSlowly(t *testing.T) {
+func TestWindowShrinksFastAndGrowsSlowly(t *testing.T) {
 	var w Window
 	now := time.UnixMilli(0)
 	for range 4 {
-		now = now.Add(windowPause)
+		now = now.Add(minShrinkInterval)
 		w.Shrink(now, 8)
 	}
 	if w.Limit() != 1 {
 		t.Errorf("after four refusals the window is %d", w.Limit())
 	}
 	grown := 0
-	for w.Limit() < windowStart {
+	for w.Limit() < initialWindow {
 		w.Grow()
 		grown++
 	}
-	if grown < 2*windowStart {
+	if grown < 2*initialWindow {
 		t.Errorf("the window was back after %d statements", grown)
 	}
 	for range 10000 {
 		w.Grow()
 	}
-	if w.Limit() != windowMax {
-		t.Errorf("the window grew to %d, want %d", w.Limit(), windowMax)
+	if w.Limit() != maxWindow {
+		t.Errorf("the window grew to %d, want %d", w.Limit(), maxWindow)
 	}
 }
 
-func TestWindowTakesRefusalsOfOneMomentAsOne(t *testing.T) {
+func TestWindowShrinksOncePerInterval(t *testing.T) {
 	var w Window
 	now := time.UnixMilli(1000)
-	w.size = windowMax
+	w.size = maxWindow
 	for range 5 {
 		w.Shrink(now, 8)
 	}
-	if w.Limit() != windowMax/2 {
+	if w.Limit() != maxWindow/2 {
 		t.Errorf("five refusals at once left a window of %d", w.Limit())
 	}
 }
 
-func TestAllowance(t *testing.T) {
-	var a allowance
+func TestBurst(t *testing.T) {
+	var a burst
 	now := time.UnixMilli(0)
-	a.adjust(now, true)
-	a.adjust(now, true)
+	a.grow(now, true)
+	a.grow(now, true)
 	if a.extra != 1 {
 		t.Errorf("two wishes at once gave %d connections", a.extra)
 	}
-	a.adjust(now.Add(allowancePause), false)
-	a.adjust(now.Add(allowancePause), true)
+	a.grow(now.Add(burstGrowthInterval), false)
+	a.grow(now.Add(burstGrowthInterval), true)
 	if a.extra != 2 {
 		t.Errorf("extra = %d, want 2", a.extra)
 	}
-	a.full(now)
-	a.adjust(now.Add(allowancePenalty/2), true)
+	a.reset(now)
+	a.grow(now.Add(burstCooldown/2), true)
 	if a.extra != 0 {
 		t.Error("a host grew again right after the member had no connection left")
 	}
@@ -68,7 +68,7 @@
 
 // Sixty hosts send a member one statement each and are refused. If each came back after
 // one statement's time, the member's queue would stay full of what it refuses.
-func TestCrowdLeavesARefusingMemberAlone(t *testing.T) {
+func TestManyHostsBackOffFromRefusingMember(t *testing.T) {
 	for _, c := range []struct {
 		hosts int
 		want  bool
@@ -76,14 +76,14 @@
 		var w Window
 		now := time.UnixMilli(0)
 		for range 8 {
-			now = now.Add(windowPause)
+			now = now.Add(minShrinkInterval)
 			w.Shrink(now, c.hosts)
 			if now.Before(w.closedUntil) {
 				now = w.closedUntil
 			}
 		}
 		w.Shrink(now, c.hosts)
-		if got := w.Open(0, now.Add(shortestPause)); got != c.want {
+		if got := w.Allows(0, now.Add(minBackoff)); got != c.want {
 			t.Errorf("%d hosts: open soon after the ninth refusal: %v", c.hosts, got)
 		}
 	}
--- a/core/statement/classify.go
+++ b/core/statement/classify.go
@@ -9,8 +9,8 @@
 type Traits struct {
 	// Kind is Read only for statements that start like a read.
 	Kind Kind
-	// Begins is true for statements that open or end a transaction.
-	Begins bool
+	// ControlsTransaction is true for statements that open or end a transaction.
+	ControlsTransaction bool
 	// Pins is true for statements whose effect on the session outlives their
 	// transaction.
 	Pins bool
@@ -19,28 +19,28 @@
 	RequestID string
 }
 
-// requestComment finds the request identifier.
-var requestComment = regexp.MustCompile(`/\*\s*pearlatch\.request\s*=\s*'([^']{1,200})'\s*\*/`)
+// requestIDComment finds the request identifier.
+var requestIDComment = regexp.MustCompile(`/\*\s*pearlatch\.request\s*=\s*'([^']{1,200})'\s*\*/`)
 
-const requestPrefix = "pearlatch.request"
+const requestIDKey = "pearlatch.request"
 
 // Classify looks at the leading keyword of an SQL text. It is no parser: what
 // it does not know is a write, and a read that writes after all is refused by
 // the replica (25006) before it runs.
 func Classify(sql string) Traits {
 	var t Traits
-	if strings.Contains(sql, requestPrefix) {
-		if m := requestComment.FindStringSubmatch(sql); m != nil {
+	if strings.Contains(sql, requestIDKey) {
+		if m := requestIDComment.FindStringSubmatch(sql); m != nil {
 			t.RequestID = m[1]
 		}
 	}
 	sql = skipComments(sql)
 	t.Kind = kindOf(sql)
-	t.Begins = controls(sql)
-	if several(sql) {
+	t.ControlsTransaction = controlsTransaction(sql)
+	if hasMultipleStatements(sql) {
 		t.Kind = Write
 	}
-	t.Pins = pins(sql)
+	t.Pins = pinsSession(sql)
 	return t
 }
 
@@ -62,9 +62,9 @@
 }
 
 func kindOf(sql string) Kind {
-	switch word, rest := keyword(sql); word {
+	switch word, rest := leadingKeyword(sql); word {
 	case "SELECT":
-		if locking(sql) {
+		if takesLocks(sql) {
 			return Write
 		}
 		return Read
@@ -78,38 +78,38 @@
 	return Write
 }
 
-// controls reports whether sql opens or ends a transaction.
-func controls(sql string) bool {
-	switch word, _ := keyword(sql); word {
+// controlsTransaction reports whether sql opens or ends a transaction.
+func controlsTransaction(sql string) bool {
+	switch word, _ := leadingKeyword(sql); word {
 	case "BEGIN", "START", "COMMIT", "END", "ROLLBACK", "ABORT", "PREPARE":
 		return true
 	}
 	return false
 }
 
-// several reports whether text follows a semicolon. A semicolon within a literal
+// hasMultipleStatements reports whether text follows a semicolon. A semicolon within a literal
 // counts too: such a statement goes to the primary, which is always right.
-func several(sql string) bool {
+func hasMultipleStatements(sql string) bool {
 	_, rest, found := strings.Cut(sql, ";")
 	return found && strings.Trim(rest, " \t\r\n;") != ""
 }
 
-// locking reports whether a SELECT takes row locks, which replicas refuse, or
+// takesLocks reports whether a SELECT takes row locks, which replicas refuse, or
 // advisory locks, which are no use on a replica.
-func locking(sql string) bool {
+func takesLocks(sql string) bool {
 	return containsFold(sql, " FOR UPDATE") || containsFold(sql, " FOR SHARE") ||
 		containsFold(sql, " FOR NO KEY") || containsFold(sql, " FOR KEY") || containsFold(sql, "ADVISORY")
 }
 
-func pins(sql string) bool {
-	switch word, rest := keyword(sql); word {
+func pinsSession(sql string) bool {
+	switch word, rest := leadingKeyword(sql); word {
 	case "SET":
-		next, _ := keyword(strings.TrimLeft(rest, " \t\r\n"))
+		next, _ := leadingKeyword(strings.TrimLeft(rest, " \t\r\n"))
 		return next != "LOCAL" && next != "TRANSACTION" && next != "CONSTRAINTS"
 	case "PREPARE", "LISTEN", "LOAD":
 		return true
 	case "CREATE":
-		next, _ := keyword(strings.TrimLeft(rest, " \t\r\n"))
+		next, _ := leadingKeyword(strings.TrimLeft(rest, " \t\r\n"))
 		return next == "TEMP" || next == "TEMPORARY" || next == "LOCAL" || next == "GLOBAL"
 	case "DECLARE":
 		return containsFold(rest, "WITH HOLD")
@@ -119,8 +119,8 @@
 	return false
 }
 
-// keyword returns the leading word of sql in upper case, and the rest.
-func keyword(sql string) (word, rest string) {
+// leadingKeyword returns the leading word of sql in upper case, and the rest.
+func leadingKeyword(sql string) (word, rest string) {
 	n := 0
 	for n < len(sql) && isLetter(sql[n]) {
 		n++
--- a/core/statement/classify_test.go
+++ b/core/statement/classify_test.go
@@ -38,7 +38,7 @@
 		{"", Write, false, false, ""},
 	} {
 		got := Classify(c.sql)
-		if want := (Traits{Kind: c.kind, Pins: c.pins, Begins: c.begins, RequestID: c.id}); got != want {
+		if want := (Traits{Kind: c.kind, Pins: c.pins, ControlsTransaction: c.begins, RequestID: c.id}); got != want {
 			t.Errorf("Classify(%q) = %+v, want %+v", c.sql, got, want)
 		}
 	}
@@ -48,7 +48,7 @@
 	f.Add("SELECT 1")
 	f.Add("/* pearlatch.request='x' */ --")
 	f.Fuzz(func(t *testing.T, sql string) {
-		if got := Classify(sql); got.Kind == Read && got.Begins && got.Pins {
+		if got := Classify(sql); got.Kind == Read && got.ControlsTransaction && got.Pins {
 			t.Errorf("Classify(%q) = %+v", sql, got)
 		}
 	})
--- a/core/statement/refusal.go
+++ b/core/statement/refusal.go
@@ -16,10 +16,10 @@
 	// RetryAfter is when the caller may try again, or zero when that is not
 	// known.
 	RetryAfter time.Duration
-	// Elsewhere is true when another host may take the unit at once: this one
+	// RetryElsewhere is true when another host may take the unit at once: this one
 	// does not own the group. Owner is that host, if it is known.
-	Elsewhere bool
-	Owner     string
+	RetryElsewhere bool
+	Owner          string
 }
 
 // Error implements error.
@@ -38,7 +38,7 @@
 	return fmt.Sprintf("Try again in %s.", r.RetryAfter.Round(time.Millisecond))
 }
 
-// NotRun returns a refusal of a unit that has not run.
-func NotRun(code, reason string) *Refusal {
+// NewNotRunRefusal returns a refusal of a unit that has not run.
+func NewNotRunRefusal(code, reason string) *Refusal {
 	return &Refusal{Code: code, Reason: reason, NotRun: true}
 }
--- a/core/statement/unit.go
+++ b/core/statement/unit.go
@@ -7,8 +7,8 @@
 	"pearlatch/core/freshness"
 )
 
-// Key names a caller's connection across the fleet.
-type Key struct {
+// CancelKey names a caller's connection across the fleet.
+type CancelKey struct {
 	// Process and Secret are what the caller received as its cancel key. The
 	// upper half of Process identifies the host.
 	Process, Secret uint32
@@ -21,20 +21,20 @@
 	Route, Group string
 	// Session identifies the caller whose writes its reads must see.
 	Session string
-	// Clean is true when the session has certainly sent no write: it belongs to
+	// NeverWrote is true when the session has certainly sent no write: it belongs to
 	// one connection, and that has sent none. Its reads need no mark.
-	Clean bool
+	NeverWrote bool
 	// Class is the freshness that reads accept.
 	Class freshness.Class
 	// Priority ranks the request in the group's queue.
 	Priority config.Priority
 	// Idempotent is true when every unit may be repeated.
 	Idempotent bool
-	// Patience is how long a read waits for a replica before it goes to the
+	// ReplicaWait is how long a read waits for a replica before it goes to the
 	// primary.
-	Patience time.Duration
-	// Key names the caller's connection for cancel requests.
-	Key Key
+	ReplicaWait time.Duration
+	// CancelKey names the caller's connection for cancel requests.
+	CancelKey CancelKey
 }
 
 // Prepared is a named statement that a unit refers to.
@@ -63,12 +63,12 @@
 
 // The ends of an answer.
 const (
-	// Ready means ReadyForQuery, or CopyInResponse.
-	Ready Expect = iota // ready
-	// Nothing means that no answer is due, as in the middle of COPY.
-	Nothing // nothing
-	// Counted means that Unit.Replies messages are due, as after Flush.
-	Counted // counted
+	// ExpectReady means ReadyForQuery, or CopyInResponse.
+	ExpectReady Expect = iota // ready
+	// ExpectNothing means that no answer is due, as in the middle of COPY.
+	ExpectNothing // nothing
+	// ExpectReplies means that Unit.Replies messages are due, as after Flush.
+	ExpectReplies // counted
 )
 
 // Unit is a run of protocol messages that is answered as a whole.
@@ -83,8 +83,8 @@
 	Replies int
 	// Prepared lists the named statements that Data refers to, each once.
 	Prepared []Prepared
-	// Begins is true when the unit opens a transaction or ends one.
-	Begins bool
+	// ControlsTransaction is true when the unit opens a transaction or ends one.
+	ControlsTransaction bool
 	// Pins is true when the unit may leave state in the session that outlives
 	// its transaction.
 	Pins bool
@@ -109,5 +109,5 @@
 	Pinned bool
 }
 
-// Open reports whether the exchange goes on.
-func (o Outcome) Open() bool { return o.Status != 'I' || o.Pinned }
+// Continues reports whether the exchange goes on.
+func (o Outcome) Continues() bool { return o.Status != 'I' || o.Pinned }
--- a/core/statement/unit_string.go
+++ b/core/statement/unit_string.go
@@ -27,9 +27,9 @@
 	// An "invalid array index" compiler error signifies that the constant values have changed.
 	// Re-run the stringer command to generate them again.
 	var x [1]struct{}
-	_ = x[Ready-0]
-	_ = x[Nothing-1]
-	_ = x[Counted-2]
+	_ = x[ExpectReady-0]
+	_ = x[ExpectNothing-1]
+	_ = x[ExpectReplies-2]
 }
 
 const _Expect_name = "readynothingcounted"
--- a/internal/gateway/connections.go
+++ b/internal/gateway/connections.go
@@ -38,9 +38,9 @@
 )
 
 // acquire returns a connection that fits, waiting for one until the deadline.
-func (g *Group) acquire(ctx context.Context, n pool.Need) (*pooledConn, error) {
+func (g *Group) acquire(ctx context.Context, n pool.Request) (*pooledConn, error) {
 	g.mu.Lock()
-	if n.SendOn && g.primaryUnreachableLocked() {
+	if n.Forwardable && g.primaryUnreachableLocked() {
 		g.mu.Unlock()
 		g.ensurePrimary()
 		return nil, errReroute
@@ -53,7 +53,7 @@
 	}
 	w, got := g.enqueue(n)
 	g.mu.Unlock()
-	if n.Primary {
+	if n.PrimaryOnly {
 		g.ensurePrimary()
 	}
 	timer := time.NewTimer(n.Deadline.Sub(g.now()))
@@ -68,7 +68,7 @@
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.pool.Leave(w)
+	g.pool.CancelWait(w)
 	delete(g.waiting, w)
 	select {
 	case p := <-got: // given at the last moment
@@ -87,9 +87,9 @@
 }
 
 // enqueue lets a statement wait. The channel takes a connection, or nil when it is to be sent on.
-func (g *Group) enqueue(n pool.Need) (*pool.Waiter, <-chan *pooledConn) {
+func (g *Group) enqueue(n pool.Request) (*pool.Waiter, <-chan *pooledConn) {
 	got := make(chan *pooledConn, 1)
-	w := g.pool.Wait(n)
+	w := g.pool.Enqueue(n)
 	g.waiting[w] = got
 	g.lastQueuedAt = g.now()
 	g.waitCount++
@@ -120,11 +120,11 @@
 
 // applyPoolActions does what the pool has decided.
 func (g *Group) applyPoolActions() {
-	for _, o := range g.pool.Orders() {
+	for _, o := range g.pool.DrainActions() {
 		switch o := o.(type) {
-		case pool.Give:
-			g.waiting[o.To] <- g.conns[o.Conn]
-			delete(g.waiting, o.To)
+		case pool.Assign:
+			g.waiting[o.Waiter] <- g.conns[o.Conn]
+			delete(g.waiting, o.Waiter)
 		case pool.Open:
 			m := g.members[o.Member]
 			go g.dial(m, m.Member, o.Account)
@@ -177,21 +177,21 @@
 	var failure *Failure
 	switch {
 	case !errors.As(err, &failure):
-		g.pool.Failed(m.poolMember, account, false, now)
+		g.pool.OpenFailed(m.poolMember, account, false, now)
 		g.markSuspect(m, now, err)
 	case failure.Code == Misrouted:
 		g.log("member_replaced", "member", m.ID, "err", err)
-		g.pool.Refused(m.poolMember, account)
+		g.pool.OpenAbandoned(m.poolMember, account)
 		g.dropMember(m)
 	default:
-		g.pool.Failed(m.poolMember, account, true, now)
+		g.pool.OpenFailed(m.poolMember, account, true, now)
 	}
 }
 
 // dropMember gives up a member whose address belongs to another one, or that is no longer there.
 func (g *Group) dropMember(m *member) {
 	m.gone = true
-	g.pool.Drop(m.poolMember)
+	g.pool.Remove(m.poolMember)
 	g.applyPoolActions()
 }
 
@@ -207,7 +207,7 @@
 func (g *Group) markResting(p *pooledConn) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.pool.Rest(p.poolConn)
+	g.pool.MarkIdleInTransaction(p.poolConn)
 	g.dispatch()
 }
 
@@ -215,14 +215,14 @@
 func (g *Group) noteOverload(m *member) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	m.poolMember.Shed(g.now(), g.hostCount)
+	m.poolMember.RecordOverload(g.now(), g.hostCount)
 }
 
 // noteSuccess records that the member ran a statement.
 func (g *Group) noteSuccess(m *member) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	m.poolMember.Ran()
+	m.poolMember.RecordSuccess()
 }
 
 // discard closes a connection in place of giving it back. err is what went wrong
@@ -243,7 +243,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if m := g.members[g.primaryID]; m != nil {
-		g.pool.Ahead(m.poolMember, account, g.now())
+		g.pool.Prewarm(m.poolMember, account, g.now())
 		g.applyPoolActions()
 	}
 }
--- a/internal/gateway/execute.go
+++ b/internal/gateway/execute.go
@@ -38,7 +38,7 @@
 		w.setRequirements(s.lastWrite)
 	}
 	for {
-		if f := w.outageRefusal(Busy); f != nil && !w.need.SendOn {
+		if f := w.outageRefusal(Busy); f != nil && !w.need.Forwardable {
 			return Reply{Failure: f}
 		}
 		if !s.verifyPrimaryFirst(ctx, &w) {
@@ -118,7 +118,7 @@
 		return Reply{}, &retry{}
 	}
 	layout, name := p.setupCommands(s.values, w.prepared)
-	commands := append(layout, Forward{Request: r, After: w.need.After, Name: name})
+	commands := append(layout, Forward{Request: r, After: w.need.MinPosition, Name: name})
 	ended := func(bool) {}
 	if w.writes {
 		ended = g.beginWrite()
@@ -154,7 +154,7 @@
 func (g *Group) connDoubtful(p *pooledConn, now time.Time) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return now.Sub(p.poolConn.Used()) > staleConnAge || !p.member.silentSince.IsZero()
+	return now.Sub(p.poolConn.LastUsed()) > staleConnAge || !p.member.silentSince.IsZero()
 }
 
 // callTimeout is how long a member has to answer: all that is left, unless the statement can be
@@ -185,7 +185,7 @@
 	g.preopen(w.need.Account)
 	call, cancel := context.WithTimeout(ctx, w.waitUntil().Sub(g.now()))
 	defer cancel()
-	for !w.need.SendOn || !g.primaryUnreachable() {
+	for !w.need.Forwardable || !g.primaryUnreachable() {
 		leader := g.primaryMember().ID
 		if leader == "" || g.verifyPrimary(call, leader, w.primarySince()) {
 			return true
@@ -200,9 +200,9 @@
 // primarySince returns since when the primary must be known to have led.
 func (w *operation) primarySince() time.Time {
 	if w.writes && !w.freshReads {
-		return w.need.Arrived.Add(-maxWriteCheckAge) // whether it is kept is settled afterwards
+		return w.need.ArrivedAt.Add(-maxWriteCheckAge) // whether it is kept is settled afterwards
 	}
-	return w.need.Arrived
+	return w.need.ArrivedAt
 }
 
 // checkPrimary returns why the statement is to be offered again, or nil if the member is known to lead
--- a/internal/gateway/forward.go
+++ b/internal/gateway/forward.go
@@ -302,7 +302,7 @@
 	if s.returnToOrigin() {
 		return busyReply(*w), true
 	}
-	w.need.SendOn = false
+	w.need.Forwardable = false
 	return s.forwardSingle(ctx, r, w)
 }
 
@@ -311,7 +311,7 @@
 	if s.returnToOrigin() {
 		return s.failTransaction(busyReply(s.tx.op)), true
 	}
-	s.tx.op.need.SendOn = false
+	s.tx.op.need.Forwardable = false
 	return s.forwardInTransaction(ctx, r, arrived)
 }
 
--- a/internal/gateway/group.go
+++ b/internal/gateway/group.go
@@ -65,7 +65,7 @@
 	// primaryTerm is the highest term in which a member was seen to lead.
 	primaryTerm group.Term
 	// samples holds samples of the primary's position.
-	samples freshness.Ages
+	samples freshness.PositionHistory
 	// lease is this host's lease on the primary; leaseSignal asks for one at once, and
 	// primaryNeededAt is when a statement last needed the primary.
 	lease leadership.Lease
@@ -369,7 +369,7 @@
 
 // addSample records the primary's position at or after the given time.
 func (g *Group) addSample(from string, at time.Time, p group.Position) {
-	if at.After(g.samples.Latest()) {
+	if at.After(g.samples.LatestTime()) {
 		g.samples.Observe(at, p)
 		g.sampleSource = from
 	}
@@ -433,7 +433,7 @@
 	now := g.now()
 	m.applied = held
 	pause := maxLagRetry
-	since := g.samples.Since(held)
+	since := g.samples.AsOf(held)
 	if !since.IsZero() {
 		pause = min(maxLagRetry, max(minLagRetry, now.Sub(since)/lagRetryDivisor))
 	}
@@ -458,7 +458,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	m.heardAt, m.silentSince = g.now(), time.Time{}
-	m.poolMember.Observe(m.heardAt.Sub(asked))
+	m.poolMember.ObserveLatency(m.heardAt.Sub(asked))
 	g.metrics.memberCall(g.name, m.ID, m.ID == g.primaryID, m.heardAt.Sub(asked))
 }
 
--- a/internal/gateway/health.go
+++ b/internal/gateway/health.go
@@ -127,5 +127,5 @@
 func (g *Group) newestSample() (group.Position, time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.samples.Newest()
+	return g.samples.LatestSample()
 }
--- a/internal/gateway/host.go
+++ b/internal/gateway/host.go
@@ -371,5 +371,5 @@
 // logAttempt writes the line of a statement whose offer to a member failed.
 func (h *Host) logAttempt(s *Session, r Request, w *operation, member, outcome string, err error) {
 	h.log("offer", "request", r.ID, "database", s.database, "group", w.group.name, "member", member,
-		"outcome", outcome, "writes", w.writes, "after", w.need.After, "err", err)
+		"outcome", outcome, "writes", w.writes, "after", w.need.MinPosition, "err", err)
 }
--- a/internal/gateway/local_replica.go
+++ b/internal/gateway/local_replica.go
@@ -14,15 +14,15 @@
 // canReadLocally reports whether a read that others would serve is better run here, on the replica of
 // this availability zone: without a hop between hosts and between zones, and without anybody
 // who may be gone. The replica must be fresh enough, well, and not at its limit.
-func (g *Group) canReadLocally(n pool.Need) bool {
+func (g *Group) canReadLocally(n pool.Request) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := g.now()
-	if n.Primary || g.plan.LocalReadConnections == 0 || !g.plan.ServedByOthers || g.isFallback(now) {
+	if n.PrimaryOnly || g.plan.LocalReadConnections == 0 || !g.plan.ServedByOthers || g.isFallback(now) {
 		return false
 	}
 	for _, m := range g.sortedMembers {
-		if g.isLocalReplica(m) && g.eligible(m, n, now) && !now.Before(m.suspectUntil) && g.pool.Ready(m.poolMember, n.Account, now) {
+		if g.isLocalReplica(m) && g.eligible(m, n, now) && !now.Before(m.suspectUntil) && g.pool.Available(m.poolMember, n.Account, now) {
 			return true
 		}
 	}
--- a/internal/gateway/operation.go
+++ b/internal/gateway/operation.go
@@ -12,7 +12,7 @@
 type operation struct {
 	group             *Group
 	route             Route
-	need              pool.Need
+	need              pool.Request
 	writes            bool
 	prepared          *PreparedStatement
 	needsPrimaryCheck bool
@@ -31,13 +31,13 @@
 		return operation{}, err
 	}
 	g := at.group
-	w := operation{group: g, route: at.route, writes: writes, need: pool.Need{Account: at.account.Name, Priority: at.route.Priority, Arrived: arrived}}
+	w := operation{group: g, route: at.route, writes: writes, need: pool.Request{Account: at.account.Name, Priority: at.route.Priority, ArrivedAt: arrived}}
 	if s.origin == nil && s.host.forwards(g) {
 		w.servedElsewhere = true
 		return w, nil
 	}
 	w.setRequirements(s.lastWrite)
-	w.need.SendOn = w.need.Primary && s.mayReroute(g)
+	w.need.Forwardable = w.need.PrimaryOnly && s.mayReroute(g)
 	return w, nil
 }
 
@@ -56,24 +56,24 @@
 	if w.writes {
 		// What is written must not go to a primary that may have been replaced either: its
 		// write would hang until the caller's time is up, and be in doubt.
-		w.need.Primary, w.needsPrimaryCheck = true, true
+		w.need.PrimaryOnly, w.needsPrimaryCheck = true, true
 		return
 	}
 	switch c := w.route.Class.(type) {
 	case freshness.Latest:
-		w.need.Primary, w.needsPrimaryCheck = true, true
+		w.need.PrimaryOnly, w.needsPrimaryCheck = true, true
 	case freshness.OwnWrites:
-		w.need.After = mark
+		w.need.MinPosition = mark
 	case freshness.MaxAge:
-		p, ok := w.group.positionCovering(w.need.Arrived.Add(-c.Age))
+		p, ok := w.group.positionCovering(w.need.ArrivedAt.Add(-c.Age))
 		if !ok {
 			// Nothing was heard of the primary within the age: only it knows.
-			w.need.Primary, w.needsPrimaryCheck = true, true
+			w.need.PrimaryOnly, w.needsPrimaryCheck = true, true
 			break
 		}
-		w.need.After = p
+		w.need.MinPosition = p
 		if mark.Compare(p) > 0 {
-			w.need.After = mark
+			w.need.MinPosition = mark
 		}
 	}
 }
@@ -114,7 +114,7 @@
 }
 
 func busyReply(w operation) Reply {
-	if !w.need.Primary {
+	if !w.need.PrimaryOnly {
 		return failureReply(Busy, "no connection in time, "+retryAfter(0))
 	}
 	remaining, _ := w.group.outageOutlasts(w.deadline)
@@ -124,7 +124,7 @@
 // outageRefusal returns a refusal with the code for a statement whose primary is not expected
 // back in time, or nil.
 func (w *operation) outageRefusal(code Code) *Failure {
-	if !w.need.Primary || w.servedElsewhere {
+	if !w.need.PrimaryOnly || w.servedElsewhere {
 		return nil
 	}
 	w.group.notePrimaryNeeded()
--- a/internal/gateway/pool_view.go
+++ b/internal/gateway/pool_view.go
@@ -9,22 +9,22 @@
 // poolView tells a group's pool what the host believes of the members. The group's lock is held.
 type poolView struct{ g *Group }
 
-var _ pool.Beliefs = poolView{}
+var _ pool.View = poolView{}
 
-// Serves implements pool.Beliefs.
-func (b poolView) Serves(id string, n pool.Need, now time.Time) bool {
+// CanServe implements pool.Beliefs.
+func (b poolView) CanServe(id string, n pool.Request, now time.Time) bool {
 	m := b.g.members[id]
 	return m != nil && b.g.eligible(m, n, now)
 }
 
-// Place implements pool.Beliefs.
-func (b poolView) Place(id string, now time.Time) pool.Place {
+// Info implements pool.Beliefs.
+func (b poolView) Info(id string, now time.Time) pool.MemberInfo {
 	m := b.g.members[id]
-	return pool.Place{SameZone: m.Zone == b.g.zone, Leads: id == b.g.primaryID, Suspect: now.Before(m.suspectUntil)}
+	return pool.MemberInfo{SameZone: m.Zone == b.g.zone, Leads: id == b.g.primaryID, Suspect: now.Before(m.suspectUntil)}
 }
 
-// Keeps implements pool.Beliefs.
-func (b poolView) Keeps(id string, now time.Time) bool {
+// KeepsIdle implements pool.Beliefs.
+func (b poolView) KeepsIdle(id string, now time.Time) bool {
 	m := b.g.members[id]
 	return m != nil && (m.usable(now) || id == b.g.primaryID && !m.gone)
 }
@@ -32,18 +32,18 @@
 // Share implements pool.Beliefs.
 func (b poolView) Share(id string) int { return b.g.shareOf(b.g.members[id]) }
 
-// Borrows implements pool.Beliefs.
-func (b poolView) Borrows() bool { return !b.g.plan.ServedByOthers }
+// MayExceedShare implements pool.Beliefs.
+func (b poolView) MayExceedShare() bool { return !b.g.plan.ServedByOthers }
 
 // Alive implements pool.Beliefs.
 func (b poolView) Alive(c *pool.Conn) bool { return b.g.conns[c].conn.Alive() }
 
 // eligible reports whether the member may serve the need now.
-func (g *Group) eligible(m *member, n pool.Need, now time.Time) bool {
-	if n.Primary {
+func (g *Group) eligible(m *member, n pool.Request, now time.Time) bool {
+	if n.PrimaryOnly {
 		return m.ID == g.primaryID && m.mayServeAsPrimary(now, g.maxDrain)
 	}
-	return m.usable(now) && !m.lacks(n.After, now)
+	return m.usable(now) && !m.lacks(n.MinPosition, now)
 }
 
 // shareOf is the host's share of the member's connections. A host that does not serve the group
--- a/internal/gateway/primary.go
+++ b/internal/gateway/primary.go
@@ -105,7 +105,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	m := g.members[id]
-	return m != nil && !g.coordinated && g.pool.Limit(m.poolMember) > 0
+	return m != nil && !g.coordinated && g.pool.MaxConns(m.poolMember) > 0
 }
 
 // probeViaPool asks the member for its status on one of callers' connections, as soon as one is idle. If
@@ -149,11 +149,11 @@
 	case m == nil || m.gone:
 		g.mu.Unlock()
 		return nil, errNoConnection
-	case !m.poolMember.Unused():
+	case !m.poolMember.Unconnected():
 		defer g.mu.Unlock()
-		return g.conns[g.pool.Borrow(m.poolMember)], nil
+		return g.conns[g.pool.TakeAnyIdle(m.poolMember)], nil
 	}
-	g.pool.Begin(m.poolMember, hostAccount)
+	g.pool.BeginDial(m.poolMember, hostAccount)
 	g.mu.Unlock()
 	conn, err := g.dialer.Dial(ctx, target, hostAccount)
 	g.mu.Lock()
@@ -161,7 +161,7 @@
 	if g.addConn(m, hostAccount, conn, err) == nil {
 		return nil, err
 	}
-	return g.conns[g.pool.Borrow(m.poolMember)], nil
+	return g.conns[g.pool.TakeAnyIdle(m.poolMember)], nil
 }
 
 // hostAccount stands for the host itself, whose own questions need no account.
@@ -377,7 +377,7 @@
 	g.setPrimary(a.member.ID, "asked")
 	if m := g.members[a.member.ID]; m != nil && a.relayedBy == "" {
 		m.suspectUntil = time.Time{}
-		m.poolMember.Retry()
+		m.poolMember.UnblockDials()
 	}
 	g.dispatch()
 	return true
@@ -388,7 +388,7 @@
 func (g *Group) wasPrimarySince(id string, since time.Time) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.sampleSource == id && !g.samples.Latest().Before(since) ||
+	return g.sampleSource == id && !g.samples.LatestTime().Before(since) ||
 		g.passedCheck.primary == id && !g.passedCheck.started.Before(since)
 }
 
--- a/internal/gateway/relief.go
+++ b/internal/gateway/relief.go
@@ -10,12 +10,12 @@
 		lagging = lagging && r.err == nil && r.status.Lag > age
 	}
 	waits := w.group.totalWaits()
-	load := group.Load{Lagging: lagging, Running: primary.status.Running, Slots: primary.member.Slots, Waited: waits - w.lastWaitCount}
+	load := group.PrimaryLoad{ReplicasLagging: lagging, Running: primary.status.Running, Slots: primary.member.Slots, Waits: waits - w.lastWaitCount}
 	w.lastWaitCount = waits
 	if !w.relief.Observe(load, w.host.now()) {
 		return false
 	}
-	w.log("primary_relieved", "member", primary.member.ID, "running", load.Running, "waited", load.Waited, "answers", formatResults(replicas))
+	w.log("primary_relieved", "member", primary.member.ID, "running", load.Running, "waited", load.Waits, "answers", formatResults(replicas))
 	return true
 }
 
--- a/internal/gateway/state.go
+++ b/internal/gateway/state.go
@@ -75,7 +75,7 @@
 	now := g.now()
 	out := GroupState{
 		Name: g.name, Primary: g.primaryID, Term: g.primaryTerm, Waiting: g.pool.Waiting(),
-		SampleAge: elapsedSince(now, g.samples.Latest()), Share: g.share(),
+		SampleAge: elapsedSince(now, g.samples.LatestTime()), Share: g.share(),
 	}
 	for _, m := range g.sortedMembers {
 		load := m.poolMember.Load()
@@ -101,7 +101,7 @@
 		}
 	}
 	return []any{
-		"primary", g.primaryID, "proof_age_ms", elapsedSince(now, g.samples.Latest()).Milliseconds(),
+		"primary", g.primaryID, "proof_age_ms", elapsedSince(now, g.samples.LatestTime()).Milliseconds(),
 		"waiting", g.pool.Waiting(), "usable_members", usable,
 	}
 }
--- a/internal/gateway/transaction.go
+++ b/internal/gateway/transaction.go
@@ -129,7 +129,7 @@
 	t := s.tx
 	w := &t.op
 	for {
-		if f := w.outageRefusal(Aborted); f != nil && !w.need.SendOn {
+		if f := w.outageRefusal(Aborted); f != nil && !w.need.Forwardable {
 			return f
 		}
 		if !s.verifyPrimaryFirst(ctx, w) {
@@ -168,7 +168,7 @@
 	}
 	layout, _ := p.setupCommands(s.values, nil)
 	asked := g.now()
-	commands := append(layout, OpenTransaction{ReadOnly: t.readOnly, After: w.need.After})
+	commands := append(layout, OpenTransaction{ReadOnly: t.readOnly, After: w.need.MinPosition})
 	replies, err := p.conn.Do(g.callTimeout(p.member, w.deadline.Sub(asked), false), commands...)
 	if err != nil {
 		g.discard(p, err)
--- a/internal/host/peers.go
+++ b/internal/host/peers.go
@@ -36,8 +36,8 @@
 		}
 		return nil, h.elsewhere(r.Group)
 	}
-	x := &tracked{Exchange: owner.Begin(r), host: h.Host, key: r.Key}
-	h.exchanges.add(r.Key, x)
+	x := &tracked{Exchange: owner.Begin(r), host: h.Host, key: r.CancelKey}
+	h.exchanges.add(r.CancelKey, x)
 	return x, nil
 }
 
@@ -45,7 +45,7 @@
 type tracked struct {
 	*upstream.Exchange
 	host *Host
-	key  statement.Key
+	key  statement.CancelKey
 }
 
 // Do implements peer.Exchange.
--- a/internal/host/route.go
+++ b/internal/host/route.go
@@ -29,19 +29,19 @@
 // cancel requests.
 type exchanges struct {
 	mu    sync.Mutex
-	byKey map[statement.Key]peer.Exchange
+	byKey map[statement.CancelKey]peer.Exchange
 }
 
-func (e *exchanges) add(key statement.Key, x peer.Exchange) {
+func (e *exchanges) add(key statement.CancelKey, x peer.Exchange) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.byKey == nil {
-		e.byKey = map[statement.Key]peer.Exchange{}
+		e.byKey = map[statement.CancelKey]peer.Exchange{}
 	}
 	e.byKey[key] = x
 }
 
-func (e *exchanges) remove(key statement.Key, x peer.Exchange) {
+func (e *exchanges) remove(key statement.CancelKey, x peer.Exchange) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.byKey[key] == x {
@@ -49,7 +49,7 @@
 	}
 }
 
-func (e *exchanges) get(key statement.Key) peer.Exchange {
+func (e *exchanges) get(key statement.CancelKey) peer.Exchange {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.byKey[key]
@@ -119,7 +119,7 @@
 // notYet stands for the exchange of a host that is about to own the group.
 type notYet struct{}
 
-var errNotYet = &statement.Refusal{Code: postgres.CodeCannotConnectNow, Reason: "the group has no owner yet", NotRun: true, Elsewhere: true}
+var errNotYet = &statement.Refusal{Code: postgres.CodeCannotConnectNow, Reason: "the group has no owner yet", NotRun: true, RetryElsewhere: true}
 
 func (notYet) Do(context.Context, *statement.Unit, func([]byte) error) (statement.Outcome, error) {
 	return statement.Outcome{}, errNotYet
@@ -136,7 +136,7 @@
 	var r *statement.Refusal
 	switch {
 	case stderrors.As(err, &r):
-		if !r.Elsewhere {
+		if !r.RetryElsewhere {
 			return false
 		}
 		x.host.follow(x.request.Group, r)
@@ -144,7 +144,7 @@
 		x.host.doubt(target)
 	case errors.Is(err, peer.ErrLost):
 		x.host.doubt(target)
-		if x.passed || u.Kind != statement.Read && !x.request.Idempotent && (u.RequestID == "" || u.Begins) {
+		if x.passed || u.Kind != statement.Read && !x.request.Idempotent && (u.RequestID == "" || u.ControlsTransaction) {
 			return false
 		}
 	default:
@@ -160,7 +160,7 @@
 	case err == nil || stderrors.As(err, &r):
 		return err
 	case errors.Is(err, peer.ErrNotSent):
-		return statement.NotRun(postgres.CodeCannotConnectNow, err.Error())
+		return statement.NewNotRunRefusal(postgres.CodeCannotConnectNow, err.Error())
 	case errors.Is(err, peer.ErrLost) && u.Kind == statement.Read:
 		return &statement.Refusal{Code: postgres.CodeConnectionFailure, Reason: "the read failed: " + err.Error()}
 	case errors.Is(err, peer.ErrLost):
@@ -196,7 +196,7 @@
 
 // Cancel implements caller.Router. It finds the host by the number in the key;
 // two hosts may share one, and then both are asked.
-func (h *Host) Cancel(key statement.Key) {
+func (h *Host) Cancel(key statement.CancelKey) {
 	ctx, cancel := context.WithTimeout(context.Background(), cancelTimeout)
 	defer cancel()
 	if h.callers.CancelLocal(ctx, key) {
--- a/internal/lab/slopes.go
+++ b/internal/lab/slopes.go
@@ -67,7 +67,7 @@
 	s := capacity.Slope{Name: capacity.MarkBytes, PerUnit: "session that wrote", Unit: "bytes"}
 	for _, n := range []int{20_000, 50_000, 100_000, 200_000} {
 		s.Points = append(s.Points, capacity.Point{X: float64(n), Y: heapOf(func() any {
-			var m freshness.Marks
+			var m freshness.SessionMarks
 			for i := range n {
 				m.Raise(fmt.Sprintf("session-%d", i), group.Position{Term: 1, LSN: group.LSN(i)})
 			}
@@ -260,9 +260,9 @@
 	var open []*peer.RemoteExchange
 	for range n {
 		x := client.Begin(c.Topology.hostAddr(owner, peerPort), &statement.Request{
-			Route: c.Topology.RouteName(BrowseRoute, 0), Group: c.Topology.groupName(0), Clean: true, Class: freshness.OwnWrites{},
+			Route: c.Topology.RouteName(BrowseRoute, 0), Group: c.Topology.groupName(0), NeverWrote: true, Class: freshness.OwnWrites{},
 		})
-		u := &statement.Unit{Kind: statement.Read, Begins: true, Data: beginQuery, Deadline: time.Now().Add(streamWait)}
+		u := &statement.Unit{Kind: statement.Read, ControlsTransaction: true, Data: beginQuery, Deadline: time.Now().Add(streamWait)}
 		// More exchanges than connections: the last ones are refused, and their
 		// streams stay as the others do.
 		_, err := x.Do(ctx, u, func([]byte) error { return nil })
--- a/io/caller/listener.go
+++ b/io/caller/listener.go
@@ -27,7 +27,7 @@
 	// Begin opens an exchange. It does no I/O.
 	Begin(r *statement.Request) Exchange
 	// Cancel passes a cancel request on to the host that its key names.
-	Cancel(key statement.Key)
+	Cancel(key statement.CancelKey)
 }
 
 // Routes gives the listener the configuration in force.
@@ -63,7 +63,7 @@
 	stats   stats
 
 	mu       sync.Mutex
-	sessions map[statement.Key]*session
+	sessions map[statement.CancelKey]*session
 	perRoute map[string]int
 	serial   uint16
 	draining bool
@@ -80,7 +80,7 @@
 func NewListener(o Options) *Listener {
 	return &Listener{
 		options:  o,
-		sessions: map[statement.Key]*session{},
+		sessions: map[statement.CancelKey]*session{},
 		perRoute: map[string]int{},
 		stats: stats{
 			callers:    metrics.GetOrRegisterGauge("callers", o.Metrics),
@@ -120,7 +120,7 @@
 
 // CancelLocal cancels the statement that runs for the caller of the given key.
 // It returns false when this host has no such caller.
-func (l *Listener) CancelLocal(ctx context.Context, key statement.Key) bool {
+func (l *Listener) CancelLocal(ctx context.Context, key statement.CancelKey) bool {
 	l.mu.Lock()
 	s := l.sessions[key]
 	l.mu.Unlock()
--- a/io/caller/session.go
+++ b/io/caller/session.go
@@ -25,7 +25,7 @@
 	conn     net.Conn
 	r        *bufio.Reader
 	route    config.Route
-	key      statement.Key
+	key      statement.CancelKey
 	name     string // session key, or one made from key
 	own      bool   // name belongs to this connection alone
 	clean    bool   // own, and no write was sent
@@ -186,7 +186,7 @@
 	if out.CopyIn {
 		s.builder.copying = true
 	}
-	if !out.Open() {
+	if !out.Continues() {
 		s.exchange = nil
 	}
 	return nil
@@ -197,15 +197,15 @@
 		s.clean = false
 	}
 	s.exchange = s.listener.options.Router.Begin(&statement.Request{
-		Route:      s.route.Name,
-		Group:      s.route.Group,
-		Session:    s.name,
-		Clean:      s.clean,
-		Class:      s.route.Reads,
-		Priority:   s.route.Priority,
-		Idempotent: s.route.Idempotent,
-		Patience:   s.route.Patience,
-		Key:        s.key,
+		Route:       s.route.Name,
+		Group:       s.route.Group,
+		Session:     s.name,
+		NeverWrote:  s.clean,
+		Class:       s.route.Reads,
+		Priority:    s.route.Priority,
+		Idempotent:  s.route.Idempotent,
+		ReplicaWait: s.route.Patience,
+		CancelKey:   s.key,
 	})
 }
 
@@ -243,15 +243,15 @@
 	inTransaction := s.status != postgres.StatusIdle
 	s.builder.copying = false
 	out := postgres.AppendError(nil, r.Code, r.Error(), r.Hint())
-	if inTransaction && !u.Begins {
+	if inTransaction && !u.ControlsTransaction {
 		s.lost, s.status = true, postgres.StatusFailed
 	} else {
 		s.status = postgres.StatusIdle
 	}
 	// A simple COPY that fails half way ends at once; the caller's remaining data
 	// is dropped.
-	simpleCopy := u.Expect == statement.Nothing && !s.builder.extended
-	if u.Expect == statement.Ready || simpleCopy {
+	simpleCopy := u.Expect == statement.ExpectNothing && !s.builder.extended
+	if u.Expect == statement.ExpectReady || simpleCopy {
 		out = postgres.AppendReady(out, s.status)
 	}
 	return s.send(out)
@@ -259,11 +259,11 @@
 
 // refuseLost answers units after the transaction was lost, until its end.
 func (s *session) refuseLost(u *statement.Unit) error {
-	if u.Expect != statement.Ready {
+	if u.Expect != statement.ExpectReady {
 		return nil
 	}
 	var out []byte
-	if u.Begins {
+	if u.ControlsTransaction {
 		s.lost, s.status = false, postgres.StatusIdle
 		out = appendRollback(out, u)
 	} else {
--- a/io/caller/startup.go
+++ b/io/caller/startup.go
@@ -143,8 +143,8 @@
 	return tls.Server(conn, l.options.TLS), nil
 }
 
-func keyOf(msg *pgproto3.CancelRequest) statement.Key {
-	key := statement.Key{Process: msg.ProcessID}
+func keyOf(msg *pgproto3.CancelRequest) statement.CancelKey {
+	key := statement.CancelKey{Process: msg.ProcessID}
 	if len(msg.SecretKey) == 4 {
 		key.Secret = binary.BigEndian.Uint32(msg.SecretKey)
 	}
@@ -224,7 +224,7 @@
 	return false
 }
 
-func greet(backend *pgproto3.Backend, key statement.Key) error {
+func greet(backend *pgproto3.Backend, key statement.CancelKey) error {
 	backend.Send(&pgproto3.AuthenticationOk{})
 	for i := range reported {
 		backend.Send(&reported[i])
--- a/io/peer/calls.go
+++ b/io/peer/calls.go
@@ -148,7 +148,7 @@
 // Cancel passes a cancel request on. Owner is true when it goes from the entry
 // to the owner, and false when it goes to the entry that has the caller.
 type Cancel struct {
-	Key   statement.Key
+	Key   statement.CancelKey
 	Owner bool
 }
 
--- a/io/peer/client.go
+++ b/io/peer/client.go
@@ -320,7 +320,7 @@
 			refusal := in.refusal
 			return statement.Outcome{}, &refusal
 		}
-		if !in.outcome.Open() {
+		if !in.outcome.Continues() {
 			x.finish()
 		}
 		return in.outcome, nil
@@ -429,7 +429,7 @@
 
 // Cancel asks the owner to cancel the running statement.
 func (x *RemoteExchange) Cancel(ctx context.Context) error {
-	_, err := x.client.Cancel(ctx, x.addr, &Cancel{Key: x.request.Key, Owner: true})
+	_, err := x.client.Cancel(ctx, x.addr, &Cancel{Key: x.request.CancelKey, Owner: true})
 	return err
 }
 
--- a/io/peer/server.go
+++ b/io/peer/server.go
@@ -139,7 +139,7 @@
 		if err != nil {
 			end.refused, end.refusal = true, refusalOf(err)
 		}
-		if err != nil || !out.Open() {
+		if err != nil || !out.Continues() {
 			if x != nil {
 				x.Close()
 			}
@@ -180,7 +180,7 @@
 
 func (r *router) unit(stream drpc.Stream, x *Exchange, in *unitMessage, answer *answerWriter) (statement.Outcome, error) {
 	if in.version != Version {
-		return statement.Outcome{}, statement.NotRun(postgres.CodeFeatureNotSupported,
+		return statement.Outcome{}, statement.NewNotRunRefusal(postgres.CodeFeatureNotSupported,
 			"the owner of the group speaks another version of the inner protocol")
 	}
 	in.unit.Deadline = time.Now().Add(in.timeLeft)
@@ -197,7 +197,7 @@
 		*x = began
 	}
 	if *x == nil {
-		return statement.Outcome{}, statement.NotRun(postgres.CodeProtocolViolation, "no exchange is open on the stream")
+		return statement.Outcome{}, statement.NewNotRunRefusal(postgres.CodeProtocolViolation, "no exchange is open on the stream")
 	}
 	return (*x).Do(stream.Context(), &in.unit, answer.write)
 }
--- a/io/peer/unit.go
+++ b/io/peer/unit.go
@@ -26,7 +26,7 @@
 	w.bytes("data", m.unit.Data)
 	w.uint("expect", uint64(m.unit.Expect))
 	w.uint("replies", uint64(m.unit.Replies))
-	w.bool("begins", m.unit.Begins)
+	w.bool("begins", m.unit.ControlsTransaction)
 	w.bool("pins", m.unit.Pins)
 	w.str("request_id", m.unit.RequestID)
 	w.duration("time_left_us", m.timeLeft)
@@ -56,7 +56,7 @@
 	case "replies":
 		return readNumber(r, &m.unit.Replies)
 	case "begins":
-		return r.bool(&m.unit.Begins)
+		return r.bool(&m.unit.ControlsTransaction)
 	case "pins":
 		return r.bool(&m.unit.Pins)
 	case "request_id":
@@ -82,13 +82,13 @@
 	w.str("route", q.Route)
 	w.str("group", q.Group)
 	w.str("session", q.Session)
-	w.bool("clean", q.Clean)
+	w.bool("clean", q.NeverWrote)
 	w.str("class", q.Class.String())
 	w.uint("priority", uint64(q.Priority))
 	w.bool("idempotent", q.Idempotent)
-	w.duration("patience_us", q.Patience)
-	w.uint("process", uint64(q.Key.Process))
-	w.uint("secret", uint64(q.Key.Secret))
+	w.duration("patience_us", q.ReplicaWait)
+	w.uint("process", uint64(q.CancelKey.Process))
+	w.uint("secret", uint64(q.CancelKey.Secret))
 }
 
 func (m *requestMessage) field(name string, r *fieldReader) bool {
@@ -101,7 +101,7 @@
 	case "session":
 		return r.str(&q.Session)
 	case "clean":
-		return r.bool(&q.Clean)
+		return r.bool(&q.NeverWrote)
 	case "class":
 		r.str(&m.class)
 		class, err := freshness.ParseClass(m.class)
@@ -113,11 +113,11 @@
 	case "idempotent":
 		return r.bool(&q.Idempotent)
 	case "patience_us":
-		return r.duration(&q.Patience)
+		return r.duration(&q.ReplicaWait)
 	case "process":
-		return readNumber(r, &q.Key.Process)
+		return readNumber(r, &q.CancelKey.Process)
 	case "secret":
-		return readNumber(r, &q.Key.Secret)
+		return readNumber(r, &q.CancelKey.Secret)
 	}
 	return false
 }
@@ -194,7 +194,7 @@
 	w.str("reason", m.Reason)
 	w.bool("not_run", m.NotRun)
 	w.duration("retry_after_us", m.RetryAfter)
-	w.bool("elsewhere", m.Elsewhere)
+	w.bool("elsewhere", m.RetryElsewhere)
 	w.str("owner", m.Owner)
 }
 
@@ -209,7 +209,7 @@
 	case "retry_after_us":
 		return r.duration(&m.RetryAfter)
 	case "elsewhere":
-		return r.bool(&m.Elsewhere)
+		return r.bool(&m.RetryElsewhere)
 	case "owner":
 		return r.str(&m.Owner)
 	}
--- a/io/upstream/admit.go
+++ b/io/upstream/admit.go
@@ -29,7 +29,7 @@
 	}
 	v := p.owner.view()
 	if since := p.owner.leaderlessFor(time.Now()); since > holdLimit && (w.kind == statement.Write || !v.leads()) {
-		r := statement.NotRun(postgres.CodeCannotConnectNow, p.whyNot(w))
+		r := statement.NewNotRunRefusal(postgres.CodeCannotConnectNow, p.whyNot(w))
 		r.RetryAfter = holdLimit
 		return r
 	}
@@ -54,8 +54,8 @@
 
 // handedOver is the refusal of a request that another host must take.
 func handedOver() *statement.Refusal {
-	r := statement.NotRun(postgres.CodeCannotConnectNow, "the host hands the group over")
-	r.Elsewhere = true
+	r := statement.NewNotRunRefusal(postgres.CodeCannotConnectNow, "the host hands the group over")
+	r.RetryElsewhere = true
 	return r
 }
 
@@ -85,7 +85,7 @@
 }
 
 func (p *pool) tooMany(wait time.Duration) *statement.Refusal {
-	r := statement.NotRun(postgres.CodeTooManyConnections,
+	r := statement.NewNotRunRefusal(postgres.CodeTooManyConnections,
 		fmt.Sprintf("group %s is overloaded: expected wait %s", p.owner.options.Group.Name, wait.Round(time.Millisecond)))
 	r.RetryAfter = max(wait, minRetryAfter)
 	return r
--- a/io/upstream/answer.go
+++ b/io/upstream/answer.go
@@ -58,7 +58,7 @@
 
 // wraps reports whether the unit must be wrapped.
 func (x *Exchange) wraps(u *statement.Unit) bool {
-	return !x.replica && !x.open && u.Kind == statement.Read && !u.Begins && u.Expect == statement.Ready
+	return !x.replica && !x.open && u.Kind == statement.Read && !u.ControlsTransaction && u.Expect == statement.ExpectReady
 }
 
 // run sends a unit and reads its answer.
@@ -73,7 +73,7 @@
 	if err != nil {
 		return statement.Outcome{}, errors.Wrap(errRead, err.Error())
 	}
-	if u.Expect == statement.Nothing {
+	if u.Expect == statement.ExpectNothing {
 		return statement.Outcome{CopyIn: true}, nil
 	}
 	a := &answering{unit: u, sink: sink, extra: extra, held: -1, left: u.Replies}
@@ -92,7 +92,7 @@
 		x.pinned = true
 	}
 	out.Pinned = x.pinned
-	x.open = out.Open()
+	x.open = out.Continues()
 	return out, x.pass(a, len(x.buf))
 }
 
@@ -152,7 +152,7 @@
 				a.held = start
 			}
 		}
-		if a.unit.Expect == statement.Counted && a.counted(frame) {
+		if a.unit.Expect == statement.ExpectReplies && a.counted(frame) {
 			return statement.Outcome{Status: postgres.StatusInTx}, nil
 		}
 		if err := x.passOn(a); err != nil {
@@ -267,7 +267,7 @@
 // covered waits until the owner's lease covers an answer of a replica whose
 // session may have written through another owner.
 func (x *Exchange) covered(a *answering) error {
-	if !x.replica || x.passed || x.request.Clean {
+	if !x.replica || x.passed || x.request.NeverWrote {
 		return nil
 	}
 	ctx, cancel := context.WithDeadline(context.Background(), a.unit.Deadline)
--- a/io/upstream/baseline.go
+++ b/io/upstream/baseline.go
@@ -31,7 +31,7 @@
 	if f.since == nil {
 		f.since = map[sessionOnHost]time.Time{}
 	}
-	key, now := sessionOnHost{uint16(r.Key.Process >> 16), r.Session}, time.Now()
+	key, now := sessionOnHost{uint16(r.CancelKey.Process >> 16), r.Session}, time.Now()
 	since, known := f.since[key]
 	if !known || kind == statement.Write {
 		f.since[key] = now
--- a/io/upstream/confirm.go
+++ b/io/upstream/confirm.go
@@ -57,7 +57,7 @@
 			waiting = true
 			continue
 		}
-		if w.target == 0 && !primary.Asked.Before(w.since) {
+		if w.target == 0 && !primary.SentAt.Before(w.since) {
 			w.target = primary.Status.Received
 		}
 		if o.confirmed(w, l) {
--- a/io/upstream/exchange.go
+++ b/io/upstream/exchange.go
@@ -28,7 +28,7 @@
 
 	term    group.Term // under which conn was taken
 	replica bool       // conn leads to a replica
-	need    freshness.Need
+	need    freshness.Requirement
 	wrote   bool // a unit of the open transaction may have written
 	open    bool // the exchange goes on after its last unit
 	pinned  bool
@@ -59,7 +59,7 @@
 		out, err := run(ctx, u, sink)
 		if err == nil {
 			out.Wrote = u.Kind == statement.Write
-			if !out.Open() {
+			if !out.Continues() {
 				x.finish(true)
 			}
 			return out, nil
@@ -86,7 +86,7 @@
 	switch {
 	case errors.Is(err, errReadOnly):
 		u.Kind = statement.Write
-		x.request.Clean = false
+		x.request.NeverWrote = false
 		return true
 	case x.passed:
 		return false
@@ -127,7 +127,7 @@
 		request:   x.request,
 		kind:      kind,
 		need:      x.need,
-		primaryAt: time.Now().Add(x.request.Patience),
+		primaryAt: time.Now().Add(x.request.ReplicaWait),
 		deadline:  u.Deadline,
 		ready:     make(chan *conn, 1),
 	}
@@ -156,12 +156,12 @@
 }
 
 // need returns what the request's reads ask of a member.
-func (o *Owner) need(r *statement.Request) freshness.Need {
-	n := freshness.Need{Class: r.Class}
-	if r.Clean || o.options.Unsafe.IgnoreMarks || o.options.Unsafe.FixedPrimary > 0 {
+func (o *Owner) need(r *statement.Request) freshness.Requirement {
+	n := freshness.Requirement{Class: r.Class}
+	if r.NeverWrote || o.options.Unsafe.IgnoreMarks || o.options.Unsafe.FixedPrimary > 0 {
 		return n
 	}
-	n.Position = o.marks.Of(r.Session)
+	n.Position = o.marks.Get(r.Session)
 	if floor := o.view().floor; floor.Compare(n.Position) > 0 {
 		n.Position = floor
 	}
--- a/io/upstream/failover.go
+++ b/io/upstream/failover.go
@@ -123,7 +123,7 @@
 		if err != nil {
 			return err
 		}
-		s := group.Sample{Status: status, Asked: taken, Heard: time.Now()}
+		s := group.Sample{Status: status, SentAt: taken, ReceivedAt: time.Now()}
 		return o.begin(s, number, a.primary, a.term, o.ackAfter(taken))
 	})
 	if err != nil {
@@ -243,7 +243,7 @@
 }
 
 // install promotes the chosen member and becomes its owner.
-func (o *Owner) install(ctx context.Context, conn *pgconn.PgConn, number uint64, best group.Fenced, fence group.Fence, ackAfter time.Time) error {
+func (o *Owner) install(ctx context.Context, conn *pgconn.PgConn, number uint64, best group.FenceAck, fence group.Fence, ackAfter time.Time) error {
 	steps := []string{PromoteSQL, WriteTermSQL(fence)}
 	if o.options.Unsafe.SkipFence {
 		steps = []string{SetFenceSQL(fence), ReloadSQL, PromoteSQL, WriteTermSQL(fence)}
@@ -268,7 +268,7 @@
 	o.mu.Lock()
 	o.lastTerm, o.lastEnd = best.LogTerm, best.Received
 	o.mu.Unlock()
-	return o.begin(group.Sample{Status: status, Asked: asked, Heard: time.Now()}, number, best.Member, fence.Term, ackAfter)
+	return o.begin(group.Sample{Status: status, SentAt: asked, ReceivedAt: time.Now()}, number, best.Member, fence.Term, ackAfter)
 }
 
 // attach makes a replica follow the primary under the primary's fence.
--- a/io/upstream/fence.go
+++ b/io/upstream/fence.go
@@ -16,7 +16,7 @@
 // attachOthers makes the fenced replicas follow the member that is about to be
 // promoted, in the background: the first write then finds a replica that
 // follows. A replica waits until its source is promoted.
-func (o *Owner) attachOthers(ctx context.Context, fenced []group.Fenced, primary int, fence group.Fence) {
+func (o *Owner) attachOthers(ctx context.Context, fenced []group.FenceAck, primary int, fence group.Fence) {
 	o.mu.Lock()
 	for i := range o.attachAfter {
 		o.attachAfter[i] = time.Now().Add(attachTimeout)
@@ -31,11 +31,11 @@
 
 // fenceAll fences the members that answer, in parallel, and returns those that
 // accepted.
-func (o *Owner) fenceAll(ctx context.Context, fence group.Fence) []group.Fenced {
+func (o *Owner) fenceAll(ctx context.Context, fence group.Fence) []group.FenceAck {
 	ctx, cancel := context.WithTimeout(ctx, fenceTimeout)
 	defer cancel()
 	var mu sync.Mutex
-	var fenced []group.Fenced
+	var fenced []group.FenceAck
 	var wg sync.WaitGroup
 	for i := range o.probers {
 		if !o.present(i) {
@@ -53,14 +53,14 @@
 		})
 	}
 	wg.Wait()
-	slices.SortFunc(fenced, func(a, b group.Fenced) int { return a.Member - b.Member })
+	slices.SortFunc(fenced, func(a, b group.FenceAck) int { return a.Member - b.Member })
 	return fenced
 }
 
 // fence stores the fence on a member, cuts it off from its source and returns
 // where its log ends.
-func (o *Owner) fence(ctx context.Context, i int, fence group.Fence) (group.Fenced, error) {
-	var out group.Fenced
+func (o *Owner) fence(ctx context.Context, i int, fence group.Fence) (group.FenceAck, error) {
+	var out group.FenceAck
 	err := o.probers[i].do(ctx, func(ctx context.Context, conn *pgconn.PgConn, _ uint64) error {
 		if o.options.Unsafe.SkipFence {
 			status, err := askStatus(ctx, conn)
@@ -83,8 +83,8 @@
 	return out, err
 }
 
-func fencedAs(i int, s group.Status) group.Fenced {
-	return group.Fenced{Member: i, LogTerm: s.LogTerm, Received: s.Received, InRecovery: s.InRecovery}
+func fencedAs(i int, s group.Status) group.FenceAck {
+	return group.FenceAck{Member: i, LogTerm: s.LogTerm, Received: s.Received, InRecovery: s.InRecovery}
 }
 
 // settled waits until the member receives nothing more and the term of its last
--- a/io/upstream/lock.go
+++ b/io/upstream/lock.go
@@ -45,7 +45,7 @@
 func (o *Owner) couldConfirm() bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	led, ok := group.Assess(o.samples).(group.Led)
+	led, ok := group.FindPrimary(o.samples).(group.Led)
 	if !ok {
 		return false
 	}
--- a/io/upstream/lock_test.go
+++ b/io/upstream/lock_test.go
@@ -21,7 +21,7 @@
 	now := time.Now()
 	take := func(conn uint64) time.Time {
 		t.Helper()
-		if err := o.begin(group.Sample{Asked: now, Heard: now}, conn, 0, 0, o.ackAfter(now)); err != nil {
+		if err := o.begin(group.Sample{SentAt: now, ReceivedAt: now}, conn, 0, 0, o.ackAfter(now)); err != nil {
 			t.Fatal(err)
 		}
 		return o.lead.ackAfter
--- a/io/upstream/next.go
+++ b/io/upstream/next.go
@@ -17,7 +17,7 @@
 	if o.phase >= Handing || now.Before(o.notBefore) {
 		return nil
 	}
-	led, ok := group.Assess(o.samples).(group.Led)
+	led, ok := group.FindPrimary(o.samples).(group.Led)
 	if !ok {
 		return o.nextLeaderless(now)
 	}
@@ -43,7 +43,7 @@
 func (o *Owner) nextLeaderless(now time.Time) action {
 	var highest group.Term
 	for i, s := range o.samples {
-		if !s.Known() && o.unheard[i].IsZero() {
+		if !s.Answered() && o.unheard[i].IsZero() {
 			return nil
 		}
 		highest = max(highest, s.Status.Fence.Term)
@@ -79,7 +79,7 @@
 func (o *Owner) nextPromote(highest group.Term, suspect int) action {
 	present := 0
 	for i := range o.samples {
-		if i != suspect && o.samples[i].Known() && o.unheard[i].IsZero() {
+		if i != suspect && o.samples[i].Answered() && o.unheard[i].IsZero() {
 			present++
 		}
 	}
@@ -95,7 +95,7 @@
 	if o.unheard[i].IsZero() {
 		return false
 	}
-	return o.gone[i] && !o.options.Unsafe.SilenceOnly || now.Sub(o.samples[i].Heard) > o.options.Group.Timing.Silence
+	return o.gone[i] && !o.options.Unsafe.SilenceOnly || now.Sub(o.samples[i].ReceivedAt) > o.options.Group.Timing.Silence
 }
 
 // successor reports whether a member that stays could take over from primary.
@@ -111,7 +111,7 @@
 func (o *Owner) nextAttach(led group.Led, now time.Time) action {
 	p := o.samples[led.Primary].Status
 	for i, s := range o.samples {
-		if i == led.Primary || !s.Known() || !o.unheard[i].IsZero() || now.Before(o.attachAfter[i]) {
+		if i == led.Primary || !s.Answered() || !o.unheard[i].IsZero() || now.Before(o.attachAfter[i]) {
 			continue
 		}
 		if s.Status.InRecovery && !group.Follows(s.Status, p) {
--- a/io/upstream/owner.go
+++ b/io/upstream/owner.go
@@ -27,7 +27,7 @@
 	logger  log.Logger
 	probers []*prober
 	pool    *pool
-	marks   freshness.Marks
+	marks   freshness.SessionMarks
 	fixed   fixedPrimary
 	stats   ownerStats
 	wakeup  chan struct{}
@@ -43,7 +43,7 @@
 	unheard []time.Time // when probes of the member began to fail, or zero
 	gone    []bool      // the member refused or reset
 	leaving []bool
-	ages    freshness.Ages
+	ages    freshness.PositionHistory
 	phase   Phase
 	lead    *lead
 	waiters map[*waiter]struct{}
@@ -235,9 +235,9 @@
 		return
 	}
 	if c, ok := group.Confirm(o.samples, l.primary, time.Time{}); ok {
-		l.confirmedAt = c.Asked
-		l.leaseUntil = c.Asked.Add(o.options.Group.Timing.Lease)
-		o.ages.Observe(c.Asked, group.Position{Term: l.term, LSN: o.samples[l.primary].Status.Received})
+		l.confirmedAt = c.AsOf
+		l.leaseUntil = c.AsOf.Add(o.options.Group.Timing.Lease)
+		o.ages.Observe(c.AsOf, group.Position{Term: l.term, LSN: o.samples[l.primary].Status.Received})
 	}
 	o.settle(l)
 	o.forgetMarks(l)
@@ -252,13 +252,13 @@
 		if i == l.primary {
 			continue
 		}
-		if !s.Known() || !group.Follows(s.Status, o.samples[l.primary].Status) {
+		if !s.Answered() || !group.Follows(s.Status, o.samples[l.primary].Status) {
 			return
 		}
 		reached.LSN = min(reached.LSN, s.Status.Replayed)
 	}
 	if reached.Compare(l.floor) >= 0 && o.marks.Len() > 0 {
-		o.marks.Forget(reached)
+		o.marks.Prune(reached)
 	}
 }
 
@@ -266,7 +266,7 @@
 func (o *Owner) publish() {
 	v := &view{phase: o.phase, primary: group.NoMember, successor: group.NoMember, members: make([]memberView, len(o.samples))}
 	for i := range o.samples {
-		v.members[i].present = o.samples[i].Known() && o.unheard[i].IsZero()
+		v.members[i].present = o.samples[i].Answered() && o.unheard[i].IsZero()
 		v.members[i].leaving = o.leaving[i]
 	}
 	if l := o.lead; l != nil {
@@ -285,7 +285,7 @@
 func (o *Owner) likeliest(l *lead) int {
 	best := group.NoMember
 	for i, s := range o.samples {
-		if i == l.primary || o.leaving[i] || !s.Known() || !s.Status.InRecovery || !o.unheard[i].IsZero() {
+		if i == l.primary || o.leaving[i] || !s.Answered() || !s.Status.InRecovery || !o.unheard[i].IsZero() {
 			continue
 		}
 		if best == group.NoMember || s.Status.Received > o.samples[best].Status.Received {
@@ -298,7 +298,7 @@
 func (o *Owner) viewReplicas(v *view, l *lead) {
 	p := o.samples[l.primary].Status
 	for i, s := range o.samples {
-		if i == l.primary || !s.Known() || !s.Status.InRecovery || s.Status.Fence.Term != l.term {
+		if i == l.primary || !s.Answered() || !s.Status.InRecovery || s.Status.Fence.Term != l.term {
 			continue
 		}
 		m := &v.members[i]
@@ -306,23 +306,23 @@
 		// term's data: its position counts in that term.
 		m.replica.Position = group.Position{Term: s.Status.LogTerm, LSN: s.Status.Replayed}
 		m.follows = group.Follows(s.Status, p) || s.Status.LogTerm == l.term
-		m.replica.Since = o.ages.Since(m.replica.Position)
+		m.replica.AsOf = o.ages.AsOf(m.replica.Position)
 	}
 }
 
 // replicaWait predicts how long a read waits until some replica may answer it. It
 // returns false when no replica is expected to.
-func (o *Owner) replicaWait(need freshness.Need, now time.Time) (time.Duration, bool) {
+func (o *Owner) replicaWait(need freshness.Requirement, now time.Time) (time.Duration, bool) {
 	v := o.view()
 	o.mu.Lock()
-	reached := o.ages.Reached(need.Position)
+	reached := o.ages.ReachedAt(need.Position)
 	o.mu.Unlock()
 	best, found := time.Duration(0), false
 	for i, m := range v.members {
 		if i == v.primary || !m.present || !m.follows || m.leaving {
 			continue
 		}
-		if wait, ok := need.Wait(m.replica, reached, now); ok && (!found || wait < best) {
+		if wait, ok := need.EstimateWait(m.replica, reached, now); ok && (!found || wait < best) {
 			best, found = wait, true
 		}
 	}
--- a/io/upstream/pool.go
+++ b/io/upstream/pool.go
@@ -28,7 +28,7 @@
 type want struct {
 	request *statement.Request
 	kind    statement.Kind
-	need    freshness.Need
+	need    freshness.Requirement
 	// primaryAt is when a read may go to the primary.
 	primaryAt time.Time
 	deadline  time.Time
@@ -147,9 +147,9 @@
 		return p.given(w, <-w.ready)
 	}
 	if ctx.Err() != nil {
-		return nil, statement.NotRun(postgres.CodeQueryCanceled, "canceled while waiting for a connection")
+		return nil, statement.NewNotRunRefusal(postgres.CodeQueryCanceled, "canceled while waiting for a connection")
 	}
-	return nil, statement.NotRun(postgres.CodeCannotConnectNow, p.whyNot(w))
+	return nil, statement.NewNotRunRefusal(postgres.CodeCannotConnectNow, p.whyNot(w))
 }
 
 // given returns the connection that w got, or the reason why it got none.
--- a/io/upstream/prober.go
+++ b/io/upstream/prober.go
@@ -168,7 +168,7 @@
 	if err != nil {
 		return err
 	}
-	p.report(heard{sample: group.Sample{Status: status, Asked: asked, Heard: time.Now()}, conn: number})
+	p.report(heard{sample: group.Sample{Status: status, SentAt: asked, ReceivedAt: time.Now()}, conn: number})
 	return nil
 }
 
--- a/io/upstream/snapshot.go
+++ b/io/upstream/snapshot.go
@@ -73,7 +73,7 @@
 		Replayed: group.Position{Term: st.LogTerm, LSN: st.Replayed},
 		Age:      -1,
 	}
-	if since := v.members[i].replica.Since; !since.IsZero() {
+	if since := v.members[i].replica.AsOf; !since.IsZero() {
 		out.Age = now.Sub(since)
 	}
 	return out
--- a/io/upstream/view.go
+++ b/io/upstream/view.go
@@ -59,9 +59,9 @@
 }
 
 // serves reports whether member i is a replica that may serve a read.
-func (v *view) serves(i int, need freshness.Need, now time.Time) bool {
+func (v *view) serves(i int, need freshness.Requirement, now time.Time) bool {
 	m := &v.members[i]
-	return i != v.primary && m.present && m.follows && !m.leaving && need.Serves(m.replica, now)
+	return i != v.primary && m.present && m.follows && !m.leaving && need.SatisfiedBy(m.replica, now)
 }
 
 // leads reports whether the primary may get work.
