--- a/core/group/confirm.go
+++ b/core/group/confirm.go
@@ -37,12 +37,12 @@
 		return Confirmation{}, false
 	}
 	slices.SortFunc(held, func(a, b LSN) int { return -compareLSN(a, b) })
-	return Confirmation{LSN: held[need-1], AsOf: majorityAsked(asked, need)}, true
+	return Confirmation{LSN: held[need-1], AsOf: majorityAsOf(asked, need)}, true
 }
 
-// majorityAsked returns the latest moment at or after which a majority was
+// majorityAsOf returns the latest moment at or after which a majority was
 // asked. The first entry is the primary's, without which there is no majority.
-func majorityAsked(asked []time.Time, need int) time.Time {
+func majorityAsOf(asked []time.Time, need int) time.Time {
 	primary := asked[0]
 	rest := slices.Clone(asked[1:])
 	slices.SortFunc(rest, func(a, b time.Time) int { return b.Compare(a) })
--- a/core/pool/pool_test.go
+++ b/core/pool/pool_test.go
@@ -45,8 +45,8 @@
 	return b
 }
 
-func read(account string) Request  { return Request{Account: account} }
-func write(account string) Request { return Request{Account: account, PrimaryOnly: true} }
+func readRequest(account string) Request  { return Request{Account: account} }
+func writeRequest(account string) Request { return Request{Account: account, PrimaryOnly: true} }
 
 // runActions answers the orders as a member does that has room for everybody, and returns them as texts,
 // and whom the pool gave what.
@@ -94,15 +94,15 @@
 // another account left is as good as none.
 func TestConnServesOnlyItsAccount(t *testing.T) {
 	b := newHarness(t, 4, "r")
-	c, orders := b.acquire(read("bakery"))
+	c, orders := b.acquire(readRequest("bakery"))
 	b.wantActions(orders, "open r bakery", "give bakery")
 	b.pool.Release(c, b.now)
-	other, orders := b.acquire(read("hotel"))
+	other, orders := b.acquire(readRequest("hotel"))
 	b.wantActions(orders, "open r hotel", "give hotel")
 	if other == c || other.Account != "hotel" {
 		t.Errorf("got a connection of %q", other.Account)
 	}
-	again, orders := b.acquire(read("bakery"))
+	again, orders := b.acquire(readRequest("bakery"))
 	if again != c || len(orders) > 0 {
 		t.Errorf("got another connection than the own one, with orders %q", orders)
 	}
@@ -113,12 +113,12 @@
 func TestLeastRecentlyUsedConnIsReplaced(t *testing.T) {
 	b := newHarness(t, 3, "r")
 	for _, account := range []string{"bakery", "hotel", "canteen"} {
-		c, _ := b.acquire(read(account))
+		c, _ := b.acquire(readRequest(account))
 		b.pool.Release(c, b.now)
 	}
-	c, _ := b.acquire(read("bakery"))
+	c, _ := b.acquire(readRequest("bakery"))
 	b.pool.Release(c, b.now)
-	_, orders := b.acquire(read("school"))
+	_, orders := b.acquire(readRequest("school"))
 	b.wantActions(orders, "close r hotel", "open r school", "give school")
 }
 
@@ -126,12 +126,12 @@
 // own account waits is not closed for another one.
 func TestBusyConnsAreNotReplaced(t *testing.T) {
 	b := newHarness(t, 2, "r")
-	first, _ := b.acquire(read("bakery"))
-	second, _ := b.acquire(read("hotel"))
-	if c, orders := b.acquire(read("school")); c != nil || len(orders) > 0 {
+	first, _ := b.acquire(readRequest("bakery"))
+	second, _ := b.acquire(readRequest("hotel"))
+	if c, orders := b.acquire(readRequest("school")); c != nil || len(orders) > 0 {
 		t.Fatalf("got %v, orders %q", c, orders)
 	}
-	w := b.pool.Enqueue(read("hotel"))
+	w := b.pool.Enqueue(readRequest("hotel"))
 	b.pool.Release(second, b.now)
 	b.pool.Dispatch(b.now, false)
 	orders, given := b.runActions()
@@ -149,16 +149,16 @@
 // connection to the primary.
 func TestMemberSelection(t *testing.T) {
 	b := newHarness(t, 4, "p", "r1", "r2")
-	c, _ := b.acquire(read("bakery"))
+	c, _ := b.acquire(readRequest("bakery"))
 	if at := c.Member().ID(); at != "r1" {
 		t.Errorf("a read went to %s", at)
 	}
 	b.pool.Release(c, b.now)
 	b.view.lagging["r1"] = true
-	if c, _ = b.acquire(read("bakery")); c.Member().ID() != "r2" {
+	if c, _ = b.acquire(readRequest("bakery")); c.Member().ID() != "r2" {
 		t.Errorf("a read went to %s, which lacks what it asks for", c.Member().ID())
 	}
-	if c, orders := b.acquire(write("bakery")); c == nil || c.Member().ID() != "p" {
+	if c, orders := b.acquire(writeRequest("bakery")); c == nil || c.Member().ID() != "p" {
 		t.Errorf("the write got %v, orders %q", c, orders)
 	}
 }
@@ -167,7 +167,7 @@
 func TestFullMemberBacksOff(t *testing.T) {
 	b := newHarness(t, 1, "r")
 	b.view.mayExceedShare = true
-	w := b.pool.Enqueue(read("bakery"))
+	w := b.pool.Enqueue(readRequest("bakery"))
 	b.pool.Dispatch(b.now, false)
 	m := b.pool.members["r"]
 	if orders := b.pool.DrainActions(); len(orders) != 1 {
@@ -190,10 +190,10 @@
 // A connection that the member has closed is not given out, and another one is opened.
 func TestDeadConnsAreReplaced(t *testing.T) {
 	b := newHarness(t, 2, "r")
-	c, _ := b.acquire(read("bakery"))
+	c, _ := b.acquire(readRequest("bakery"))
 	b.pool.Release(c, b.now)
 	b.view.dead[c] = true
-	again, orders := b.acquire(read("bakery"))
+	again, orders := b.acquire(readRequest("bakery"))
 	b.wantActions(orders, "close r bakery", "open r bakery", "give bakery")
 	if again == c {
 		t.Error("the dead connection was given out")
@@ -203,14 +203,14 @@
 // A member that is dropped gets no work, its idle connections are closed, and those in use as they come back.
 func TestRemovedMember(t *testing.T) {
 	b := newHarness(t, 4, "r")
-	busy, _ := b.acquire(read("bakery"))
-	idle, _ := b.acquire(read("hotel"))
+	busy, _ := b.acquire(readRequest("bakery"))
+	idle, _ := b.acquire(readRequest("hotel"))
 	b.pool.Release(idle, b.now)
 	b.pool.Remove(b.pool.members["r"])
 	b.pool.Release(busy, b.now)
 	orders, _ := b.runActions()
 	b.wantActions(orders, "close r hotel", "close r bakery")
-	if c := b.pool.Take(read("bakery"), b.now); c != nil {
+	if c := b.pool.Take(readRequest("bakery"), b.now); c != nil {
 		t.Error("a dropped member got work")
 	}
 	if m := busy.Member(); b.pool.Opened(m, "late", b.now) != nil || m.Load().Open != 0 {
@@ -251,7 +251,7 @@
 		b := newHarness(t, 3, "r")
 		var all []*Conn
 		for _, account := range []string{"a", "b", "c"} {
-			got, _ := b.acquire(read(account))
+			got, _ := b.acquire(readRequest(account))
 			all = append(all, got)
 		}
 		for _, each := range all {
