--- a/core/account/account.go
+++ b/core/account/account.go
@@ -20,5 +20,5 @@
 	Burst float64
 }
 
-// Unbounded reports whether the quota sets no bound.
-func (q Quota) Unbounded() bool { return q.Rate == 0 }
+// Unlimited reports whether the quota sets no bound.
+func (q Quota) Unlimited() bool { return q.Rate == 0 }
--- a/core/account/account_test.go
+++ b/core/account/account_test.go
@@ -9,7 +9,7 @@
 	"github.com/sebdah/goldie/v2"
 )
 
-func TestDirectoryFindsTheHolderOfAKey(t *testing.T) {
+func TestDirectoryFindsAccountByKey(t *testing.T) {
 	d, err := NewDirectory([]Account{
 		{Name: "bakery", Keys: []Fingerprint{FingerprintOf("k1"), FingerprintOf("k2")}, Quota: Quota{Rate: 5, Burst: 5}},
 		{Name: "canteen", Keys: []Fingerprint{FingerprintOf("k3")}},
@@ -20,7 +20,7 @@
 	}
 	for key, want := range map[string]string{"k1": "bakery", "k2": "bakery", "k3": "canteen", "k4": "", "": ""} {
 		got := ""
-		if a := d.Holder(FingerprintOf(key)); a != nil {
+		if a := d.AccountForKey(FingerprintOf(key)); a != nil {
 			got = a.Name
 		}
 		if got != want {
@@ -40,19 +40,19 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if d.Holder(b) != nil || d.Holder(a) == nil {
+	if d.AccountForKey(b) != nil || d.AccountForKey(a) == nil {
 		t.Error("the holder does not follow from the whole fingerprint")
 	}
 }
 
-func TestMistakesAreFoundAllAtOnce(t *testing.T) {
+func TestAllFieldErrorsAreReported(t *testing.T) {
 	same := FingerprintOf("same")
 	_, err := NewDirectory([]Account{
 		{Name: "", Quota: Quota{Rate: -1, Burst: 1}},
 		{Name: "a b", Quota: Quota{Rate: math.Inf(1), Burst: 1}},
 		{Name: "twice", Keys: []Fingerprint{same, same}, Quota: Quota{Rate: 5}},
 		{Name: "twice", Keys: []Fingerprint{same}, Quota: Quota{Burst: 3}},
-		{Name: strings.Repeat("n", maxName+1), Priority: -1, Quota: Quota{Rate: 1, Burst: 2 * maxRate}},
+		{Name: strings.Repeat("n", maxNameLen+1), Priority: -1, Quota: Quota{Rate: 1, Burst: 2 * maxRate}},
 		{Name: "fine", Keys: []Fingerprint{FingerprintOf("other")}, Priority: 1, Quota: Quota{Rate: 1, Burst: 1}},
 	})
 	if err == nil {
@@ -61,9 +61,9 @@
 	goldie.New(t).Assert(t, "mistakes", []byte(err.Error()+"\n"))
 }
 
-func TestFingerprintText(t *testing.T) {
+func TestFingerprintHex(t *testing.T) {
 	f := FingerprintOf("k")
-	if got, err := ParseFingerprint(f.Text()); err != nil || got != f {
+	if got, err := ParseFingerprint(f.Hex()); err != nil || got != f {
 		t.Errorf("%v, %v", got, err)
 	}
 	for _, text := range []string{"", "secret", strings.Repeat("g", 64)} {
@@ -72,12 +72,12 @@
 			t.Errorf("%q: %v", text, err)
 		}
 	}
-	if text := fmt.Sprint(f, []Fingerprint{f}); strings.Contains(text, f.Text()[:8]) {
+	if text := fmt.Sprint(f, []Fingerprint{f}); strings.Contains(text, f.Hex()[:8]) {
 		t.Errorf("printed as %s", text)
 	}
 }
 
-func BenchmarkHolder(b *testing.B) {
+func BenchmarkAccountForKey(b *testing.B) {
 	for _, n := range []int{100, 10_000} {
 		accounts := make([]Account, n)
 		for i := range accounts {
@@ -91,7 +91,7 @@
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
-				d.Holder(key)
+				d.AccountForKey(key)
 			}
 		})
 	}
--- a/core/account/admit.go
+++ b/core/account/admit.go
@@ -6,21 +6,21 @@
 	Key Fingerprint
 }
 
-// Admit decides whether a caller may use a route, and for which account it then acts. A nil directory asks
+// Authorize decides whether a caller may use a route, and for which account it then acts. A nil directory asks
 // for none, nor does a public route: a caller who shows a key acts for its holder there all the same, so
 // that its statements count against its own quota.
-func Admit(d *Directory, public bool, c Caller) (*Account, bool) {
+func Authorize(d *Directory, public bool, c Caller) (*Account, bool) {
 	if d == nil {
-		return &nobody, true
+		return &anonymous, true
 	}
-	if a := d.Holder(c.Key); a != nil {
+	if a := d.AccountForKey(c.Key); a != nil {
 		return a, true
 	}
 	if public {
-		return &nobody, true
+		return &anonymous, true
 	}
 	return nil, false
 }
 
-// nobody is the account of callers who need none.
-var nobody Account
+// anonymous is the account of callers who need none.
+var anonymous Account
--- a/core/account/check.go
+++ b/core/account/check.go
@@ -7,9 +7,9 @@
 )
 
 const (
-	// maxName is the longest name of an account, in bytes: it goes into lines, metrics and the first
+	// maxNameLen is the longest name of an account, in bytes: it goes into lines, metrics and the first
 	// message of every connection to a member.
-	maxName = 128
+	maxNameLen = 128
 	// maxRate is the highest rate, in operations per second: a hundred times what the whole planned fleet
 	// serves. A higher one is a slip of the pen, which would set no bound.
 	maxRate = 1e8
@@ -17,19 +17,19 @@
 	maxPriority = 100
 )
 
-// Mistake is one thing wrong with the accounts of a configuration.
-type Mistake struct {
+// FieldError is one thing wrong with the accounts of a configuration.
+type FieldError struct {
 	// Field is its path, such as "accounts[2].keys[0]".
 	Field string
 	// Reason says what is wrong. It never holds a key.
 	Reason string
 }
 
-// Mistakes is a list of mistakes as an error.
-type Mistakes []Mistake
+// FieldErrors is a list of mistakes as an error.
+type FieldErrors []FieldError
 
 // Error implements error, with a line for each mistake.
-func (m Mistakes) Error() string {
+func (m FieldErrors) Error() string {
 	lines := make([]string, len(m))
 	for i, each := range m {
 		lines[i] = each.Field + ": " + each.Reason
@@ -38,21 +38,21 @@
 }
 
 // Add adds a mistake.
-func (m *Mistakes) Add(field, reason string, args ...any) {
-	*m = append(*m, Mistake{field, fmt.Sprintf(reason, args...)})
+func (m *FieldErrors) Add(field, reason string, args ...any) {
+	*m = append(*m, FieldError{field, fmt.Sprintf(reason, args...)})
 }
 
 // Err returns the mistakes as an error, or nil if there are none.
-func (m Mistakes) Err() error {
+func (m FieldErrors) Err() error {
 	if len(m) == 0 {
 		return nil
 	}
 	return m
 }
 
-// check returns what is wrong with the accounts, or nil.
-func check(accounts []Account) error {
-	var wrong Mistakes
+// validate returns what is wrong with the accounts, or nil.
+func validate(accounts []Account) error {
+	var wrong FieldErrors
 	names, keys := map[string]int{}, map[Fingerprint]string{}
 	for i, a := range accounts {
 		field := fmt.Sprintf("accounts[%d]", i)
@@ -61,8 +61,8 @@
 		} else {
 			names[a.Name] = i
 		}
-		checkName(&wrong, field+".name", a.Name)
-		checkQuota(&wrong, field+".quota", a.Quota)
+		validateName(&wrong, field+".name", a.Name)
+		validateQuota(&wrong, field+".quota", a.Quota)
 		if a.Priority < 0 || a.Priority > maxPriority {
 			wrong.Add(field+".priority", "%d, must be between 0 and %d", a.Priority, maxPriority)
 		}
@@ -78,21 +78,21 @@
 	return wrong.Err()
 }
 
-func checkName(wrong *Mistakes, field, name string) {
+func validateName(wrong *FieldErrors, field, name string) {
 	switch {
 	case name == "":
 		wrong.Add(field, "missing")
-	case len(name) > maxName:
-		wrong.Add(field, "has %d bytes, at most %d are allowed", len(name), maxName)
-	case strings.ContainsFunc(name, isBlank):
+	case len(name) > maxNameLen:
+		wrong.Add(field, "has %d bytes, at most %d are allowed", len(name), maxNameLen)
+	case strings.ContainsFunc(name, isSpaceOrControl):
 		wrong.Add(field, "%q holds blanks or control characters", name)
 	}
 }
 
-// isBlank reports whether a character would end a name in a member's protocol.
-func isBlank(r rune) bool { return r <= ' ' || r == 0x7f }
+// isSpaceOrControl reports whether a character would end a name in a member's protocol.
+func isSpaceOrControl(r rune) bool { return r <= ' ' || r == 0x7f }
 
-func checkQuota(wrong *Mistakes, field string, q Quota) {
+func validateQuota(wrong *FieldErrors, field string, q Quota) {
 	switch {
 	case math.IsNaN(q.Rate) || math.IsInf(q.Rate, 0) || q.Rate < 0 || q.Rate > maxRate:
 		wrong.Add(field+".rate", "%v, must be between 0 and %v operations per second", q.Rate, maxRate)
--- a/core/account/directory.go
+++ b/core/account/directory.go
@@ -9,29 +9,29 @@
 // Directory holds the accounts of a configuration. Use NewDirectory. It does not change, so that many
 // goroutines may use it.
 type Directory struct {
-	accounts map[string]*Account
-	// keys holds, by the first bytes of a fingerprint, who may hold it. What a caller shows is compared
+	byName map[string]*Account
+	// byKeyPrefix holds, by the first bytes of a fingerprint, who may hold it. What a caller shows is compared
 	// with the whole fingerprint in constant time.
-	keys map[uint64][]holder
+	byKeyPrefix map[uint64][]keyEntry
 }
 
-// holder is an account's key.
-type holder struct {
+// keyEntry is an account's key.
+type keyEntry struct {
 	key     Fingerprint
 	account *Account
 }
 
 // NewDirectory returns a directory of the accounts. The error is a Mistakes with every mistake found.
 func NewDirectory(accounts []Account) (*Directory, error) {
-	if err := check(accounts); err != nil {
+	if err := validate(accounts); err != nil {
 		return nil, err
 	}
-	d := &Directory{accounts: make(map[string]*Account, len(accounts)), keys: map[uint64][]holder{}}
+	d := &Directory{byName: make(map[string]*Account, len(accounts)), byKeyPrefix: map[uint64][]keyEntry{}}
 	for i := range accounts {
 		a := &accounts[i]
-		d.accounts[a.Name] = a
+		d.byName[a.Name] = a
 		for _, k := range a.Keys {
-			d.keys[k.prefix()] = append(d.keys[k.prefix()], holder{k, a})
+			d.byKeyPrefix[k.prefix()] = append(d.byKeyPrefix[k.prefix()], keyEntry{k, a})
 		}
 	}
 	return d, nil
@@ -39,9 +39,9 @@
 
 func (f Fingerprint) prefix() uint64 { return binary.BigEndian.Uint64(f[:]) }
 
-// Holder returns the account that has the key, or nil.
-func (d *Directory) Holder(key Fingerprint) *Account {
-	for _, h := range d.keys[key.prefix()] {
+// AccountForKey returns the account that has the key, or nil.
+func (d *Directory) AccountForKey(key Fingerprint) *Account {
+	for _, h := range d.byKeyPrefix[key.prefix()] {
 		if h.key.Equal(key) {
 			return h.account
 		}
@@ -50,15 +50,15 @@
 }
 
 // Account returns the account of the name, or nil.
-func (d *Directory) Account(name string) *Account { return d.accounts[name] }
+func (d *Directory) Account(name string) *Account { return d.byName[name] }
 
 // Len returns how many accounts there are. A nil directory has none.
 func (d *Directory) Len() int {
 	if d == nil {
 		return 0
 	}
-	return len(d.accounts)
+	return len(d.byName)
 }
 
 // Names returns the names of all accounts, in order.
-func (d *Directory) Names() []string { return slices.Sorted(maps.Keys(d.accounts)) }
+func (d *Directory) Names() []string { return slices.Sorted(maps.Keys(d.byName)) }
--- a/core/account/fingerprint.go
+++ b/core/account/fingerprint.go
@@ -17,8 +17,8 @@
 // Equal compares in a time that does not depend on the values.
 func (f Fingerprint) Equal(o Fingerprint) bool { return subtle.ConstantTimeCompare(f[:], o[:]) == 1 }
 
-// Text returns the form that documents between hosts hold.
-func (f Fingerprint) Text() string { return hex.EncodeToString(f[:]) }
+// Hex returns the form that documents between hosts hold.
+func (f Fingerprint) Hex() string { return hex.EncodeToString(f[:]) }
 
 // ParseFingerprint is the inverse of Text. The error does not repeat the text, which may be a key.
 func ParseFingerprint(text string) (Fingerprint, error) {
--- a/core/admission/admission_test.go
+++ b/core/admission/admission_test.go
@@ -7,7 +7,7 @@
 	"pearlatch/core/config"
 )
 
-func every(string) bool { return true }
+func fitsAny(string) bool { return true }
 
 func TestQueueServesByPriorityThenArrival(t *testing.T) {
 	q := NewQueue[string](10)
@@ -27,7 +27,7 @@
 		t.Errorf("%d ahead of low, want 5", got)
 	}
 	for _, want := range []string{"h1", "h2", "n1", "n2", "l1"} {
-		if got := q.Pick(every); got.Value != want {
+		if got := q.Pick(fitsAny); got.Value != want {
 			t.Errorf("picked %s, want %s", got.Value, want)
 		}
 	}
@@ -39,12 +39,12 @@
 	q := NewQueue[string](100)
 	now := time.Now()
 	q.Push("low", config.Low, now)
-	for i := range lowShare + 1 {
+	for i := range reverseInterval + 1 {
 		q.Push("high", config.High, now)
-		if q.Pick(every).Value == "low" {
+		if q.Pick(fitsAny).Value == "low" {
 			return
 		}
-		if i > lowShare {
+		if i > reverseInterval {
 			break
 		}
 	}
@@ -62,7 +62,7 @@
 	}
 }
 
-func TestPickSkipsWhatDoesNotFit(t *testing.T) {
+func TestPickSkipsRequestsThatDoNotFit(t *testing.T) {
 	q := NewQueue[string](3)
 	q.Push("a", config.Normal, time.Now())
 	q.Push("b", config.Normal, time.Now())
@@ -76,17 +76,17 @@
 
 func TestEstimate(t *testing.T) {
 	var e Estimate
-	if e.Wait(10, 2) != 0 {
+	if e.ExpectedWait(10, 2) != 0 {
 		t.Error("a wait without an observation")
 	}
 	e.Observe(10 * time.Millisecond)
-	if got := e.Wait(6, 3); got != 20*time.Millisecond {
+	if got := e.ExpectedWait(6, 3); got != 20*time.Millisecond {
 		t.Errorf("Wait = %s, want 20ms", got)
 	}
 	for range 100 {
 		e.Observe(20 * time.Millisecond)
 	}
-	if got := e.Held(); got < 19*time.Millisecond || got > 20*time.Millisecond {
+	if got := e.MeanHold(); got < 19*time.Millisecond || got > 20*time.Millisecond {
 		t.Errorf("Held = %s after many of 20ms", got)
 	}
 }
--- a/core/admission/queue.go
+++ b/core/admission/queue.go
@@ -9,9 +9,9 @@
 // priorities lists the priorities in the order in which they are served.
 var priorities = [...]config.Priority{config.High, config.Normal, config.Low}
 
-// lowShare is how many picks go by until one starts at the lowest priority, so
+// reverseInterval is how many picks go by until one starts at the lowest priority, so
 // that work of high priority cannot starve the rest for ever.
-const lowShare = 16
+const reverseInterval = 16
 
 // Queue holds waiting requests in order of priority and arrival. The zero value
 // is not usable; call NewQueue. It is not safe for concurrent use.
@@ -63,7 +63,7 @@
 		return nil, false
 	}
 	w := &Waiter[T]{Value: v, Arrived: now, priority: p, queued: true}
-	i := listOf(p)
+	i := listIndex(p)
 	q.lists[i] = append(q.lists[i], w)
 	return w, true
 }
@@ -74,10 +74,10 @@
 	if !w.queued {
 		return false
 	}
-	i := listOf(w.priority)
+	i := listIndex(w.priority)
 	for j, each := range q.lists[i] {
 		if each == w {
-			q.take(i, j)
+			q.removeAt(i, j)
 			return true
 		}
 	}
@@ -89,12 +89,12 @@
 	q.picks++
 	for k := range q.lists {
 		i := k
-		if q.picks%lowShare == 0 {
+		if q.picks%reverseInterval == 0 {
 			i = len(q.lists) - 1 - k
 		}
 		for j, w := range q.lists[i] {
 			if fits(w.Value) {
-				q.take(i, j)
+				q.removeAt(i, j)
 				return w
 			}
 		}
@@ -102,13 +102,13 @@
 	return nil
 }
 
-func (q *Queue[T]) take(i, j int) {
+func (q *Queue[T]) removeAt(i, j int) {
 	w := q.lists[i][j]
 	w.queued = false
 	q.lists[i] = append(q.lists[i][:j], q.lists[i][j+1:]...)
 }
 
-func listOf(p config.Priority) int {
+func listIndex(p config.Priority) int {
 	for i, each := range priorities {
 		if each == p {
 			return i
--- a/core/quota/bench_test.go
+++ b/core/quota/bench_test.go
@@ -10,25 +10,25 @@
 
 // One granter's answer to a host that asks for one of its accounts. Before sums of portions were kept an answer
 // walked over all hosts that hold one.
-func BenchmarkAnswer(b *testing.B) {
+func BenchmarkHandleRequest(b *testing.B) {
 	for _, size := range []struct{ hosts, accounts int }{{10, 100}, {85, 100}, {85, 10_000}, {1078, 100}, {1078, 10_000}} {
 		b.Run(fmt.Sprintf("%d_hosts_%d_accounts", size.hosts, size.accounts), func(b *testing.B) {
 			ids := make([]string, size.hosts)
 			for i := range ids {
 				ids[i] = fmt.Sprint("h", i)
 			}
-			l := newLedgerOf(Terms{5 * time.Second, 0.1, 20}, ids...)
+			l := newTestGranter(Tolerance{5 * time.Second, 0.1, 20}, ids...)
 			q := account.Quota{Rate: 100, Burst: 100}
 			now := t0.Add(time.Second)
-			in := Inquiry{Token: 5, Questions: make([]Question, 1)}
+			in := Request{Token: 5, Accounts: make([]AccountRequest, 1)}
 			n := 0
 			b.ReportAllocs()
 			for b.Loop() {
 				n++
 				id := ids[n%len(ids)]
 				in.ID = uint64(n)
-				in.Questions[0] = Question{Account: fmt.Sprint("a", n%size.accounts), Quota: q, Demand: 2, Waiting: 1}
-				l.Answer(id, id+".1", in, now)
+				in.Accounts[0] = AccountRequest{Account: fmt.Sprint("a", n%size.accounts), Quota: q, Demand: 2, Waiting: 1}
+				l.HandleRequest(id, id+".1", in, now)
 			}
 		})
 	}
@@ -46,12 +46,12 @@
 				names[i] = fmt.Sprint("a", i)
 				s.Begin(names[i], q, t0)
 			}
-			in, _ := s.Inquire(t0)
-			grants := make([]Grant, len(in.Questions))
-			for i, each := range in.Questions {
-				grants[i] = Grant{Account: each.Account, Serial: 1, Rate: 1e9, Cap: 1e9, Lasts: Lifetime}
+			in, _ := s.NextRequest(t0)
+			grants := make([]Grant, len(in.Accounts))
+			for i, each := range in.Accounts {
+				grants[i] = Grant{Account: each.Account, Serial: 1, Rate: 1e9, Cap: 1e9, TTL: PortionTTL}
 			}
-			s.Receive(in.ID, 5, Answer{Grants: grants}, t0)
+			s.HandleResponse(in.ID, 5, Response{Grants: grants}, t0)
 			n := 0
 			b.ReportAllocs()
 			for b.Loop() {
--- a/core/quota/bucket.go
+++ b/core/quota/bucket.go
@@ -19,23 +19,23 @@
 // on that its methods are told: when the host's portions wake.
 type Bucket struct {
 	portion Portion
-	// until is when the portion ends, and with it the tokens that are left.
-	until time.Time
+	// expiresAt is when the portion ends, and with it the tokens that are left.
+	expiresAt time.Time
 	// tokens were there at the time at.
-	tokens float64
-	at     time.Time
+	tokens    float64
+	updatedAt time.Time
 }
 
-// advance lets tokens come until now.
-func (b *Bucket) advance(now, wakes time.Time) {
-	if !now.Before(b.until) {
+// refill lets tokens come until now.
+func (b *Bucket) refill(now, wakes time.Time) {
+	if !now.Before(b.expiresAt) {
 		b.portion, b.tokens = Portion{}, 0
 	}
-	if elapsed := now.Sub(later(b.at, wakes)); elapsed > 0 {
+	if elapsed := now.Sub(later(b.updatedAt, wakes)); elapsed > 0 {
 		b.tokens += b.portion.Rate * elapsed.Seconds()
 	}
 	b.tokens = min(b.portion.Cap, b.tokens)
-	b.at = now
+	b.updatedAt = now
 }
 
 func later(a, b time.Time) time.Time {
@@ -47,7 +47,7 @@
 
 // take takes a token for an operation. It returns false if there is none.
 func (b *Bucket) take(now, wakes time.Time) bool {
-	b.advance(now, wakes)
+	b.refill(now, wakes)
 	if b.tokens < 1 {
 		return false
 	}
@@ -55,9 +55,9 @@
 	return true
 }
 
-// next returns after how long the next token comes by itself, or false if none does.
-func (b *Bucket) next(now, wakes time.Time) (time.Duration, bool) {
-	b.advance(now, wakes)
+// nextTokenIn returns after how long the nextTokenIn token comes by itself, or false if none does.
+func (b *Bucket) nextTokenIn(now, wakes time.Time) (time.Duration, bool) {
+	b.refill(now, wakes)
 	if b.tokens >= 1 {
 		return 0, true
 	}
@@ -65,23 +65,23 @@
 		return 0, false
 	}
 	after := max(0, wakes.Sub(now)) + time.Duration((1-b.tokens)/b.portion.Rate*float64(time.Second))
-	return after, now.Add(after).Before(b.until)
+	return after, now.Add(after).Before(b.expiresAt)
 }
 
-// receive takes over what the granter gave for a question that was asked at the given time, but for the tokens of
+// applyGrant takes over what the granter gave for a question that was asked at the given time, but for the tokens of
 // operations that wait.
-func (b *Bucket) receive(g Grant, asked, now, wakes time.Time) {
-	b.advance(now, wakes)
+func (b *Bucket) applyGrant(g Grant, asked, now, wakes time.Time) {
+	b.refill(now, wakes)
 	b.portion = Portion{Serial: g.Serial, Rate: g.Rate, Cap: g.Cap}
-	b.until = asked.Add(g.Lasts)
-	b.tokens = min(g.Cap, b.tokens+g.Ahead)
+	b.expiresAt = asked.Add(g.TTL)
+	b.tokens = min(g.Cap, b.tokens+g.Prefetched)
 }
 
-// lowered takes over that the account's quota is a fraction of what it was. The granter is told the same, but
+// scaleDown takes over that the account's quota is a fraction of what it was. The granter is told the same, but
 // may not reach this host.
-func (b *Bucket) lowered(from, to account.Quota, now, wakes time.Time) {
-	b.advance(now, wakes)
-	if to.Unbounded() || from.Unbounded() || to.Rate >= from.Rate {
+func (b *Bucket) scaleDown(from, to account.Quota, now, wakes time.Time) {
+	b.refill(now, wakes)
+	if to.Unlimited() || from.Unlimited() || to.Rate >= from.Rate {
 		return
 	}
 	part := to.Rate / from.Rate
--- a/core/quota/demand.go
+++ b/core/quota/demand.go
@@ -5,31 +5,31 @@
 	"time"
 )
 
-// demandTime is over which time demand is averaged: an account's callers come to a host every few seconds each, and a
+// demandTimeConstant is over which time demand is averaged: an account's callers come to a host every few seconds each, and a
 // refused one tries at several hosts.
-const demandTime = 4 * time.Second
+const demandTimeConstant = 4 * time.Second
 
 // demand is an average of how many operations begin per second. The zero demand is none.
 type demand struct {
-	rate float64
-	at   time.Time
+	rate      float64
+	updatedAt time.Time
 }
 
-// note counts an operation.
-func (d *demand) note(now time.Time) {
-	d.fade(now)
-	d.rate += 1 / demandTime.Seconds()
+// record counts an operation.
+func (d *demand) record(now time.Time) {
+	d.decay(now)
+	d.rate += 1 / demandTimeConstant.Seconds()
 }
 
-func (d *demand) fade(now time.Time) {
-	if elapsed := now.Sub(d.at); elapsed > 0 {
-		d.rate *= math.Exp(-elapsed.Seconds() / demandTime.Seconds())
-		d.at = now
+func (d *demand) decay(now time.Time) {
+	if elapsed := now.Sub(d.updatedAt); elapsed > 0 {
+		d.rate *= math.Exp(-elapsed.Seconds() / demandTimeConstant.Seconds())
+		d.updatedAt = now
 	}
 }
 
 // value returns the demand in operations per second.
 func (d *demand) value(now time.Time) float64 {
-	d.fade(now)
+	d.decay(now)
 	return d.rate
 }
--- a/core/quota/removal_test.go
+++ b/core/quota/removal_test.go
@@ -14,7 +14,7 @@
 
 // Each rule that keeps accounts within their quotas is taken out of the package itself. The worlds, or a test of
 // the rule, must find the loss: a rule that nothing misses is none.
-func TestRemovalsAreFound(t *testing.T) {
+func TestRemovalsAreDetected(t *testing.T) {
 	if !*removals {
 		t.Skip("takes minutes: go test ./core/quota -run Removals -removals")
 	}
@@ -44,7 +44,7 @@
 		{"portions that wake count", "book.go", "return max(0, b.quota.Rate-b.sums.awake)", "return b.quota.Rate"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			out, err := testWith(t, c.file, c.from, c.to)
+			out, err := testWithReplacement(t, c.file, c.from, c.to)
 			switch {
 			case err == nil:
 				t.Error("nothing misses it")
@@ -59,8 +59,8 @@
 	}
 }
 
-// testWith plays the worlds with one piece of a file replaced.
-func testWith(t *testing.T, file, from, to string) (string, error) {
+// testWithReplacement plays the worlds with one piece of a file replaced.
+func testWithReplacement(t *testing.T, file, from, to string) (string, error) {
 	t.Helper()
 	text, err := os.ReadFile(file)
 	if err != nil {
--- a/internal/gateway/host.go
+++ b/internal/gateway/host.go
@@ -40,7 +40,7 @@
 	// MinLeaseTTL is the shortest lease that the store grants.
 	MinLeaseTTL time.Duration
 	// Quotas say how far an account may exceed its quota while hosts disagree.
-	Quotas quota.Terms
+	Quotas quota.Tolerance
 	// Peer is the host's address for other hosts. Without one the host serves its own
 	// callers alone.
 	Peer netip.AddrPort
@@ -263,7 +263,7 @@
 	if !ok {
 		return Route{}, nil, &Failure{NoDatabase, database}
 	}
-	a, ok := account.Admit(h.config.Accounts, r.Public, c)
+	a, ok := account.Authorize(h.config.Accounts, r.Public, c)
 	if !ok {
 		return Route{}, nil, &Failure{Unauthorized, fmt.Sprintf("no account of configuration %d has the key", h.config.Version)}
 	}
--- a/internal/quotas/ask.go
+++ b/internal/quotas/ask.go
@@ -19,7 +19,7 @@
 		return
 	}
 	s.Follow(token)
-	in, ok := s.Inquire(now)
+	in, ok := s.NextRequest(now)
 	if !ok {
 		return
 	}
@@ -32,7 +32,7 @@
 	go k.askHost(s, host, in)
 }
 
-func (k *Keeper) askHost(s *shard, host string, in quota.Inquiry) {
+func (k *Keeper) askHost(s *shard, host string, in quota.Request) {
 	ctx, cancel := context.WithTimeout(context.Background(), askTimeout)
 	defer cancel()
 	reply, err := k.fleet.Ask(ctx, host, Request{s.name, k.settings.Host, k.settings.Process, in})
@@ -44,9 +44,9 @@
 }
 
 // took takes over an answer, or that there is none. The shard's lock is held.
-func (k *Keeper) took(s *shard, in quota.Inquiry, reply Reply, err error) {
+func (k *Keeper) took(s *shard, in quota.Request, reply Reply, err error) {
 	now := k.now()
-	if err == nil && !reply.Declined && s.Receive(in.ID, in.Token, reply.Answer, now) {
+	if err == nil && !reply.Declined && s.HandleResponse(in.ID, in.Token, reply.Answer, now) {
 		if !s.failingSince.IsZero() {
 			k.log("granter_regained", "shard", s.name, "after_ms", now.Sub(s.failingSince).Milliseconds())
 		}
@@ -72,9 +72,9 @@
 	s := k.byName(r.Shard)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	granted := s.Ledger() != nil
-	holds, ok := s.Shard.Tell(r.Token, k.now())
-	if granted && s.Ledger() == nil {
+	granted := s.Granter() != nil
+	holds, ok := s.Shard.Report(r.Token, k.now())
+	if granted && s.Granter() == nil {
 		k.log("granter_ends", "shard", s.name, "successor", r.Host, "token", r.Token)
 	}
 	return TellReply{Process: k.settings.Process, Declined: !ok, Holds: holds}
--- a/internal/quotas/grant.go
+++ b/internal/quotas/grant.go
@@ -13,9 +13,9 @@
 	s := k.byName(name)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	l := quota.NewLedger(token, k.settings.Terms, k.now(), mayHold, before)
+	l := quota.NewGranter(token, k.settings.Terms, k.now(), mayHold, before)
 	l.Extend(held)
-	s.Grant(l)
+	s.SetGranter(l)
 	s.telling = map[string]*told{}
 	s.askAt = time.Time{}
 	k.log("granter_begins", "shard", name, "token", token, "may_hold", len(mayHold), "before", len(before))
@@ -26,7 +26,7 @@
 	s := k.byName(name)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if l := s.Ledger(); l != nil {
+	if l := s.Granter(); l != nil {
 		l.Extend(held)
 	}
 }
@@ -36,8 +36,8 @@
 	s := k.byName(name)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if l := s.Ledger(); l != nil {
-		l.Raise(token)
+	if l := s.Granter(); l != nil {
+		l.RaiseToken(token)
 	}
 }
 
@@ -46,10 +46,10 @@
 	s := k.byName(name)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.Ledger() != nil {
+	if s.Granter() != nil {
 		k.log("granter_ends", "shard", name)
 	}
-	s.Grant(nil)
+	s.SetGranter(nil)
 }
 
 // Before returns the hosts that may still take themselves for the granter of a shard. ok is false if this host is not
@@ -58,11 +58,11 @@
 	s := k.byName(name)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	l := s.Ledger()
+	l := s.Granter()
 	if l == nil {
 		return nil, false
 	}
-	return l.Before(), true
+	return l.FormerGranters(), true
 }
 
 // Answer answers a host that asks this one as the granter of a shard.
@@ -76,39 +76,39 @@
 
 // answer answers a host, this one as well. One that the ledger does not know well enough is asked what it holds
 // first. The shard's lock is held.
-func (k *Keeper) answer(s *shard, host, process string, in quota.Inquiry) (quota.Answer, bool) {
-	l := s.Ledger()
+func (k *Keeper) answer(s *shard, host, process string, in quota.Request) (quota.Response, bool) {
+	l := s.Granter()
 	if l == nil {
-		return quota.Answer{}, false
+		return quota.Response{}, false
 	}
 	now := k.now()
-	if host == k.settings.Host && l.Knows(host) && !l.Heard(host, process) {
-		holds, _ := s.Shard.Tell(l.Token(), now)
-		l.Told(host, process, holds, now)
+	if host == k.settings.Host && l.KnowsHost(host) && !l.HasReported(host, process) {
+		holds, _ := s.Shard.Report(l.Token(), now)
+		l.RecordReport(host, process, holds, now)
 	}
-	questions := in.Questions[:0:0]
-	for _, q := range in.Questions {
+	questions := in.Accounts[:0:0]
+	for _, q := range in.Accounts {
 		known := false
-		if q.Quota, known = k.quotaOf(q.Account); known && !q.Quota.Unbounded() {
+		if q.Quota, known = k.quotaOf(q.Account); known && !q.Quota.Unlimited() {
 			questions = append(questions, q)
 		}
 	}
-	in.Questions = questions
-	if out, ok := l.Answer(host, process, in, now); ok {
+	in.Accounts = questions
+	if out, ok := l.HandleRequest(host, process, in, now); ok {
 		return out, true
 	}
 	switch {
-	case !l.Knows(host):
+	case !l.KnowsHost(host):
 		k.enter(s, l, host)
-	case !l.Heard(host, process):
+	case !l.HasReported(host, process):
 		k.tell(s, l, host)
 	}
-	return quota.Answer{}, false
+	return quota.Response{}, false
 }
 
 // enter lets hosts get portions that are new to the fleet, once a successor will know of them. The shard's lock is
 // held.
-func (k *Keeper) enter(s *shard, l *quota.Ledger, host string) {
+func (k *Keeper) enter(s *shard, l *quota.Granter, host string) {
 	if s.entering || k.now().Before(s.enterAt) {
 		return
 	}
@@ -125,7 +125,7 @@
 			k.log("grantee_not_entered", "shard", s.name, "peer", host, "err", err)
 			return
 		}
-		l.Admit(entered...)
+		l.AddHosts(entered...)
 		for _, each := range entered {
 			k.tell(s, l, each)
 		}
@@ -135,23 +135,23 @@
 // lookAfter asks hosts that have not told what they hold, and those that were not heard of for long. The shard's
 // lock is held.
 func (k *Keeper) lookAfter(s *shard) {
-	l := s.Ledger()
+	l := s.Granter()
 	if l == nil {
 		return
 	}
-	for _, host := range l.Silent() {
+	for _, host := range l.UnreportedHosts() {
 		k.tell(s, l, host)
 	}
-	for _, host := range l.Unheard(k.now().Add(-unheardTime)) {
+	for _, host := range l.QuietHosts(k.now().Add(-unheardTime)) {
 		k.tell(s, l, host)
 	}
 }
 
 // tell asks a host what it holds. The shard's lock is held.
-func (k *Keeper) tell(s *shard, l *quota.Ledger, host string) {
+func (k *Keeper) tell(s *shard, l *quota.Granter, host string) {
 	if host == k.settings.Host {
-		holds, _ := s.Shard.Tell(l.Token(), k.now())
-		l.Told(host, k.settings.Process, holds, k.now())
+		holds, _ := s.Shard.Report(l.Token(), k.now())
+		l.RecordReport(host, k.settings.Process, holds, k.now())
 		return
 	}
 	t := s.telling[host]
@@ -175,24 +175,24 @@
 }
 
 // heard takes over what a host told. The shard's lock is held.
-func (k *Keeper) heard(s *shard, l *quota.Ledger, host string, t *told, reply TellReply, err error) {
+func (k *Keeper) heard(s *shard, l *quota.Granter, host string, t *told, reply TellReply, err error) {
 	now := k.now()
 	t.under = false
 	switch {
-	case s.Ledger() != l:
+	case s.Granter() != l:
 		return
 	case err == nil && !reply.Declined:
-		known := l.Known(now)
-		l.Told(host, reply.Process, reply.Holds, now)
+		known := l.HoldingsKnown(now)
+		l.RecordReport(host, reply.Process, reply.Holds, now)
 		t.at, t.pause = now.Add(tellPause), 0
-		if !known && l.Known(now) {
+		if !known && l.HoldingsKnown(now) {
 			k.log("grants_known", "shard", s.name)
 		}
 		return
 	case err == nil:
 		k.log("granter_outlived", "shard", s.name, "peer", host, "token", l.Token())
 	case k.fleet.Ended(err):
-		l.Ended(host, now)
+		l.RecordExit(host, now)
 	}
 	t.pause = min(max(2*t.pause, tellPause), tellPauseMax)
 	t.at = now.Add(t.pause)
--- a/internal/quotas/keeper.go
+++ b/internal/quotas/keeper.go
@@ -17,7 +17,7 @@
 type Settings struct {
 	// Host and Process name this host and its process.
 	Host, Process string
-	Terms         quota.Terms
+	Terms         quota.Tolerance
 }
 
 // Keeper keeps a host's accounts within their quotas. Accounts are spread over shards by a hash of their name; the
@@ -142,7 +142,7 @@
 // Begin lets an operation of an account begin, or returns false and when its caller may come back. It may wait for
 // the granter until the given time.
 func (k *Keeper) Begin(ctx context.Context, a *account.Account, until time.Time) (ok bool, after time.Duration) {
-	if a.Quota.Unbounded() {
+	if a.Quota.Unlimited() {
 		return true, 0
 	}
 	s := k.shardOf(a.Name)
@@ -154,18 +154,18 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	v, after := s.Shard.Begin(a.Name, a.Quota, now)
-	for v == quota.Ask && s.mayWait(now, until) {
-		s.Wait(a.Name)
+	for v == quota.AskGranter && s.mayWait(now, until) {
+		s.AddWaiter(a.Name)
 		k.ask(s)
 		s.await(ctx, until.Sub(now))
 		now = k.now()
-		v, after = s.Leave(a.Name, now)
+		v, after = s.RemoveWaiter(a.Name, now)
 	}
-	if v == quota.Admitted && s.Due(a.Name, now) {
+	if v == quota.Admitted && s.RequestDue(a.Name, now) {
 		k.ask(s)
 	}
-	if v == quota.Ask {
-		after = max(askAgain, s.After(a.Name, now))
+	if v == quota.AskGranter {
+		after = max(askAgain, s.RetryAfter(a.Name, now))
 	}
 	return v == quota.Admitted, after
 }
@@ -205,13 +205,13 @@
 
 // Return gives the token of an operation back that has certainly not run.
 func (k *Keeper) Return(a *account.Account) {
-	if a.Quota.Unbounded() {
+	if a.Quota.Unlimited() {
 		return
 	}
 	if s := k.shardOf(a.Name); s != nil {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		s.Shard.Return(a.Name)
+		s.Shard.ReturnToken(a.Name)
 	}
 }
 
@@ -227,7 +227,7 @@
 		}
 		for _, s := range k.all() {
 			s.mu.Lock()
-			s.Forget(k.now())
+			s.RemoveIdle(k.now())
 			k.ask(s)
 			k.lookAfter(s)
 			s.mu.Unlock()
--- a/internal/quotas/messages.go
+++ b/internal/quotas/messages.go
@@ -12,7 +12,7 @@
 	// Shard names the accounts that have the same granter, see Keeper.
 	Shard         string
 	Host, Process string
-	Inquiry       quota.Inquiry
+	Inquiry       quota.Request
 }
 
 // Reply answers a Request.
@@ -20,7 +20,7 @@
 	// Declined is true if the host asked is not the granter, or does not know the asker well enough yet: it is to
 	// ask again.
 	Declined bool
-	Answer   quota.Answer
+	Answer   quota.Response
 }
 
 // TellRequest asks a host what it holds of a shard, and to follow the granter that asks.
@@ -54,7 +54,7 @@
 
 const (
 	// askTimeout bounds a question: a granter that is five times as slow as usual still answers.
-	askTimeout = quota.AnswerWithin
+	askTimeout = quota.ResponseTimeout
 	// waitLongest is how long an operation waits for the granter's answer: what is left of its caller's latency
 	// objective is for the member.
 	waitLongest = 250 * time.Millisecond
--- a/io/peer/quota_messages.go
+++ b/io/peer/quota_messages.go
@@ -24,16 +24,16 @@
 }
 
 // questionMessage is a quota.Question on the wire. The granter knows the quota by itself.
-type questionMessage quota.Question
+type questionMessage quota.AccountRequest
 
 func (m *questionMessage) fields(w *fieldWriter) {
 	w.str("account", m.Account)
-	w.uint("holding", m.Holding)
+	w.uint("holding", m.HeldSerial)
 	w.fraction("tokens_u", m.Tokens)
-	w.uint("back", uint64(m.Back))
+	w.uint("back", uint64(m.Returned))
 	w.fraction("demand_u", m.Demand)
 	w.uint("waiting", uint64(m.Waiting))
-	w.fraction("room_u", m.Room)
+	w.fraction("room_u", m.Prefetch)
 }
 
 func (m *questionMessage) field(name string, r *fieldReader) bool {
@@ -41,17 +41,17 @@
 	case "account":
 		return r.str(&m.Account)
 	case "holding":
-		return r.uint(&m.Holding)
+		return r.uint(&m.HeldSerial)
 	case "tokens_u":
 		return r.fraction(&m.Tokens)
 	case "back":
-		return readNumber(r, &m.Back)
+		return readNumber(r, &m.Returned)
 	case "demand_u":
 		return r.fraction(&m.Demand)
 	case "waiting":
 		return readNumber(r, &m.Waiting)
 	case "room_u":
-		return r.fraction(&m.Room)
+		return r.fraction(&m.Prefetch)
 	}
 	return false
 }
@@ -64,10 +64,10 @@
 	w.str("host", m.Host)
 	w.str("process", m.Process)
 	w.uint("id", m.Inquiry.ID)
-	w.uint("heard", m.Inquiry.Heard)
+	w.uint("heard", m.Inquiry.LastAnswered)
 	w.uint("token", uint64(m.Inquiry.Token))
-	list := make([]questionMessage, len(m.Inquiry.Questions))
-	for i, q := range m.Inquiry.Questions {
+	list := make([]questionMessage, len(m.Inquiry.Accounts))
+	for i, q := range m.Inquiry.Accounts {
 		list[i] = questionMessage(q)
 	}
 	writeList(w, "questions", list)
@@ -84,14 +84,14 @@
 	case "id":
 		return r.uint(&m.Inquiry.ID)
 	case "heard":
-		return r.uint(&m.Inquiry.Heard)
+		return r.uint(&m.Inquiry.LastAnswered)
 	case "token":
 		return readNumber(r, &m.Inquiry.Token)
 	case "questions":
 		var list []questionMessage
 		readList(r, &list)
 		for _, q := range list {
-			m.Inquiry.Questions = append(m.Inquiry.Questions, quota.Question(q))
+			m.Inquiry.Accounts = append(m.Inquiry.Accounts, quota.AccountRequest(q))
 		}
 		return true
 	}
@@ -106,10 +106,10 @@
 	w.uint("serial", m.Serial)
 	w.fraction("rate_u", m.Rate)
 	w.fraction("cap_u", m.Cap)
-	w.duration("lasts_us", m.Lasts)
+	w.duration("lasts_us", m.TTL)
 	w.uint("tokens", uint64(m.Tokens))
-	w.fraction("ahead_u", m.Ahead)
-	w.duration("after_us", m.After)
+	w.fraction("ahead_u", m.Prefetched)
+	w.duration("after_us", m.RetryAfter)
 }
 
 func (m *grantMessage) field(name string, r *fieldReader) bool {
@@ -123,13 +123,13 @@
 	case "cap_u":
 		return r.fraction(&m.Cap)
 	case "lasts_us":
-		return r.duration(&m.Lasts)
+		return r.duration(&m.TTL)
 	case "tokens":
 		return readNumber(r, &m.Tokens)
 	case "ahead_u":
-		return r.fraction(&m.Ahead)
+		return r.fraction(&m.Prefetched)
 	case "after_us":
-		return r.duration(&m.After)
+		return r.duration(&m.RetryAfter)
 	}
 	return false
 }
@@ -139,7 +139,7 @@
 
 func (m *quotaReply) fields(w *fieldWriter) {
 	w.bool("declined", m.Declined)
-	w.bool("asleep", m.Answer.Asleep)
+	w.bool("asleep", m.Answer.Suspended)
 	list := make([]grantMessage, len(m.Answer.Grants))
 	for i, g := range m.Answer.Grants {
 		list[i] = grantMessage(g)
@@ -152,7 +152,7 @@
 	case "declined":
 		return r.bool(&m.Declined)
 	case "asleep":
-		return r.bool(&m.Answer.Asleep)
+		return r.bool(&m.Answer.Suspended)
 	case "grants":
 		var list []grantMessage
 		readList(r, &list)
@@ -193,7 +193,7 @@
 	w.uint("serial", m.Portion.Serial)
 	w.fraction("rate_u", m.Portion.Rate)
 	w.fraction("cap_u", m.Portion.Cap)
-	w.duration("lasts_us", m.Lasts)
+	w.duration("lasts_us", m.TTL)
 }
 
 func (m *holdingMessage) field(name string, r *fieldReader) bool {
@@ -207,7 +207,7 @@
 	case "cap_u":
 		return r.fraction(&m.Portion.Cap)
 	case "lasts_us":
-		return r.duration(&m.Lasts)
+		return r.duration(&m.TTL)
 	}
 	return false
 }
--- a/io/upstream/admit.go
+++ b/io/upstream/admit.go
@@ -37,8 +37,8 @@
 	if ahead == 0 || p.owner.options.Unsafe.NoRefusal {
 		return nil
 	}
-	expected := p.held.Wait(ahead, p.sharedBy(w.kind))
-	if expected+p.held.Held() > time.Until(deadline)*admitNum/admitDen {
+	expected := p.held.ExpectedWait(ahead, p.sharedBy(w.kind))
+	if expected+p.held.MeanHold() > time.Until(deadline)*admitNum/admitDen {
 		return p.tooMany(expected)
 	}
 	return nil
@@ -65,7 +65,7 @@
 	if p.owner.options.Unsafe.NoRefusal {
 		return
 	}
-	held := p.held.Held()
+	held := p.held.MeanHold()
 	for {
 		w := p.queue.Pick(func(w *want) bool { return w.deadline.Sub(now) < held })
 		if w == nil {
--- a/io/upstream/pool.go
+++ b/io/upstream/pool.go
@@ -113,7 +113,7 @@
 	waiter, ok := p.queue.Push(w, w.request.Priority, time.Now())
 	if !ok {
 		p.mu.Unlock()
-		return nil, p.tooMany(p.held.Held())
+		return nil, p.tooMany(p.held.MeanHold())
 	}
 	p.serve()
 	p.mu.Unlock()
