--- a/internal/gateway/fakeconn_test.go
+++ b/internal/gateway/fakeconn_test.go
@@ -13,10 +13,10 @@
 func (s *fakeSite) Dial(ctx context.Context, m Member, account string) (Conn, error) {
 	s.mu.Lock()
 	f := s.member(m.ID)
-	crashed, silent, full := f.crashed, f.silent, f.conns >= s.cap
+	crashed, silent, full := f.crashed, f.silent, f.conns >= s.maxConns
 	if !crashed && !silent && !full {
 		f.conns++
-		s.peak = max(s.peak, f.conns)
+		s.peakConns = max(s.peakConns, f.conns)
 	}
 	s.mu.Unlock()
 	switch {
@@ -26,24 +26,24 @@
 		<-ctx.Done()
 		return nil, ctx.Err()
 	case full:
-		return nil, &Failure{TooMany, m.ID}
+		return nil, &Failure{TooManyConnections, m.ID}
 	}
 	time.Sleep(10 * time.Millisecond)
-	return &fakeConn{site: s, m: f, born: f.born, account: account}, nil
+	return &fakeConn{site: s, m: f, incarnation: f.incarnation, account: account}, nil
 }
 
 type fakeConn struct {
 	site *fakeSite
 	m    *fakeMember
-	// born is the run of the member that the connection leads to.
-	born int
+	// incarnation is the run of the member that the connection leads to.
+	incarnation int
 	// account is the one that the connection was opened for.
-	account string
-	state   State
-	plain   bool // the transaction may write
-	values  map[string]string
-	shapes  map[string]Shape
-	closed  bool
+	account   string
+	state     State
+	readWrite bool // the transaction may write
+	values    map[string]string
+	prepared  map[string]PreparedStatement
+	closed    bool
 	// severed, if set, tells that the way to the member is cut.
 	severed func() bool
 }
@@ -51,7 +51,7 @@
 func (c *fakeConn) Alive() bool {
 	c.site.mu.Lock()
 	defer c.site.mu.Unlock()
-	return !c.m.crashed && c.m.born == c.born
+	return !c.m.crashed && c.m.incarnation == c.incarnation
 }
 
 func (c *fakeConn) Close() error {
@@ -64,10 +64,10 @@
 	return nil
 }
 
-// answerless waits as a call does whose answer never comes.
-func (c *fakeConn) answerless(timeout time.Duration) error {
+// awaitNoReply waits as a call does whose answer never comes.
+func (c *fakeConn) awaitNoReply(timeout time.Duration) error {
 	c.site.mu.Lock()
-	crashed, silent := c.m.crashed || c.m.resets || c.m.born != c.born, c.m.silent
+	crashed, silent := c.m.crashed || c.m.resets || c.m.incarnation != c.incarnation, c.m.silent
 	c.site.mu.Unlock()
 	silent = silent || c.severed != nil && c.severed()
 	if crashed {
@@ -80,8 +80,8 @@
 	return nil
 }
 
-func (c *fakeConn) Control(timeout time.Duration, o Order) (Status, error) {
-	if err := c.answerless(timeout); err != nil {
+func (c *fakeConn) Control(timeout time.Duration, o ControlCommand) (Status, error) {
+	if err := c.awaitNoReply(timeout); err != nil {
 		return Status{}, err
 	}
 	c.site.mu.Lock()
@@ -94,19 +94,19 @@
 	case Probe:
 		c.site.probes++
 	case Fence:
-		if !m.leads && o.Term > m.term {
+		if !m.isPrimary && o.Term > m.term {
 			m.fenced = o.Term
 		}
 	case Release:
 		m.fenced = 0
 	case Demote:
-		if m.leads && o.Term > m.term {
-			m.leads = false
+		if m.isPrimary && o.Term > m.term {
+			m.isPrimary = false
 			m.demoted++
 		}
 	}
-	s := Status{Leads: m.leads || m.claims, Received: m.received, Term: m.term, Fenced: m.fenced, Connections: m.conns, Running: m.running}
-	if m.lagging && !m.leads {
+	s := Status{IsPrimary: m.isPrimary || m.claimsPrimary, Received: m.received, Term: m.term, Fenced: m.fenced, Connections: m.conns, Running: m.running}
+	if m.lagging && !m.isPrimary {
 		s.Lag = time.Minute
 	}
 	return s, nil
@@ -115,7 +115,7 @@
 func (c *fakeConn) Do(timeout time.Duration, commands ...Command) ([]Reply, error) {
 	var out []Reply
 	for _, each := range commands {
-		if err := c.answerless(timeout); err != nil {
+		if err := c.awaitNoReply(timeout); err != nil {
 			return out, err
 		}
 		r, err := c.run(timeout, each)
@@ -124,7 +124,7 @@
 		}
 		r.State = c.state
 		if r.Failure != nil && c.state == InTransaction {
-			c.state, r.State = Broken, Broken
+			c.state, r.State = InFailedTransaction, InFailedTransaction
 		}
 		out = append(out, r)
 	}
@@ -135,7 +135,7 @@
 	switch command := command.(type) {
 	case Forward:
 		return c.forward(timeout, command)
-	case Open:
+	case OpenTransaction:
 		return c.open(command), nil
 	case Abort:
 		c.state = Idle
@@ -145,12 +145,12 @@
 		}
 		c.values[command.Name] = command.Value
 	case Define:
-		if c.shapes == nil {
-			c.shapes = map[string]Shape{}
+		if c.prepared == nil {
+			c.prepared = map[string]PreparedStatement{}
 		}
-		c.shapes[command.Name] = command.Shape
+		c.prepared[command.Name] = command.Prepared
 	case Reset:
-		c.values, c.shapes = nil, nil
+		c.values, c.prepared = nil, nil
 	}
 	return Reply{Position: c.applied()}, nil
 }
@@ -161,16 +161,16 @@
 	return c.m.applied
 }
 
-func (c *fakeConn) open(o Open) Reply {
+func (c *fakeConn) open(o OpenTransaction) Reply {
 	c.site.mu.Lock()
 	defer c.site.mu.Unlock()
-	if !o.ReadOnly && !c.m.leads {
+	if !o.ReadOnly && !c.m.isPrimary {
 		return Reply{Failure: &Failure{ReadOnly, c.m.id}}
 	}
 	if o.After.Compare(c.m.applied) > 0 {
 		return Reply{Failure: &Failure{Lagging, c.m.id}, Position: c.m.applied}
 	}
-	c.state, c.plain = InTransaction, !o.ReadOnly
+	c.state, c.readWrite = InTransaction, !o.ReadOnly
 	return Reply{Position: c.m.applied}
 }
 
@@ -188,15 +188,15 @@
 	time.Sleep(min(work, timeout))
 	c.site.mu.Lock()
 	c.m.running--
-	if _, writes := f.Request.Statement.(Write); !c.m.leads && (writes || c.plain && c.state == InTransaction) {
+	if _, writes := f.Request.Statement.(Write); !c.m.isPrimary && (writes || c.readWrite && c.state == InTransaction) {
 		c.site.mu.Unlock()
 		return Reply{Failure: &Failure{ReadOnly, c.m.id}, Position: c.applied()}, nil
 	}
 	c.m.runs = append(c.m.runs, f.Request.ID)
 	c.site.ranFor[f.Request.ID] = c.account
-	broken := c.m.breaks > 0
+	broken := c.m.breaksAfter > 0
 	if broken {
-		c.m.breaks--
+		c.m.breaksAfter--
 	}
 	c.site.mu.Unlock()
 	if work > timeout || broken {
@@ -207,7 +207,7 @@
 		row += " v=" + v
 	}
 	if f.Name != "" {
-		row += " " + c.shapes[f.Name].Text
+		row += " " + c.prepared[f.Name].Text
 	}
 	switch f.Request.Statement.(type) {
 	case Commit:
@@ -228,7 +228,7 @@
 		return &Failure{Busy, c.m.id}
 	case f.After.Compare(c.m.applied) > 0:
 		return &Failure{Lagging, c.m.id}
-	case !c.m.leads && (writes || c.state == InTransaction && c.plain):
+	case !c.m.isPrimary && (writes || c.state == InTransaction && c.readWrite):
 		return &Failure{ReadOnly, c.m.id}
 	}
 	return nil
@@ -243,7 +243,7 @@
 	m.applied = m.received
 	acknowledged := false
 	for _, o := range c.site.members {
-		if o == m || o.crashed || o.deaf || o.silent || o.cut || m.cut || o.fenced > m.term || o.term > m.term {
+		if o == m || o.crashed || o.receivesNothing || o.silent || o.partitioned || m.partitioned || o.fenced > m.term || o.term > m.term {
 			continue
 		}
 		o.received, acknowledged = m.received, true
--- a/internal/gateway/fakesite_test.go
+++ b/internal/gateway/fakesite_test.go
@@ -34,75 +34,75 @@
 // fakeMember is a member whose replication is synchronous: a write is acknowledged
 // once another member has received it.
 type fakeMember struct {
-	id       string
-	leads    bool
-	term     group.Term
-	received group.Position
+	id        string
+	isPrimary bool
+	term      group.Term
+	received  group.Position
 	// applied trails received while lagging is true.
-	applied group.Position
-	fenced  group.Term
-	crashed bool // connections are refused
-	silent  bool // nothing is answered
-	deaf    bool // receives nothing
-	resets  bool // resets connections for questions, as a full member does
-	cut     bool // parted from the other members: if replaced, it leads on in its term
-	born    int  // which run of the member this is
-	written int  // how often it wrote its entry
-	lagging bool // applies nothing
-	full    bool // its queue has no room
-	demoted int  // how often it was demoted
-	claims  bool // says that it leads, though it was replaced
-	running int
-	breaks  int // how many statements run before their connection breaks
-	conns   int
-	runs    []string // identifiers of callers' statements that ran
-	work    time.Duration
+	applied         group.Position
+	fenced          group.Term
+	crashed         bool // connections are refused
+	silent          bool // nothing is answered
+	receivesNothing bool // receives nothing
+	resets          bool // resets connections for questions, as a full member does
+	partitioned     bool // parted from the other members: if replaced, it leads on in its term
+	incarnation     int  // which run of the member this is
+	written         int  // how often it wrote its entry
+	lagging         bool // applies nothing
+	full            bool // its queue has no room
+	demoted         int  // how often it was demoted
+	claimsPrimary   bool // says that it leads, though it was replaced
+	running         int
+	breaksAfter     int // how many statements run before their connection breaks
+	conns           int
+	runs            []string // identifiers of callers' statements that ran
+	work            time.Duration
 }
 
 // fakeSite is a group of members with the platform's store and promotions.
 type fakeSite struct {
-	mu      sync.Mutex
-	members []*fakeMember
-	cap     int
-	peak    int // connections to one member at once
-	probes  int // questions for a member's status
+	mu        sync.Mutex
+	members   []*fakeMember
+	maxConns  int
+	peakConns int // connections to one member at once
+	probes    int // questions for a member's status
 	// items and revision are the store's.
-	items    map[string]kv.Item
-	revision kv.Revision
-	changed  chan struct{}
-	leases   map[int64]time.Time
-	keyLease map[string]int64
-	down     bool // the store answers nothing
-	refusing bool // the store refuses all calls at once
+	items         map[string]kv.Item
+	revision      kv.Revision
+	changed       chan struct{}
+	leases        map[int64]time.Time
+	keyLease      map[string]int64
+	storeDown     bool // the store answers nothing
+	storeRefusing bool // the store refuses all calls at once
 	// pages counts the pages that were read. Each holds pageItems items at most, if that is set.
 	pages, pageItems int
 	// commits counts the transactions, and renewals those of leases.
 	commits, renewals int
-	slow              time.Duration // each call takes so long
-	// tokens holds the highest token of a promotion; late holds back orders.
-	token  int64
-	orders []string
-	late   time.Duration
-	// unfenced is true for a platform that checks no tokens.
-	unfenced bool
-	history  []group.Position // acknowledged writes
-	dropped  []group.Position // those that a promoted member did not hold
+	storeDelay        time.Duration // each call takes so long
+	// tokens holds the highest token of a promotion; promotionDelay holds back orders.
+	token          int64
+	orders         []string
+	promotionDelay time.Duration
+	// ignoresTokens is true for a platform that checks no tokens.
+	ignoresTokens bool
+	history       []group.Position // acknowledged writes
+	dropped       []group.Position // those that a promoted member did not hold
 	// ranFor holds the account of the connection on which each statement ran.
 	ranFor map[string]string
 }
 
 func newFakeSite(ids ...string) *fakeSite {
 	s := &fakeSite{
-		cap: 20, items: map[string]kv.Item{}, changed: make(chan struct{}),
+		maxConns: 20, items: map[string]kv.Item{}, changed: make(chan struct{}),
 		leases: map[int64]time.Time{}, keyLease: map[string]int64{}, ranFor: map[string]string{},
 	}
 	for i, id := range ids {
 		p := group.Position{Term: 1, LSN: 1}
-		s.members = append(s.members, &fakeMember{id: id, leads: i == 0, term: 1, received: p, applied: p, work: workTime})
+		s.members = append(s.members, &fakeMember{id: id, isPrimary: i == 0, term: 1, received: p, applied: p, work: workTime})
 	}
 	s.put("config", []byte("1"), 0)
 	for _, m := range s.members {
-		s.list(m.id, "ready")
+		s.writeMemberEntry(m.id, "ready")
 	}
 	return s
 }
@@ -119,20 +119,20 @@
 // entry returns what the member writes into the store.
 func (m *fakeMember) entry(state, role string) []byte {
 	m.written++
-	return fmt.Appendf(nil, "%s %s %d %d", state, role, m.born, m.written)
+	return fmt.Appendf(nil, "%s %s %d %d", state, role, m.incarnation, m.written)
 }
 
 // restart ends a member and starts it again under its identifier, with nothing of before.
 func (s *fakeSite) restart(id string) {
-	s.with(id, func(m *fakeMember) {
-		m.born++
-		m.received, m.applied, m.fenced, m.leads = group.Position{}, group.Position{}, 0, false
+	s.updateMember(id, func(m *fakeMember) {
+		m.incarnation++
+		m.received, m.applied, m.fenced, m.isPrimary = group.Position{}, group.Position{}, 0, false
 	})
-	s.list(id, "ready")
+	s.writeMemberEntry(id, "ready")
 }
 
-// with changes a member.
-func (s *fakeSite) with(id string, change func(*fakeMember)) {
+// updateMember changes a member.
+func (s *fakeSite) updateMember(id string, change func(*fakeMember)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	change(s.member(id))
@@ -145,34 +145,34 @@
 	return slices.Clone(s.member(id).runs)
 }
 
-// given returns the promotions that were ordered.
-func (s *fakeSite) given() []string {
+// promotionOrders returns the promotions that were ordered.
+func (s *fakeSite) promotionOrders() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.Clone(s.orders)
 }
 
-// most returns how many connections one member had at once.
-func (s *fakeSite) most() int {
+// peakConnections returns how many connections one member had at once.
+func (s *fakeSite) peakConnections() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.peak
+	return s.peakConns
 }
 
-// leader returns the member that leads in the highest term.
-func (s *fakeSite) leader() string {
+// primaryID returns the member that leads in the highest term.
+func (s *fakeSite) primaryID() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if m := s.leaderLocked(); m != nil {
+	if m := s.primaryLocked(); m != nil {
 		return m.id
 	}
 	return ""
 }
 
-func (s *fakeSite) leaderLocked() *fakeMember {
+func (s *fakeSite) primaryLocked() *fakeMember {
 	var out *fakeMember
 	for _, m := range s.members {
-		if m.leads && (out == nil || m.term > out.term) {
+		if m.isPrimary && (out == nil || m.term > out.term) {
 			out = m
 		}
 	}
@@ -181,58 +181,58 @@
 
 func (s *fakeSite) Promote(ctx context.Context, holder string, token int64, _, id string) error {
 	s.mu.Lock()
-	late := s.late
+	late := s.promotionDelay
 	s.mu.Unlock()
 	if late > 0 {
-		time.AfterFunc(late, func() { _ = s.carryOut(holder, token, id) })
+		time.AfterFunc(late, func() { _ = s.executePromotion(holder, token, id) })
 		<-ctx.Done()
 		return ctx.Err()
 	}
-	return s.carryOut(holder, token, id)
+	return s.executePromotion(holder, token, id)
 }
 
-// Raise implements Promoter.
-func (s *fakeSite) Raise(_ context.Context, _ string, token int64, _ string) error {
+// RaiseToken implements Promoter.
+func (s *fakeSite) RaiseToken(_ context.Context, _ string, token int64, _ string) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.token = max(s.token, token)
 	return nil
 }
 
-func (s *fakeSite) carryOut(holder string, token int64, id string) error {
+func (s *fakeSite) executePromotion(holder string, token int64, id string) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	m := s.member(id)
-	if token < s.token && !s.unfenced || m.crashed {
+	if token < s.token && !s.ignoresTokens || m.crashed {
 		return ErrFenced
 	}
 	s.token = token
 	s.orders = append(s.orders, holder+" "+id)
-	if !m.leads {
-		time.AfterFunc(promoteTime, func() { s.lead(m) })
+	if !m.isPrimary {
+		time.AfterFunc(promoteTime, func() { s.makePrimary(m) })
 	}
 	return nil
 }
 
-// lead makes a member the primary of the next term, with what it has received.
-func (s *fakeSite) lead(m *fakeMember) {
+// makePrimary makes a member the primary of the next term, with what it has received.
+func (s *fakeSite) makePrimary(m *fakeMember) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if m.leads || m.crashed {
+	if m.isPrimary || m.crashed {
 		return
 	}
-	s.dropped = append(s.dropped, s.beyond(m.received)...)
+	s.dropped = append(s.dropped, s.writesBeyond(m.received)...)
 	var term group.Term
 	for _, o := range s.members {
 		term = max(term, o.term)
 	}
 	for _, o := range s.members {
-		wasLeading := o.leads
+		wasLeading := o.isPrimary
 		o.fenced = 0
-		if o.cut && o != m {
+		if o.partitioned && o != m {
 			continue
 		}
-		o.leads = o == m
+		o.isPrimary = o == m
 		if !o.crashed && !o.silent {
 			o.term = term + 1
 		}
@@ -241,7 +241,7 @@
 		}
 		if (wasLeading || o == m) && !s.items["members/"+o.id].Removed {
 			role := "replica"
-			if o.leads {
+			if o.isPrimary {
 				role = "primary"
 			}
 			state, _, _ := strings.Cut(string(s.items["members/"+o.id].Value), " ")
@@ -251,19 +251,19 @@
 	m.applied = m.received
 }
 
-// lost returns acknowledged writes that the primary lacks.
-func (s *fakeSite) lost() []group.Position {
+// lostWrites returns acknowledged writes that the primary lacks.
+func (s *fakeSite) lostWrites() []group.Position {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	m := s.leaderLocked()
+	m := s.primaryLocked()
 	if m == nil {
 		return s.dropped
 	}
-	return append(s.beyond(m.received), s.dropped...)
+	return append(s.writesBeyond(m.received), s.dropped...)
 }
 
-// beyond returns the acknowledged writes that a log up to the position lacks.
-func (s *fakeSite) beyond(end group.Position) []group.Position {
+// writesBeyond returns the acknowledged writes that a log up to the position lacks.
+func (s *fakeSite) writesBeyond(end group.Position) []group.Position {
 	var out []group.Position
 	for _, p := range s.history {
 		if p.Compare(end) > 0 {
@@ -292,7 +292,7 @@
 	return &Config{
 		Version: int64(value[0]), Accounts: accounts,
 		Routes: map[string]Route{testDatabase: {
-			Name: "r", Group: testGroup, Class: d.class, Timeout: 800 * time.Millisecond, Target: 200 * time.Millisecond,
+			Name: "r", Group: testGroup, Class: d.class, Timeout: 800 * time.Millisecond, LatencyTarget: 200 * time.Millisecond,
 		}},
 		Groups: map[string]GroupConfig{testGroup: {Connections: connections, SyncReplicas: 1}},
 	}, nil
@@ -333,16 +333,16 @@
 	}
 	return Member{
 		ID: strings.TrimPrefix(key, "members/"), Group: testGroup, Addr: netip.MustParseAddrPort("127.0.0.1:1"),
-		Zone: zoneOfMember[strings.TrimPrefix(key, "members/")], Slots: 2, Leaving: state == "draining", Leads: role == "primary", Born: born, Sequence: written,
+		Zone: zoneOfMember[strings.TrimPrefix(key, "members/")], Slots: 2, Leaving: state == "draining", IsPrimary: role == "primary", Incarnation: born, Sequence: written,
 	}, nil
 }
 
-// hostOn starts a host on the site. The returned function stops it.
-func hostOn(s *fakeSite, name string, class freshness.Class) (*Host, func()) {
-	settings := Settings{Host: name, Zone: "z", MemberDrain: 7 * time.Second, Grace: 6 * time.Second, PromotionTokens: !s.unfenced}
+// startHost starts a host on the site. The returned function stops it.
+func startHost(s *fakeSite, name string, class freshness.Class) (*Host, func()) {
+	settings := Settings{Host: name, Zone: "z", MemberDrain: 7 * time.Second, ShutdownGrace: 6 * time.Second, PromotionTokens: !s.ignoresTokens}
 	h := NewHost(settings, Ports{
 		Dialer: s, Store: s, Promoter: s, Decode: fakeDecoder{class},
-		Keys: Keys{Config: "config", Members: "members/", Own: "own/"},
+		Keys: Keys{Config: "config", MembersPrefix: "members/", OwnPrefix: "own/"},
 	}, testLogger(), time.Now)
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
@@ -356,13 +356,13 @@
 	}
 }
 
-// play runs a test on a site with three members and one host, once the host knows
+// withHost runs a test on a site with three members and one host, once the host knows
 // who leads and holds the duty.
-func play(t *testing.T, class freshness.Class, test func(s *fakeSite, h *Host)) {
+func withHost(t *testing.T, class freshness.Class, test func(s *fakeSite, h *Host)) {
 	t.Helper()
 	synctest.Test(t, func(*testing.T) {
 		s := newFakeSite("a", "b", "c")
-		h, stop := hostOn(s, "h1", class)
+		h, stop := startHost(s, "h1", class)
 		defer time.Sleep(10 * time.Second) // timers of orders and watches end
 		defer stop()
 		time.Sleep(3 * time.Second)
@@ -370,23 +370,23 @@
 	})
 }
 
-var serial atomic.Int64
+var requestSerial atomic.Int64
 
-// do runs a statement on a new session, as callers with one operation do.
-func do(h *Host, st Statement) Reply { return doAs(h, "", st) }
+// exec runs a statement on a new session, as callers with one operation do.
+func exec(h *Host, st Statement) Reply { return execAs(h, "", st) }
 
-// doAs does the same with a key.
-func doAs(h *Host, key string, st Statement) Reply {
+// execAs does the same with a key.
+func execAs(h *Host, key string, st Statement) Reply {
 	s, failure := h.Open(testDatabase, account.Caller{Key: account.FingerprintOf(key)})
 	if failure != nil {
 		return Reply{Failure: failure}
 	}
 	defer s.Close()
-	return on(s, st)
+	return execIn(s, st)
 }
 
-func on(s *Session, st Statement) Reply {
-	return s.Do(context.Background(), Request{ID: fmt.Sprint("q", serial.Add(1)), Statement: st})
+func execIn(s *Session, st Statement) Reply {
+	return s.Do(context.Background(), Request{ID: fmt.Sprint("q", requestSerial.Add(1)), Statement: st})
 }
 
 // testLogger shows the host's log lines when PEARLATCH_TEST_LOG is set.
--- a/internal/gateway/fakestore_test.go
+++ b/internal/gateway/fakestore_test.go
@@ -14,8 +14,8 @@
 	"pearlatch/internal/pause"
 )
 
-// list writes a member's entry. An empty state removes it.
-func (s *fakeSite) list(id, state string) {
+// writeMemberEntry writes a member's entry. An empty state removes it.
+func (s *fakeSite) writeMemberEntry(id, state string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if state == "" {
@@ -23,7 +23,7 @@
 		return
 	}
 	role := "replica"
-	if s.member(id).leads {
+	if s.member(id).isPrimary {
 		role = "primary"
 	}
 	s.putLocked("members/"+id, s.member(id).entry(state, role), 0)
@@ -74,8 +74,8 @@
 	}
 }
 
-// backup is a copy of what the store holds.
-type backup struct {
+// storeBackup is a copy of what the store holds.
+type storeBackup struct {
 	items    map[string]kv.Item
 	revision kv.Revision
 	// leases holds how long each lease still runs.
@@ -84,10 +84,10 @@
 }
 
 // backup returns a copy of what the store holds now.
-func (s *fakeSite) backup() backup {
+func (s *fakeSite) backup() storeBackup {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	b := backup{maps.Clone(s.items), s.revision, map[int64]time.Duration{}, maps.Clone(s.keyLease)}
+	b := storeBackup{maps.Clone(s.items), s.revision, map[int64]time.Duration{}, maps.Clone(s.keyLease)}
 	for lease, until := range s.leases {
 		b.leases[lease] = time.Until(until)
 	}
@@ -96,7 +96,7 @@
 
 // restore brings the store back from a copy: what was written since is gone, and its revisions are given
 // out again.
-func (s *fakeSite) restore(b backup) {
+func (s *fakeSite) restore(b storeBackup) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	epoch := s.revision.Epoch() + 1
@@ -112,12 +112,12 @@
 	s.wake()
 }
 
-// errDown is what calls to a store end with that answers nothing.
-var errDown = errors.New("the store does not answer")
+// errStoreDown is what calls to a store end with that answers nothing.
+var errStoreDown = errors.New("the store does not answer")
 
 func (s *fakeSite) reach(ctx context.Context) error {
 	s.mu.Lock()
-	down, refusing, slow := s.down, s.refusing, s.slow
+	down, refusing, slow := s.storeDown, s.storeRefusing, s.storeDelay
 	s.expire()
 	s.mu.Unlock()
 	if slow > 0 && !pause.For(ctx, slow) {
@@ -127,7 +127,7 @@
 		<-ctx.Done()
 	}
 	if down || refusing {
-		return errDown
+		return errStoreDown
 	}
 	return nil
 }
@@ -240,7 +240,7 @@
 		return 0, ErrNoLease
 	}
 	s.renewals++
-	s.leases[lease] = time.Now().Add(dutyLease)
+	s.leases[lease] = time.Now().Add(coordinatorLeaseTTL)
 	return s.revision.Epoch(), nil
 }
 
@@ -261,12 +261,12 @@
 func (s *fakeSite) setDown(down bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.down = down
+	s.storeDown = down
 }
 
 // setRefusing makes the store refuse all calls at once.
 func (s *fakeSite) setRefusing(refusing bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.refusing = refusing
+	s.storeRefusing = refusing
 }
--- a/internal/gateway/memberlist.go
+++ b/internal/gateway/member_table.go
@@ -7,10 +7,10 @@
 	"pearlatch/core/kv"
 )
 
-// memberList holds the platform's entries of members as they were last read. It says which groups
+// memberTable holds the platform's entries of members as they were last read. It says which groups
 // have changed since they were last taken, so that a change of one entry costs a look at one
-// group. Use newMemberList.
-type memberList struct {
+// group. Use newMemberTable.
+type memberTable struct {
 	// entries holds what was read, by key.
 	entries map[string]memberEntry
 	// groups holds the members of each group, by group and key.
@@ -37,12 +37,12 @@
 	lapsed []string
 }
 
-func newMemberList() memberList {
-	return memberList{entries: map[string]memberEntry{}, groups: map[string]map[string]Member{}, changed: map[string]*memberChange{}}
+func newMemberTable() memberTable {
+	return memberTable{entries: map[string]memberEntry{}, groups: map[string]map[string]Member{}, changed: map[string]*memberChange{}}
 }
 
-// touch marks a group as changed.
-func (l *memberList) touch(group string) *memberChange {
+// markChanged marks a group as changed.
+func (l *memberTable) markChanged(group string) *memberChange {
 	c := l.changed[group]
 	if c == nil {
 		c = &memberChange{}
@@ -53,12 +53,12 @@
 
 // put takes over an entry that names the member, or none because of err. It reports whether the entry
 // can't be read for another reason than before.
-func (l *memberList) put(i kv.Item, m Member, err error) (refused bool) {
+func (l *memberTable) put(i kv.Item, m Member, err error) (refused bool) {
 	before := l.entries[i.Key]
 	if before.created != i.Created && before.created*i.Created != 0 {
 		l.remove(i.Key)
 	}
-	l.drop(i.Key)
+	l.removeMember(i.Key)
 	l.entries[i.Key] = memberEntry{i.Created, m, err}
 	if err != nil {
 		return before.err == nil || before.err.Error() != err.Error()
@@ -67,35 +67,35 @@
 		l.groups[m.Group] = map[string]Member{}
 	}
 	l.groups[m.Group][i.Key] = m
-	l.touch(m.Group)
+	l.markChanged(m.Group)
 	return false
 }
 
 // remove takes over that an entry was removed.
-func (l *memberList) remove(key string) {
+func (l *memberTable) remove(key string) {
 	if old, ok := l.entries[key]; ok && old.err == nil {
-		c := l.touch(old.member.Group)
+		c := l.markChanged(old.member.Group)
 		c.lapsed = append(c.lapsed, old.member.ID)
 	}
-	l.drop(key)
+	l.removeMember(key)
 	delete(l.entries, key)
 }
 
-// drop takes the entry's member out of its group.
-func (l *memberList) drop(key string) {
+// removeMember takes the entry's member out of its group.
+func (l *memberTable) removeMember(key string) {
 	old, ok := l.entries[key]
 	if !ok || old.err != nil {
 		return
 	}
 	name := old.member.Group
-	l.touch(name)
+	l.markChanged(name)
 	if delete(l.groups[name], key); len(l.groups[name]) == 0 {
 		delete(l.groups, name)
 	}
 }
 
-// take returns the groups whose members changed since it was last called.
-func (l *memberList) take() map[string]memberChange {
+// takeChanges returns the groups whose members changed since it was last called.
+func (l *memberTable) takeChanges() map[string]memberChange {
 	out := make(map[string]memberChange, len(l.changed))
 	for group, c := range l.changed {
 		c.members = l.list(group)
@@ -106,4 +106,6 @@
 }
 
 // list returns the members of a group.
-func (l *memberList) list(group string) []Member { return slices.Collect(maps.Values(l.groups[group])) }
+func (l *memberTable) list(group string) []Member {
+	return slices.Collect(maps.Values(l.groups[group]))
+}
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -14,34 +14,34 @@
 
 // Peers speaks to other hosts of the fleet.
 type Peers interface {
-	// Lane returns a way to the host at the address on which the work of one session
+	// OpenStream returns a way to the host at the address on which the work of one session
 	// runs at a time.
-	Lane(ctx context.Context, to netip.AddrPort) (Lane, error)
-	// Recall asks what became of a request that was sent to the host.
-	Recall(ctx context.Context, to netip.AddrPort, from string, serial uint64) (Recalled, error)
+	OpenStream(ctx context.Context, to netip.AddrPort) (Stream, error)
+	// QueryOutcome asks what became of a request that was sent to the host.
+	QueryOutcome(ctx context.Context, to netip.AddrPort, from string, serial uint64) (RequestOutcome, error)
 	// Probe lets the host ask a member for its status.
 	Probe(ctx context.Context, to netip.AddrPort, groupName, memberID string) (Status, error)
-	// Lease asks the host for a lease on the primary of a group.
-	Lease(ctx context.Context, to netip.AddrPort, r LeaseRequest) (LeaseReply, error)
-	// EndLease asks the host to give such a lease back. Without an error it has.
-	EndLease(ctx context.Context, to netip.AddrPort, groupName, memberID string, planned bool) error
-	// Quota asks the host for tokens of accounts' quotas, and TellQuota what it holds of them.
-	Quota(ctx context.Context, to netip.AddrPort, r quotas.Request) (quotas.Reply, error)
+	// RequestLease asks the host for a lease on the primary of a group.
+	RequestLease(ctx context.Context, to netip.AddrPort, r LeaseRequest) (LeaseReply, error)
+	// RevokeLease asks the host to give such a lease back. Without an error it has.
+	RevokeLease(ctx context.Context, to netip.AddrPort, groupName, memberID string, planned bool) error
+	// RequestQuota asks the host for tokens of accounts' quotas, and TellQuota what it holds of them.
+	RequestQuota(ctx context.Context, to netip.AddrPort, r quotas.Request) (quotas.Reply, error)
 	TellQuota(ctx context.Context, to netip.AddrPort, r quotas.TellRequest) (quotas.TellReply, error)
 	follow.Peers
 }
 
-// Lane carries requests to another host, one after the other.
-type Lane interface {
+// Stream carries requests to another host, one after the other.
+type Stream interface {
 	// Do sends a request and waits for its answer. ErrNotSent means that the other
 	// host has certainly not got it.
 	Do(ctx context.Context, r *PeerRequest) (*PeerReply, error)
 	// Close ends the lane before its transaction has ended. The other host rolls that
 	// back.
 	Close()
-	// Mistrust says that the other host lives, and knows nothing of a request that was
+	// ReplaceIfSilent says that the other host lives, and knows nothing of a request that was
 	// sent so long ago. A connection that has been silent since is replaced.
-	Mistrust(age time.Duration)
+	ReplaceIfSilent(age time.Duration)
 }
 
 // ErrNotSent means that a request did not leave this host.
@@ -50,7 +50,7 @@
 // PeerRequest is a caller's statement that a host passes on to one that serves the
 // group. It carries all that the statement depends on of the caller's session.
 type PeerRequest struct {
-	// From names the sending process and Serial the request there, for Recall.
+	// From names the sending process and Serial the request there, for QueryOutcome.
 	From   string
 	Serial uint64
 	// To names the process that the sender means, or is empty when it knows none.
@@ -65,26 +65,26 @@
 	// Age is how long ago the caller's request arrived, and BeginAge how long ago
 	// its transaction was begun.
 	Age, BeginAge time.Duration
-	// Mark is the position of the session's last write.
-	Mark   group.Position
-	Values map[string]string
-	// Shape is what an Execute runs, or nil.
-	Shape *Shape
+	// LastWrite is the position of the session's last write.
+	LastWrite group.Position
+	Values    map[string]string
+	// Prepared is what an Execute runs, or nil.
+	Prepared *PreparedStatement
 	// Begin is set for the first statement of a transaction, and Continues is true for
 	// all further ones.
 	Begin     *Begin
 	Continues bool
-	// Insist asks the host to wait for the primary, though it may be out of its reach:
+	// WaitForPrimary asks the host to wait for the primary, though it may be out of its reach:
 	// others have declined for the same reason.
-	Insist bool
+	WaitForPrimary bool
 	// Request holds a Read, Write, Execute, Commit or Rollback.
 	Request Request
 }
 
-// repeatable reports whether the request may run twice: a read outside a transaction. Nobody
+// isRetrySafe reports whether the request may run twice: a read outside a transaction. Nobody
 // need find out what became of it before it is sent elsewhere.
-func (r *PeerRequest) repeatable() bool {
-	if r.Begin != nil || r.Continues || r.Shape != nil && r.Shape.Writes {
+func (r *PeerRequest) isRetrySafe() bool {
+	if r.Begin != nil || r.Continues || r.Prepared != nil && r.Prepared.Writes {
 		return false
 	}
 	switch r.Request.Statement.(type) {
@@ -100,21 +100,21 @@
 	Process string
 	// Declined says why the host did not take the request, or is Accepted. A request
 	// that was declined has not run, and other hosts may run it.
-	Declined Declined
+	Declined DeclineReason
 	Reply    Reply
-	// Mark is the position of the session's last write now.
-	Mark group.Position
+	// LastWrite is the position of the session's last write now.
+	LastWrite group.Position
 }
 
-// Declined says why a host does not take a request of another one.
-type Declined uint8
+// DeclineReason says why a host does not take a request of another one.
+type DeclineReason uint8
 
 // The reasons.
 const (
 	// Accepted means that the host took the request.
-	Accepted Declined = iota
-	// HostStops means that the host is about to end.
-	HostStops
+	Accepted DeclineReason = iota
+	// HostStopping means that the host is about to end.
+	HostStopping // HostStops
 	// GroupUnknown means that the host has not heard of the group yet.
 	GroupUnknown
 	// OtherProcess means that the request is for an earlier process of the host.
@@ -122,32 +122,32 @@
 	// NoTransaction means that the transaction of which the request is a part has ended
 	// on the host.
 	NoTransaction
-	// RecalledBefore means that the sender was told that the request has not run.
-	RecalledBefore
-	// PrimaryUnreached means that the host can't reach the primary that the request needs.
-	PrimaryUnreached
+	// ReportedUnknown means that the sender was told that the request has not run.
+	ReportedUnknown // RecalledBefore
+	// PrimaryUnreachable means that the host can't reach the primary that the request needs.
+	PrimaryUnreachable // PrimaryUnreached
 	// AccountMissing means that the sender named no account, though callers need one: it may not know of
 	// accounts yet.
 	AccountMissing
 )
 
-// Recalled says what became of a request. Its implementations are RecalledRunning,
-// RecalledDone and RecalledUnknown.
-type Recalled interface{ isRecalled() }
+// RequestOutcome says what became of a request. Its implementations are OutcomeRunning,
+// OutcomeDone and OutcomeUnknown.
+type RequestOutcome interface{ isRequestOutcome() }
 
 type (
-	// RecalledRunning means that the request is being worked on.
-	RecalledRunning struct{}
-	// RecalledDone holds the answer.
-	RecalledDone struct{ Reply *PeerReply }
-	// RecalledUnknown means that the process does not know the request, and refuses it
+	// OutcomeRunning means that the request is being worked on.
+	OutcomeRunning struct{}
+	// OutcomeDone holds the answer.
+	OutcomeDone struct{ Reply *PeerReply }
+	// OutcomeUnknown means that the process does not know the request, and refuses it
 	// from now on.
-	RecalledUnknown struct {
+	OutcomeUnknown struct {
 		// Process names the process that was asked.
 		Process string
 	}
 )
 
-func (RecalledRunning) isRecalled() {}
-func (RecalledDone) isRecalled()    {}
-func (RecalledUnknown) isRecalled() {}
+func (OutcomeRunning) isRequestOutcome() {}
+func (OutcomeDone) isRequestOutcome()    {}
+func (OutcomeUnknown) isRequestOutcome() {}
--- a/internal/gateway/ports.go
+++ b/internal/gateway/ports.go
@@ -12,22 +12,22 @@
 
 // Member identifies a member of a group and what the platform says of it.
 type Member struct {
-	// ID is the instance. A member may start again under it, see Born.
+	// ID is the instance. A member may start again under it, see Incarnation.
 	ID    string
 	Group string
 	Addr  netip.AddrPort
 	Zone  string
-	// Born is when this run of the member began, as it says itself, or zero. It tells
+	// Incarnation is when this run of the member began, as it says itself, or zero. It tells
 	// runs apart and is no time of ours.
-	Born int64
+	Incarnation int64
 	// Sequence counts what this run of the member has written of itself, or is zero where it does not say.
 	Sequence int64
 	// Slots is how many statements the member runs at once.
 	Slots int
 	// Leaving members get no new work.
 	Leaving bool
-	// Leads is true while the member says that it is the primary.
-	Leads bool
+	// IsPrimary is true while the member says that it is the primary.
+	IsPrimary bool
 }
 
 // Dialer opens connections to members.
@@ -44,14 +44,14 @@
 	// including the first that failed to arrive.
 	Do(timeout time.Duration, commands ...Command) ([]Reply, error)
 	// Control runs an order to the member itself.
-	Control(timeout time.Duration, o Order) (Status, error)
+	Control(timeout time.Duration, o ControlCommand) (Status, error)
 	// Alive reports whether the other side has not closed the connection, as far
 	// as has arrived by now.
 	Alive() bool
 	Close() error
 }
 
-// Command is a statement for a member. Its implementations are Forward, Open,
+// Command is a statement for a member. Its implementations are Forward, OpenTransaction,
 // Abort, Assign, Define and Reset.
 type Command interface{ isCommand() }
 
@@ -64,8 +64,8 @@
 		// Name is the connection's name of a prepared statement, for Execute.
 		Name string
 	}
-	// Open begins a transaction.
-	Open struct {
+	// OpenTransaction begins a transaction.
+	OpenTransaction struct {
 		ReadOnly bool
 		After    group.Position
 	}
@@ -75,23 +75,23 @@
 	Assign struct{ Name, Value string }
 	// Define prepares a statement under a name of the connection.
 	Define struct {
-		Name  string
-		Shape Shape
+		Name     string
+		Prepared PreparedStatement
 	}
 	// Reset clears the values and prepared statements of the connection.
 	Reset struct{}
 )
 
-func (Forward) isCommand() {}
-func (Open) isCommand()    {}
-func (Abort) isCommand()   {}
-func (Assign) isCommand()  {}
-func (Define) isCommand()  {}
-func (Reset) isCommand()   {}
+func (Forward) isCommand()         {}
+func (OpenTransaction) isCommand() {}
+func (Abort) isCommand()           {}
+func (Assign) isCommand()          {}
+func (Define) isCommand()          {}
+func (Reset) isCommand()           {}
 
-// Order is an order to a member itself. Its implementations are Probe, Fence,
+// ControlCommand is an order to a member itself. Its implementations are Probe, Fence,
 // Release and Demote.
-type Order interface{ isOrder() }
+type ControlCommand interface{ isControlCommand() }
 
 type (
 	// Probe asks for the status.
@@ -105,14 +105,14 @@
 	Demote struct{ Term group.Term }
 )
 
-func (Probe) isOrder()   {}
-func (Fence) isOrder()   {}
-func (Release) isOrder() {}
-func (Demote) isOrder()  {}
+func (Probe) isControlCommand()   {}
+func (Fence) isControlCommand()   {}
+func (Release) isControlCommand() {}
+func (Demote) isControlCommand()  {}
 
-// Status is a member's answer to an Order.
+// Status is a member's answer to a ControlCommand.
 type Status struct {
-	Leads bool
+	IsPrimary bool
 	// Received is the end of the member's log.
 	Received group.Position
 	// Term is the newest term that the member knows.
@@ -148,7 +148,7 @@
 	// higher token was used. Any other error leaves open whether the order is
 	// carried out, also seconds later.
 	Promote(ctx context.Context, holder string, token int64, groupName, memberID string) error
-	// Raise makes the platform refuse orders with older tokens for the group, and changes nothing
+	// RaiseToken makes the platform refuse orders with older tokens for the group, and changes nothing
 	// else. It is used where the platform checks tokens.
-	Raise(ctx context.Context, holder string, token int64, groupName string) error
+	RaiseToken(ctx context.Context, holder string, token int64, groupName string) error
 }
--- a/internal/gateway/source_test.go
+++ b/internal/gateway/propagation_test.go
@@ -11,8 +11,8 @@
 // watchWait is how long a watch of the store lasts that brings nothing.
 const watchWait = time.Second
 
-// watching returns the hosts that ask the store themselves.
-func (f *fakeFleet) watching() []*Host {
+// storeReaders returns the hosts that ask the store themselves.
+func (f *fakeFleet) storeReaders() []*Host {
 	var out []*Host
 	for _, h := range f.all() {
 		if _, ok := h.follower.Sources()[0].(follow.FromStore); ok {
@@ -22,11 +22,11 @@
 	return out
 }
 
-// facing returns two watching hosts that turn to each other when the store fails them.
-func (f *fakeFleet) facing() []*Host {
+// mutualSources returns two watching hosts that turn to each other when the store fails them.
+func (f *fakeFleet) mutualSources() []*Host {
 	second := func(h *Host) follow.Source { return h.follower.Sources()[1] }
-	for _, a := range f.watching() {
-		for _, b := range f.watching() {
+	for _, a := range f.storeReaders() {
+		for _, b := range f.storeReaders() {
 			if second(a) == follow.Source(follow.FromHost{Addr: b.settings.Peer}) && second(b) == follow.Source(follow.FromHost{Addr: a.settings.Peer}) {
 				return []*Host{a, b}
 			}
@@ -40,8 +40,8 @@
 	f.site.put("config", []byte{version, connections}, 0)
 }
 
-// behind returns the hosts that have not the version in force.
-func (f *fakeFleet) behind(version int64) []string {
+// hostsBehind returns the hosts that have not the version in force.
+func (f *fakeFleet) hostsBehind(version int64) []string {
 	var out []string
 	for _, h := range f.all() {
 		if h.configVersion() != version {
@@ -51,57 +51,57 @@
 	return out
 }
 
-// wantInForce checks that all hosts have the version in force.
-func (f *fakeFleet) wantInForce(t *testing.T, version int64) {
+// wantConfigInForce checks that all hosts have the version in force.
+func (f *fakeFleet) wantConfigInForce(t *testing.T, version int64) {
 	t.Helper()
-	if late := f.behind(version); len(late) > 0 {
+	if late := f.hostsBehind(version); len(late) > 0 {
 		t.Errorf("%v are behind", late)
 	}
 }
 
 // One host of each availability zone watches the store, and all others learn from it. A
 // change of the configuration must be in force everywhere at once.
-func TestNewsReachAllHosts(t *testing.T) {
-	playFleet(t, 30, 20, freshness.Latest{}, func(_ *fakeSite, f *fakeFleet) {
-		if n := len(f.watching()); n != 3 {
+func TestChangesReachAllHosts(t *testing.T) {
+	withFleet(t, 30, 20, freshness.Latest{}, func(_ *fakeSite, f *fakeFleet) {
+		if n := len(f.storeReaders()); n != 3 {
 			t.Errorf("%d hosts watch the store", n)
 		}
 		f.newConfig(2, 20)
 		time.Sleep(20 * time.Millisecond)
-		f.wantInForce(t, 2)
+		f.wantConfigInForce(t, 2)
 	})
 }
 
 // The store turns two of the three hosts away that watch it, without a word. Each of them
 // then follows another host. If they follow one another, what they pass on to each other
 // must not seem fresh for ever: a new configuration must be in force within 3 s.
-func TestHostsThatAreTurnedAwayDontFollowEachOther(t *testing.T) {
-	playFleet(t, 30, 20, freshness.Latest{}, func(_ *fakeSite, f *fakeFleet) {
-		for _, h := range f.facing() {
-			f.set(f.turnedAway, h.settings.Host, true)
+func TestHostsRejectedByStoreDoNotFollowEachOther(t *testing.T) {
+	withFleet(t, 30, 20, freshness.Latest{}, func(_ *fakeSite, f *fakeFleet) {
+		for _, h := range f.mutualSources() {
+			f.setFault(f.storeRejects, h.settings.Host, true)
 		}
 		time.Sleep(watchWait)
 		f.newConfig(2, 20)
 		time.Sleep(2900 * time.Millisecond)
-		f.wantInForce(t, 2)
+		f.wantConfigInForce(t, 2)
 		// And later ones come without a delay.
 		f.newConfig(3, 20)
 		time.Sleep(500 * time.Millisecond)
-		f.wantInForce(t, 3)
+		f.wantConfigInForce(t, 3)
 	})
 }
 
 // The host from which a zone learns dies, or goes dark. The others must notice and learn
 // from another one.
 func TestLostFeedIsReplaced(t *testing.T) {
-	playFleet(t, 30, 20, freshness.Latest{}, func(_ *fakeSite, f *fakeFleet) {
-		gone := f.watching()[0]
-		f.set(f.dark, gone.settings.Host, true)
-		f.set(f.turnedAway, gone.settings.Host, true)
+	withFleet(t, 30, 20, freshness.Latest{}, func(_ *fakeSite, f *fakeFleet) {
+		gone := f.storeReaders()[0]
+		f.setFault(f.unreachable, gone.settings.Host, true)
+		f.setFault(f.storeRejects, gone.settings.Host, true)
 		time.Sleep(watchWait + 100*time.Millisecond) // a watch that began before has ended
 		f.newConfig(2, 20)
 		time.Sleep(1500 * time.Millisecond)
-		late := f.behind(2)
+		late := f.hostsBehind(2)
 		if len(late) != 1 || late[0] != gone.settings.Host {
 			t.Errorf("%v are behind", late)
 		}
@@ -110,11 +110,11 @@
 
 // All watching hosts reach the store again after an outage in which members left and the
 // configuration changed. What was removed meanwhile must be gone everywhere.
-func TestNewsOfRemovalsAfterAnOutage(t *testing.T) {
-	playFleet(t, 12, 20, freshness.Latest{}, func(s *fakeSite, f *fakeFleet) {
+func TestRemovalsArePropagatedAfterOutage(t *testing.T) {
+	withFleet(t, 12, 20, freshness.Latest{}, func(s *fakeSite, f *fakeFleet) {
 		s.setDown(true)
 		time.Sleep(3 * time.Second)
-		s.list("c", "")
+		s.writeMemberEntry("c", "")
 		f.newConfig(2, 20)
 		s.setDown(false)
 		time.Sleep(2500 * time.Millisecond)
@@ -123,7 +123,7 @@
 				t.Errorf("%s is behind", h.settings.Host)
 			}
 			h.mu.Lock()
-			_, listed := h.known.Item("members/c")
+			_, listed := h.storeView.Item("members/c")
 			h.mu.Unlock()
 			if listed {
 				t.Errorf("%s still lists the member that left", h.settings.Host)
@@ -135,19 +135,19 @@
 // The store refuses all calls for six seconds. The hosts that ask it go on to do so; all others wait for
 // these, or a large fleet spends the outage on looking for news that nobody has. When the store is
 // back, a change must be in force everywhere at once.
-func TestOutageOfTheStoreIsWaitedFor(t *testing.T) {
-	playFleet(t, 30, 20, freshness.Latest{}, func(s *fakeSite, f *fakeFleet) {
+func TestHostsWaitOutStoreOutage(t *testing.T) {
+	withFleet(t, 30, 20, freshness.Latest{}, func(s *fakeSite, f *fakeFleet) {
 		asks := map[string]bool{}
-		for _, h := range f.watching() {
+		for _, h := range f.storeReaders() {
 			asks[h.settings.Host] = true
 		}
 		s.setRefusing(true)
 		f.mu.Lock()
-		clear(f.looks)
+		clear(f.storeReads)
 		f.mu.Unlock()
 		time.Sleep(6 * time.Second)
 		f.mu.Lock()
-		for host, n := range f.looks {
+		for host, n := range f.storeReads {
 			if !asks[host] && n > 7 {
 				t.Errorf("%s looked for news %d times", host, n)
 			}
@@ -156,6 +156,6 @@
 		s.setRefusing(false)
 		f.newConfig(2, 20)
 		time.Sleep(follow.SourcePauseMax + 300*time.Millisecond)
-		f.wantInForce(t, 2)
+		f.wantConfigInForce(t, 2)
 	})
 }
--- a/internal/gateway/serving_test.go
+++ b/internal/gateway/serving_test.go
@@ -16,20 +16,20 @@
 // every member, a third of them would be refused again and again. A few hosts serve, and
 // the callers of all others are answered through these.
 func TestFewHostsServeForAll(t *testing.T) {
-	playFleet(t, 30, 20, freshness.Latest{}, func(s *fakeSite, f *fakeFleet) {
+	withFleet(t, 30, 20, freshness.Latest{}, func(s *fakeSite, f *fakeFleet) {
 		here, elsewhere := f.serving()
 		if len(here) != 2 {
 			t.Fatalf("%d of %d hosts serve", len(here), len(here)+len(elsewhere))
 		}
 		for _, h := range f.all() {
-			if r := do(h, Write{}); r.Failure != nil {
+			if r := exec(h, Write{}); r.Failure != nil {
 				t.Errorf("a write at %s: %v", h.settings.Host, r.Failure)
 			}
-			if r := do(h, Read{}); row(r) != "a" {
+			if r := exec(h, Read{}); row(r) != "a" {
 				t.Errorf("a read at %s: %v", h.settings.Host, r.Failure)
 			}
 		}
-		if most := s.most(); most > 20 {
+		if most := s.peakConnections(); most > 20 {
 			t.Errorf("a member had %d connections", most)
 		}
 	})
@@ -37,18 +37,18 @@
 
 // A chef saves a recipe and looks it up, both through another host. The replicas have not
 // applied the save: the mark of the session must travel with the read.
-func TestReadSeesOwnWriteThroughAnotherHost(t *testing.T) {
-	playFleet(t, 30, 20, freshness.OwnWrites{}, func(s *fakeSite, f *fakeFleet) {
+func TestForwardedReadSeesOwnWrite(t *testing.T) {
+	withFleet(t, 30, 20, freshness.OwnWrites{}, func(s *fakeSite, f *fakeFleet) {
 		for _, id := range []string{"b", "c"} {
-			s.with(id, func(m *fakeMember) { m.lagging = true })
+			s.updateMember(id, func(m *fakeMember) { m.lagging = true })
 		}
 		_, elsewhere := f.serving()
-		chef := open(t, elsewhere[0])
-		on(chef, Write{})
-		if chef.mark == (group.Position{}) {
+		chef := openSession(t, elsewhere[0])
+		execIn(chef, Write{})
+		if chef.lastWrite == (group.Position{}) {
 			t.Error("the session has no mark after its write")
 		}
-		if got := row(on(chef, Read{})); got != "a" {
+		if got := row(execIn(chef, Read{})); got != "a" {
 			t.Errorf("the read after the write ran on %q", got)
 		}
 	})
@@ -57,55 +57,55 @@
 // A transaction with a session value and a prepared statement runs through another host:
 // on one connection, with the caller's own values, and nothing stays open after its end.
 func TestTransactionThroughAnotherHost(t *testing.T) {
-	playFleet(t, 30, 20, freshness.Latest{}, func(_ *fakeSite, f *fakeFleet) {
+	withFleet(t, 30, 20, freshness.Latest{}, func(_ *fakeSite, f *fakeFleet) {
 		_, elsewhere := f.serving()
-		caller := open(t, elsewhere[0])
-		on(caller, Set{"v", "7"})
-		on(caller, Prepare{"s", Shape{Writes: true, Text: "boards"}})
-		on(caller, Begin{})
-		if got := row(on(caller, Read{})); got != "a v=7" {
+		caller := openSession(t, elsewhere[0])
+		execIn(caller, Set{"v", "7"})
+		execIn(caller, Prepare{"s", PreparedStatement{Writes: true, Text: "boards"}})
+		execIn(caller, Begin{})
+		if got := row(execIn(caller, Read{})); got != "a v=7" {
 			t.Errorf("a read in the transaction gave %q", got)
 		}
-		on(caller, Execute{Name: "s"})
-		if r := on(caller, Commit{}); r.Failure != nil || r.State != Idle {
+		execIn(caller, Execute{Name: "s"})
+		if r := execIn(caller, Commit{}); r.Failure != nil || r.State != Idle {
 			t.Errorf("commit: %+v", r)
 		}
-		on(caller, Begin{})
-		on(caller, Write{})
-		if r := on(caller, Rollback{}); r.Failure != nil || r.State != Idle {
+		execIn(caller, Begin{})
+		execIn(caller, Write{})
+		if r := execIn(caller, Rollback{}); r.Failure != nil || r.State != Idle {
 			t.Errorf("rollback: %+v", r)
 		}
-		f.wantNoGuests(t)
+		f.wantNoForwardedWork(t)
 	})
 }
 
 // A failed statement breaks a transaction that runs elsewhere: further statements are
 // refused until the caller ends it, and the connection is free at once.
-func TestBrokenTransactionThroughAnotherHost(t *testing.T) {
-	playFleet(t, 30, 20, freshness.Latest{}, func(_ *fakeSite, f *fakeFleet) {
+func TestFailedTransactionThroughAnotherHost(t *testing.T) {
+	withFleet(t, 30, 20, freshness.Latest{}, func(_ *fakeSite, f *fakeFleet) {
 		_, elsewhere := f.serving()
-		caller := open(t, elsewhere[0])
-		on(caller, Begin{})
-		on(caller, Read{})
-		wantCode(t, on(caller, Execute{Name: "nothing"}), UnknownStatement)
-		wantCode(t, on(caller, Read{}), Malformed)
-		wantCode(t, on(caller, Commit{}), Aborted)
-		if r := on(caller, Read{}); r.Failure != nil {
+		caller := openSession(t, elsewhere[0])
+		execIn(caller, Begin{})
+		execIn(caller, Read{})
+		wantCode(t, execIn(caller, Execute{Name: "nothing"}), UnknownStatement)
+		wantCode(t, execIn(caller, Read{}), Malformed)
+		wantCode(t, execIn(caller, Commit{}), Aborted)
+		if r := execIn(caller, Read{}); r.Failure != nil {
 			t.Errorf("after the end: %v", r.Failure)
 		}
-		f.wantNoGuests(t)
+		f.wantNoForwardedWork(t)
 	})
 }
 
 // The host that serves the group goes dark. Callers of others must not wait until their
 // time is over: the next host that serves takes their statements.
-func TestDarkServerIsLeftAtOnce(t *testing.T) {
-	playFleet(t, 30, 20, freshness.Latest{}, func(_ *fakeSite, f *fakeFleet) {
+func TestUnreachableServerIsAbandonedAtOnce(t *testing.T) {
+	withFleet(t, 30, 20, freshness.Latest{}, func(_ *fakeSite, f *fakeFleet) {
 		here, elsewhere := f.serving()
-		f.set(f.dark, here[0].settings.Host, true)
+		f.setFault(f.unreachable, here[0].settings.Host, true)
 		for _, h := range elsewhere {
 			started := time.Now()
-			if r := do(h, Read{}); r.Failure != nil {
+			if r := exec(h, Read{}); r.Failure != nil {
 				t.Errorf("at %s: %v", h.settings.Host, r.Failure)
 			}
 			if took := time.Since(started); took > 450*time.Millisecond {
@@ -117,25 +117,25 @@
 
 // A lane to the serving host goes silent with a write on it. The write never arrived: it
 // is sent again elsewhere, and the lost one must not run when it arrives after all.
-func TestWriteThatNeverArrivedIsSentAgain(t *testing.T) {
-	playFleet(t, 30, 20, freshness.Latest{}, func(s *fakeSite, f *fakeFleet) {
+func TestUndeliveredWriteIsRetried(t *testing.T) {
+	withFleet(t, 30, 20, freshness.Latest{}, func(s *fakeSite, f *fakeFleet) {
 		here, elsewhere := f.serving()
 		h := elsewhere[0]
 		for range 3 {
-			do(h, Read{}) // the processes of both hosts are known
+			exec(h, Read{}) // the processes of both hosts are known
 			time.Sleep(10 * time.Millisecond)
 		}
-		first := h.turnsOf(h.group(testGroup)).servers[0]
-		f.set(f.deaf, first.ID, true)
-		if r := do(h, Write{}); r.Failure != nil {
+		first := h.serversFor(h.group(testGroup)).servers[0]
+		f.setFault(f.losesRequests, first.ID, true)
+		if r := exec(h, Write{}); r.Failure != nil {
 			t.Errorf("the write: %v", r.Failure)
 		}
 		for _, server := range here {
 			if server.settings.Host != first.ID {
 				continue
 			}
-			late := &PeerRequest{From: h.process, Serial: h.serial.Load() - 1, Group: testGroup, Route: Route{Class: freshness.Latest{}, Timeout: time.Second}, Request: Request{ID: "late", Statement: Write{}}}
-			if declined := server.NewGuest().Take(late); declined == nil || declined.Declined != RecalledBefore {
+			late := &PeerRequest{From: h.processID, Serial: h.requestSerial.Load() - 1, Group: testGroup, Route: Route{Class: freshness.Latest{}, Timeout: time.Second}, Request: Request{ID: "late", Statement: Write{}}}
+			if declined := server.NewForwardedSession().Accept(late); declined == nil || declined.Declined != ReportedUnknown {
 				t.Error("the write was taken after its sender was told that it had not run")
 			}
 		}
@@ -147,14 +147,14 @@
 
 // A lane goes silent after a write has run: its answer is lost between the two hosts. The
 // caller must get it all the same, and the write must run once.
-func TestLostAnswerOfAnotherHostIsRecalled(t *testing.T) {
-	playFleet(t, 30, 20, freshness.Latest{}, func(s *fakeSite, f *fakeFleet) {
+func TestLostPeerReplyIsQueried(t *testing.T) {
+	withFleet(t, 30, 20, freshness.Latest{}, func(s *fakeSite, f *fakeFleet) {
 		here, elsewhere := f.serving()
 		for _, server := range here {
-			f.set(f.mute, server.settings.Host, true)
+			f.setFault(f.losesReplies, server.settings.Host, true)
 		}
 		ran := len(s.ran("a"))
-		if r := do(elsewhere[0], Write{}); r.Failure != nil || r.Signature == "" {
+		if r := exec(elsewhere[0], Write{}); r.Failure != nil || r.Signature == "" {
 			t.Errorf("the write: %+v", r)
 		}
 		if got := len(s.ran("a")) - ran; got != 1 {
@@ -166,14 +166,14 @@
 // The host that serves the group ends with a write under way. Nobody can know whether it
 // ran: the caller is told so, and it is not repeated.
 func TestWriteStaysInDoubtWhenItsServerIsLost(t *testing.T) {
-	playFleet(t, 30, 20, freshness.Latest{}, func(s *fakeSite, f *fakeFleet) {
+	withFleet(t, 30, 20, freshness.Latest{}, func(s *fakeSite, f *fakeFleet) {
 		here, elsewhere := f.serving()
-		s.with("a", func(m *fakeMember) { m.work = 300 * time.Millisecond })
+		s.updateMember("a", func(m *fakeMember) { m.work = 300 * time.Millisecond })
 		done := make(chan Reply, 1)
-		go func() { done <- do(elsewhere[0], Write{}) }()
+		go func() { done <- exec(elsewhere[0], Write{}) }()
 		time.Sleep(50 * time.Millisecond)
 		for _, server := range here {
-			f.set(f.dark, server.settings.Host, true)
+			f.setFault(f.unreachable, server.settings.Host, true)
 		}
 		wantCode(t, <-done, InDoubt)
 	})
@@ -182,24 +182,24 @@
 // A host can reach none of those that serve the group, but the members. Its callers are
 // served from a connection of its own after a moment.
 func TestIsolatedHostServesItself(t *testing.T) {
-	playFleet(t, 30, 20, freshness.Latest{}, func(_ *fakeSite, f *fakeFleet) {
+	withFleet(t, 30, 20, freshness.Latest{}, func(_ *fakeSite, f *fakeFleet) {
 		_, elsewhere := f.serving()
 		h := elsewhere[0]
-		f.set(f.dark, h.settings.Host, true)
+		f.setFault(f.unreachable, h.settings.Host, true)
 		served := 0
 		for range 10 {
-			if do(h, Read{}).Failure == nil {
+			if exec(h, Read{}).Failure == nil {
 				served++
 			}
 		}
 		if served < 7 {
 			t.Errorf("%d of 10 reads were served", served)
 		}
-		f.set(f.dark, h.settings.Host, false)
+		f.setFault(f.unreachable, h.settings.Host, false)
 		time.Sleep(time.Second)
-		do(h, Read{})
+		exec(h, Read{})
 		time.Sleep(2 * time.Second)
-		for _, m := range h.Beliefs().Groups[0].Members {
+		for _, m := range h.Snapshot().Groups[0].Members {
 			if m.Connections != 0 {
 				t.Errorf("%d connections to %s are left", m.Connections, m.ID)
 			}
@@ -209,57 +209,57 @@
 
 // A serving host is told to stop. Others turn elsewhere at once, and what is open on it
 // ends in peace.
-func TestStoppingServerEndsItsGuests(t *testing.T) {
-	playFleet(t, 30, 20, freshness.Latest{}, func(_ *fakeSite, f *fakeFleet) {
+func TestStoppingServerFinishesForwardedWork(t *testing.T) {
+	withFleet(t, 30, 20, freshness.Latest{}, func(_ *fakeSite, f *fakeFleet) {
 		here, elsewhere := f.serving()
 		var callers []*Session
 		for _, h := range elsewhere[:6] {
-			c := open(t, h)
-			on(c, Begin{})
-			on(c, Read{})
+			c := openSession(t, h)
+			execIn(c, Begin{})
+			execIn(c, Read{})
 			callers = append(callers, c)
 		}
 		stopping := here[0]
 		stopping.Stop()
 		time.Sleep(100 * time.Millisecond)
 		for _, h := range elsewhere {
-			if r := do(h, Read{}); r.Failure != nil {
+			if r := exec(h, Read{}); r.Failure != nil {
 				t.Errorf("at %s: %v", h.settings.Host, r.Failure)
 			}
 		}
 		for _, c := range callers {
-			if r := on(c, Commit{}); r.Failure != nil {
+			if r := execIn(c, Commit{}); r.Failure != nil {
 				t.Errorf("commit: %v", r.Failure)
 			}
 		}
-		if stopping.Guests() != 0 {
-			t.Errorf("%d guests are left", stopping.Guests())
+		if stopping.ForwardedCount() != 0 {
+			t.Errorf("%d guests are left", stopping.ForwardedCount())
 		}
 	})
 }
 
 // A host dies with a transaction open on another one. That transaction must not hold its
 // connection for ever.
-func TestForsakenTransactionIsRolledBack(t *testing.T) {
-	playFleet(t, 30, 20, freshness.Latest{}, func(_ *fakeSite, f *fakeFleet) {
+func TestAbandonedTransactionIsRolledBack(t *testing.T) {
+	withFleet(t, 30, 20, freshness.Latest{}, func(_ *fakeSite, f *fakeFleet) {
 		here, _ := f.serving()
-		guest := here[0].NewGuest()
+		guest := here[0].NewForwardedSession()
 		r := &PeerRequest{
 			From: "gone", Serial: 1, Group: testGroup, Begin: &Begin{},
 			Route:   Route{Class: freshness.Latest{}, Timeout: time.Second},
 			Request: Request{ID: "x", Statement: Read{}},
 		}
-		if declined := guest.Take(r); declined != nil {
+		if declined := guest.Accept(r); declined != nil {
 			t.Fatalf("%+v", declined)
 		}
 		if reply := guest.Run(context.Background(), r); reply.Reply.Failure != nil || !guest.Open() {
 			t.Fatalf("%+v", reply)
 		}
-		if rest := guest.Rest(); rest < defaultTransactionIdle {
+		if rest := guest.IdleTimeout(); rest < defaultTransactionIdleTimeout {
 			t.Errorf("a guest may rest for %s only", rest)
 		}
 		guest.Expire()
-		if guest.Open() || here[0].Guests() != 0 {
+		if guest.Open() || here[0].ForwardedCount() != 0 {
 			t.Error("the transaction is open still")
 		}
 	})
@@ -267,17 +267,17 @@
 
 // Every host asked who leads when it started. Those connections take places of the few
 // that a member has, and must not stay open.
-func TestConnectionsForOrdersAreClosed(t *testing.T) {
-	playFleet(t, 30, 20, freshness.Latest{}, func(s *fakeSite, f *fakeFleet) {
+func TestIdleControlConnsAreClosed(t *testing.T) {
+	withFleet(t, 30, 20, freshness.Latest{}, func(s *fakeSite, f *fakeFleet) {
 		for _, h := range f.all() {
-			h.group(testGroup).orderAll(h.group(testGroup).list()[:1], Probe{}, orderTimeout)
+			h.group(testGroup).controlAll(h.group(testGroup).listMembers()[:1], Probe{}, controlTimeout)
 			time.Sleep(2 * time.Second)
 		}
 		here, _ := f.serving()
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		ahead := 2 * len(here) // each opens as many ahead as the member has slots
-		if conns := s.member("a").conns; conns > ahead+controlShare {
+		if conns := s.member("a").conns; conns > ahead+reservedControlConns {
 			t.Errorf("%d connections are open, with no caller", conns)
 		}
 	})
@@ -285,13 +285,13 @@
 
 // A host stops: it writes that it leaves and takes its entry back, and others learn both in
 // one message. They must not take it for a host that lapsed and may serve still.
-func TestHostThatLeftIsNotTakenForLapsed(t *testing.T) {
-	playFleet(t, 30, 20, freshness.Latest{}, func(_ *fakeSite, f *fakeFleet) {
+func TestDepartedHostIsNotTreatedAsLapsed(t *testing.T) {
+	withFleet(t, 30, 20, freshness.Latest{}, func(_ *fakeSite, f *fakeFleet) {
 		here, _ := f.serving()
 		here[0].Stop()
 		time.Sleep(50 * time.Millisecond)
 		for _, h := range f.all() {
-			for _, server := range h.turnsOf(h.group(testGroup)).servers {
+			for _, server := range h.serversFor(h.group(testGroup)).servers {
 				if server.ID == here[0].settings.Host && h != here[0] {
 					t.Errorf("%s turns to the host that stops", h.settings.Host)
 				}
@@ -303,17 +303,17 @@
 // The day's first callers come to hosts that serve for many others. If these open their
 // connections only then, each takes a slot of a member for as long as three statements.
 func TestServingHostsOpenConnectionsAhead(t *testing.T) {
-	playFleet(t, 30, 20, freshness.Latest{}, func(_ *fakeSite, f *fakeFleet) {
+	withFleet(t, 30, 20, freshness.Latest{}, func(_ *fakeSite, f *fakeFleet) {
 		here, elsewhere := f.serving()
 		for _, h := range here {
-			for _, m := range h.Beliefs().Groups[0].Members {
+			for _, m := range h.Snapshot().Groups[0].Members {
 				if m.Connections != 2 {
 					t.Errorf("%s has %d connections to %s", h.settings.Host, m.Connections, m.ID)
 				}
 			}
 		}
 		for _, h := range elsewhere {
-			for _, m := range h.Beliefs().Groups[0].Members {
+			for _, m := range h.Snapshot().Groups[0].Members {
 				if m.Connections != 0 {
 					t.Errorf("%s, which does not serve, has %d connections to %s", h.settings.Host, m.Connections, m.ID)
 				}
@@ -326,23 +326,23 @@
 // arrives, and declines it. The transaction must end there: its connection would otherwise
 // serve the statements of whoever comes next.
 func TestDeclinedStatementEndsItsTransaction(t *testing.T) {
-	playFleet(t, 30, 20, freshness.Latest{}, func(_ *fakeSite, f *fakeFleet) {
+	withFleet(t, 30, 20, freshness.Latest{}, func(_ *fakeSite, f *fakeFleet) {
 		here, elsewhere := f.serving()
 		h := elsewhere[0]
-		c := open(t, h)
-		on(c, Begin{})
-		on(c, Read{})
+		c := openSession(t, h)
+		execIn(c, Begin{})
+		execIn(c, Read{})
 		for _, server := range here {
-			server.Recall(h.process, h.serial.Load()+1)
+			server.OutcomeOf(h.processID, h.requestSerial.Load()+1)
 		}
-		wantCode(t, on(c, Write{}), Aborted)
+		wantCode(t, execIn(c, Write{}), Aborted)
 		for _, server := range here {
-			if server.Guests() != 0 {
-				t.Errorf("%s has %d guests", server.settings.Host, server.Guests())
+			if server.ForwardedCount() != 0 {
+				t.Errorf("%s has %d guests", server.settings.Host, server.ForwardedCount())
 			}
 		}
-		wantCode(t, on(c, Commit{}), Aborted)
-		if r := on(c, Read{}); r.Failure != nil {
+		wantCode(t, execIn(c, Commit{}), Aborted)
+		if r := execIn(c, Read{}); r.Failure != nil {
 			t.Errorf("after the end: %v", r.Failure)
 		}
 	})
@@ -351,26 +351,26 @@
 // A host gives up the first statement of a transaction, and hears only then that it ran. The
 // other host has rolled the transaction back: what follows must not run by itself.
 func TestTransactionThatWasGivenUpIsNotContinued(t *testing.T) {
-	playFleet(t, 30, 20, freshness.Latest{}, func(s *fakeSite, f *fakeFleet) {
+	withFleet(t, 30, 20, freshness.Latest{}, func(s *fakeSite, f *fakeFleet) {
 		here, elsewhere := f.serving()
-		c := open(t, elsewhere[0])
+		c := openSession(t, elsewhere[0])
 		for _, server := range here {
-			f.set(f.mute, server.settings.Host, true)
+			f.setFault(f.losesReplies, server.settings.Host, true)
 		}
-		on(c, Begin{})
-		first := on(c, Read{})
+		execIn(c, Begin{})
+		first := execIn(c, Read{})
 		for _, server := range here {
-			f.set(f.mute, server.settings.Host, false)
+			f.setFault(f.losesReplies, server.settings.Host, false)
 		}
 		ran := len(s.ran("a"))
-		if on(c, Write{}).Failure == nil && first.Failure != nil {
+		if execIn(c, Write{}).Failure == nil && first.Failure != nil {
 			t.Error("a statement was served in a transaction whose first one failed")
 		}
-		if c.tx != nil && c.tx.away == nil && c.tx.conn == nil && len(s.ran("a")) > ran {
+		if c.tx != nil && c.tx.remote == nil && c.tx.conn == nil && len(s.ran("a")) > ran {
 			t.Error("a statement ran outside of its transaction")
 		}
-		on(c, Rollback{})
-		if r := on(c, Read{}); r.Failure != nil {
+		execIn(c, Rollback{})
+		if r := execIn(c, Read{}); r.Failure != nil {
 			t.Errorf("after the end: %v", r.Failure)
 		}
 	})
@@ -379,22 +379,22 @@
 // One host serves a group for all and is gone without a trace. The others turn to the next one
 // in the order, which opens connections of its own. If each served itself, twelve hosts would
 // fight over the six connections that a member takes.
-func TestNextHostServesInPlaceOfOneThatIsGone(t *testing.T) {
-	playFleet(t, 12, 6, freshness.Latest{}, func(_ *fakeSite, f *fakeFleet) {
+func TestFallbackHostServesForLostServer(t *testing.T) {
+	withFleet(t, 12, 6, freshness.Latest{}, func(_ *fakeSite, f *fakeFleet) {
 		here, elsewhere := f.serving()
 		if len(here) != 1 {
 			t.Fatalf("%d hosts serve", len(here))
 		}
 		gone := here[0].settings.Host
-		f.set(f.dark, gone, true)
+		f.setFault(f.unreachable, gone, true)
 		for _, h := range elsewhere {
-			go do(h, Read{})
+			go exec(h, Read{})
 		}
 		time.Sleep(1500 * time.Millisecond)
 		if n := failedReads(elsewhere, 10); n > 0 {
 			t.Errorf("%d of 110 reads failed", n)
 		}
-		if n := deputies(elsewhere); n != 1 {
+		if n := countFallbacks(elsewhere); n != 1 {
 			t.Errorf("%d hosts serve in place of the one that is gone", n)
 		}
 	})
@@ -408,7 +408,7 @@
 	for _, h := range hosts {
 		wait.Go(func() {
 			for range each {
-				if r := do(h, Read{}); r.Failure != nil {
+				if r := exec(h, Read{}); r.Failure != nil {
 					failed.Add(1)
 				}
 			}
@@ -418,13 +418,13 @@
 	return failed.Load()
 }
 
-// deputies counts the hosts that serve the group in place of others.
-func deputies(hosts []*Host) int {
+// countFallbacks counts the hosts that serve the group in place of others.
+func countFallbacks(hosts []*Host) int {
 	n := 0
 	for _, h := range hosts {
 		g := h.group(testGroup)
 		g.mu.Lock()
-		if g.deputy(h.now()) {
+		if g.isFallback(h.now()) {
 			n++
 		}
 		g.mu.Unlock()
@@ -435,37 +435,37 @@
 // One host serves a group for nine. Reads that may be a second old run on the replica of the
 // caller's own zone, without a hop; once that falls behind, or does not answer, they go by way of the
 // host that serves, and no caller notices.
-func TestReadsRunOnTheReplicaOfTheOwnZone(t *testing.T) {
-	playFleet(t, 9, 16, freshness.MaxAge{Age: time.Second}, func(s *fakeSite, f *fakeFleet) {
+func TestReadsRunOnLocalZoneReplica(t *testing.T) {
+	withFleet(t, 9, 16, freshness.MaxAge{Age: time.Second}, func(s *fakeSite, f *fakeFleet) {
 		here, elsewhere := f.serving()
 		if len(here) != 1 {
 			t.Fatalf("%d hosts serve", len(here))
 		}
-		do(here[0], Write{})
-		h, own := besideReplica(elsewhere, here[0])
-		do(h, Read{}) // the host asks where the primary's log stands
+		exec(here[0], Write{})
+		h, own := hostInReplicaZone(elsewhere, here[0])
+		exec(h, Read{}) // the host asks where the primary's log stands
 		time.Sleep(700 * time.Millisecond)
-		before := f.carriedAll()
+		before := f.forwardedTotal()
 		for range 20 {
-			if r := do(h, Read{}); r.Failure != nil || row(r) != own {
+			if r := exec(h, Read{}); r.Failure != nil || row(r) != own {
 				t.Errorf("the read was answered with %v by %s, want %s", r.Failure, row(r), own)
 			}
 		}
-		if n := f.carriedAll() - before; n > 0 {
+		if n := f.forwardedTotal() - before; n > 0 {
 			t.Errorf("%d of 20 reads were passed on", n)
 		}
-		s.with(own, func(m *fakeMember) { m.silent = true })
+		s.updateMember(own, func(m *fakeMember) { m.silent = true })
 		for range 5 {
-			if r := do(h, Read{}); r.Failure != nil || row(r) == own {
+			if r := exec(h, Read{}); r.Failure != nil || row(r) == own {
 				t.Errorf("the read was answered with %v by %s", r.Failure, row(r))
 			}
 		}
 	})
 }
 
-// besideReplica returns one of the hosts that is in the zone of a replica, but not of the server, and
+// hostInReplicaZone returns one of the hosts that is in the zone of a replica, but not of the server, and
 // that replica.
-func besideReplica(hosts []*Host, server *Host) (*Host, string) {
+func hostInReplicaZone(hosts []*Host, server *Host) (*Host, string) {
 	for _, h := range hosts {
 		for id, zone := range zoneOfMember {
 			if id != "a" && zone == h.settings.Zone && zone != server.settings.Zone {
@@ -476,12 +476,12 @@
 	return nil, ""
 }
 
-// carriedAll returns how many requests hosts took for others.
-func (f *fakeFleet) carriedAll() int {
+// forwardedTotal returns how many requests hosts took for others.
+func (f *fakeFleet) forwardedTotal() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	n := 0
-	for _, each := range f.carried {
+	for _, each := range f.forwardedTo {
 		n += each
 	}
 	return n
--- a/internal/gateway/join_test.go
+++ b/internal/gateway/startup_test.go
@@ -10,10 +10,10 @@
 	"pearlatch/core/freshness"
 )
 
-// wideSite starts n hosts together before a store that holds so many further keys, in pages of a tenth of them.
-func wideSite(n, keys int) *fakeFleet {
+// largeFleet starts n hosts together before a store that holds so many further keys, in pages of a tenth of them.
+func largeFleet(n, keys int) *fakeFleet {
 	s := newFakeSite("a", "b", "c")
-	s.cap, s.pageItems = 20, keys/10
+	s.maxConns, s.pageItems = 20, keys/10
 	for i := range keys {
 		s.put(fmt.Sprint("own/other/", i), []byte("x"), 0)
 	}
@@ -37,10 +37,10 @@
 // others learn from them: what all hosts together read does not grow with the fleet as its lists do.
 func TestFewHostsReadTheStoreAsAllStart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := wideSite(120, 500)
+		f := largeFleet(120, 500)
 		defer f.stopAll()
 		time.Sleep(5 * time.Second)
-		f.wantInForce(t, 1)
+		f.wantConfigInForce(t, 1)
 		f.site.mu.Lock()
 		defer f.site.mu.Unlock()
 		// One page to count the hosts costs a host a look; a whole list costs ten.
--- a/io/peer/gateway_client.go
+++ b/io/peer/gateway_client.go
@@ -27,8 +27,8 @@
 	return &GatewayClient{client: c, links: links{client: c}}
 }
 
-// Lane implements gateway.Peers.
-func (c *GatewayClient) Lane(ctx context.Context, to netip.AddrPort) (gateway.Lane, error) {
+// OpenStream implements gateway.Peers.
+func (c *GatewayClient) OpenStream(ctx context.Context, to netip.AddrPort) (gateway.Stream, error) {
 	k, err := c.links.get(ctx, to)
 	if err != nil {
 		return nil, err
@@ -40,9 +40,9 @@
 // connection of its own: a few round trips within a region.
 const linkRecall = 60 * time.Millisecond
 
-// Recall implements gateway.Peers. It asks on the link at first, which needs no handshake
+// QueryOutcome implements gateway.Peers. It asks on the link at first, which needs no handshake
 // at a host under load, and then over a connection of its own, since the link may be silent.
-func (c *GatewayClient) Recall(ctx context.Context, to netip.AddrPort, from string, serial uint64) (gateway.Recalled, error) {
+func (c *GatewayClient) QueryOutcome(ctx context.Context, to netip.AddrPort, from string, serial uint64) (gateway.RequestOutcome, error) {
 	in := &recallRequest{from, serial}
 	if k := c.links.existing(to); k != nil {
 		if out := k.recall(ctx, in); out != nil {
@@ -57,14 +57,14 @@
 }
 
 // recalled returns the outcome that the message carries.
-func (m *recallReply) recalled() gateway.Recalled {
+func (m *recallReply) recalled() gateway.RequestOutcome {
 	switch {
 	case m.running:
-		return gateway.RecalledRunning{}
+		return gateway.OutcomeRunning{}
 	case m.reply != nil:
-		return gateway.RecalledDone{Reply: (*gateway.PeerReply)(m.reply)}
+		return gateway.OutcomeDone{Reply: (*gateway.PeerReply)(m.reply)}
 	}
-	return gateway.RecalledUnknown{Process: m.process}
+	return gateway.OutcomeUnknown{Process: m.process}
 }
 
 // Probe implements gateway.Peers.
@@ -76,8 +76,8 @@
 	return gateway.Status(*out), nil
 }
 
-// Lease implements gateway.Peers.
-func (c *GatewayClient) Lease(ctx context.Context, to netip.AddrPort, r gateway.LeaseRequest) (gateway.LeaseReply, error) {
+// RequestLease implements gateway.Peers.
+func (c *GatewayClient) RequestLease(ctx context.Context, to netip.AddrPort, r gateway.LeaseRequest) (gateway.LeaseReply, error) {
 	reply, err := c.question(ctx, to, &linkRequest{lease: (*leaseRequest)(&r)})
 	if err != nil {
 		return gateway.LeaseReply{}, err
@@ -88,8 +88,8 @@
 	return gateway.LeaseReply(*reply.lease), nil
 }
 
-// EndLease implements gateway.Peers.
-func (c *GatewayClient) EndLease(ctx context.Context, to netip.AddrPort, groupName, memberID string, planned bool) error {
+// RevokeLease implements gateway.Peers.
+func (c *GatewayClient) RevokeLease(ctx context.Context, to netip.AddrPort, groupName, memberID string, planned bool) error {
 	reply, err := c.question(ctx, to, &linkRequest{ends: &endLeaseRequest{groupName, memberID, planned}})
 	if err == nil && !reply.ended {
 		err = errors.Errorf("host %s did not give its lease back", to)
@@ -97,8 +97,8 @@
 	return err
 }
 
-// Quota implements gateway.Peers.
-func (c *GatewayClient) Quota(ctx context.Context, to netip.AddrPort, r quotas.Request) (quotas.Reply, error) {
+// RequestQuota implements gateway.Peers.
+func (c *GatewayClient) RequestQuota(ctx context.Context, to netip.AddrPort, r quotas.Request) (quotas.Reply, error) {
 	reply, err := c.question(ctx, to, &linkRequest{quota: (*quotaRequest)(&r)})
 	if err != nil {
 		return quotas.Reply{}, err
@@ -133,7 +133,7 @@
 	asked := time.Now()
 	reply, err := k.ask(ctx, in)
 	if err != nil {
-		l.Mistrust(time.Since(asked))
+		l.ReplaceIfSilent(time.Since(asked))
 	}
 	return reply, err
 }
--- a/io/peer/link_client.go
+++ b/io/peer/link_client.go
@@ -152,7 +152,7 @@
 	id   uint64
 }
 
-var _ gateway.Lane = (*lane)(nil)
+var _ gateway.Stream = (*lane)(nil)
 
 func (k *link) newLane() *lane {
 	k.mu.Lock()
@@ -216,8 +216,8 @@
 	_ = l.link.send(&linkRequest{lane: l.id, closes: true})
 }
 
-// Mistrust implements gateway.Lane.
-func (l *lane) Mistrust(age time.Duration) {
+// ReplaceIfSilent implements gateway.Lane.
+func (l *lane) ReplaceIfSilent(age time.Duration) {
 	l.link.mu.Lock()
 	silent := time.Since(l.link.heard) > age
 	l.link.mu.Unlock()
