--- a/internal/gateway/acquire.go
+++ b/internal/gateway/acquire.go
@@ -11,24 +11,26 @@
 	"pearlatch/core/leadership"
 )
 
-// acquisition is a duty that is about to be taken.
+// acquisition is an attempt to acquire a coordinator role.
 type acquisition struct {
 	coordinator *coordinator
-	// entryRevision is the revision of the entry before, or zero if there is none.
+	// entryRevision is the revision of an existing entry of this host, or zero if there is none.
 	entryRevision kv.Revision
-	// record is what the record of the holder before says, and what this one leaves, if it is written along.
+	// record is what is taken over from the previous coordinator's record, and the new record, if that is written in
+	// the same transaction, or else nil.
 	record      *inheritedRecord
 	transaction kv.Transaction
 }
 
-// acquireCoordinators takes duties, several with a call.
+// acquireCoordinators acquires roles, up to acquireBatchSize in one call to the store.
 func (h *Host) acquireCoordinators(ctx context.Context, due []*coordinator) {
-	for some := range slices.Chunk(due, acquireBatchSize) {
-		h.acquireBatch(ctx, some)
+	for batch := range slices.Chunk(due, acquireBatchSize) {
+		h.acquireBatch(ctx, batch)
 	}
 }
 
-// acquireBatch takes duties with one call, or each by itself if not all of them are to be had.
+// acquireBatch acquires roles with one call to the store. If that conflicts, it acquires each role by itself, so that one
+// that is already taken does not delay the others.
 func (h *Host) acquireBatch(ctx context.Context, due []*coordinator) {
 	lease, renewed, err := h.coordinatorLease.ensure(ctx)
 	if err != nil {
@@ -37,20 +39,20 @@
 		}
 		return
 	}
-	var together kv.Transaction
-	var takings []acquisition
+	var merged kv.Transaction
+	var acquisitions []acquisition
 	for _, d := range due {
-		t := d.prepareAcquisition(lease)
-		takings = append(takings, t)
-		together = together.Merge(t.transaction)
+		a := d.prepareAcquisition(lease)
+		acquisitions = append(acquisitions, a)
+		merged = merged.Merge(a.transaction)
 	}
 	call, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
-	revision, err := h.ports.Store.Commit(call, together)
+	revision, err := h.ports.Store.Commit(call, merged)
 	switch {
 	case err == nil:
-		for _, t := range takings {
-			t.coordinator.completeAcquisition(ctx, t, revision, lease, renewed)
+		for _, a := range acquisitions {
+			a.coordinator.completeAcquisition(ctx, a, revision, lease, renewed)
 		}
 		return
 	case errors.Is(err, ErrConflict) && len(due) > 1:
@@ -66,48 +68,48 @@
 	}
 }
 
-// prepareAcquisition returns what takes the duty. The record is written along, from what this host knows of it: if it is another
-// one by now, the call fails, and the next one leaves it out.
+// prepareAcquisition returns the transaction that acquires the role. It also writes the record, based on this host's view of the
+// stored one. If that view is stale, the commit fails, and the next attempt writes the record separately.
 func (d *coordinator) prepareAcquisition(lease int64) acquisition {
 	h := d.host
 	h.mu.Lock()
 	entry, _ := h.storeView.Item(h.coordinatorKey(d.group.name))
-	read, _ := h.storeView.Item(h.recordKey(d.group.name))
+	stored, _ := h.storeView.Item(h.recordKey(d.group.name))
 	epoch := h.storeView.Revision().Epoch()
 	h.mu.Unlock()
-	t := acquisition{coordinator: d}
+	a := acquisition{coordinator: d}
 	if string(entry.Value) == h.settings.Host {
-		t.entryRevision = entry.Revision
+		a.entryRevision = entry.Revision
 	}
-	t.transaction = kv.Replace(h.coordinatorKey(d.group.name), t.entryRevision, []byte(h.settings.Host), lease)
+	a.transaction = kv.Replace(h.coordinatorKey(d.group.name), a.entryRevision, []byte(h.settings.Host), lease)
 	if d.recordSeparately {
-		return t
+		return a
 	}
-	i := d.newInheritedRecord(read, epoch)
+	i := d.newInheritedRecord(stored, epoch)
 	value, err := encodeRecord(i.record)
 	if err != nil {
 		d.log("record_not_written", "err", err)
-		return t
+		return a
 	}
-	t.record = &i
-	t.transaction = t.transaction.Merge(kv.Replace(h.recordKey(d.group.name), read.Revision, value, 0))
-	return t
+	a.record = &i
+	a.transaction = a.transaction.Merge(kv.Replace(h.recordKey(d.group.name), stored.Revision, value, 0))
+	return a
 }
 
-// completeAcquisition records that the duty was taken.
-func (d *coordinator) completeAcquisition(ctx context.Context, t acquisition, revision kv.Revision, lease int64, renewed time.Time) {
+// completeAcquisition records that the role was acquired at the revision, and takes over the previous coordinator's record.
+func (d *coordinator) completeAcquisition(ctx context.Context, a acquisition, revision kv.Revision, lease int64, renewed time.Time) {
 	d.mu.Lock()
 	d.held, d.lease, d.token, d.acquiredAt, d.renewedAt, d.renewalsUnbroken = true, lease, revision, d.host.now(), renewed, true
-	d.reclaimed, d.predecessorHandedBack, d.tokenRaisedAt = t.entryRevision != 0 && !d.writeUncertain, false, time.Time{}
+	d.reclaimed, d.predecessorHandedBack, d.tokenRaisedAt = a.entryRevision != 0 && !d.writeUncertain, false, time.Time{}
 	d.writeUncertain, d.firstToken = false, 0
 	d.recordInherited, d.pendingMember, d.recordRevision, d.primaryStatus, d.grants, d.resigning = false, "", 0, primaryStatus{}, leadership.Grants{}, false
 	d.mu.Unlock()
 	d.vacantSince, d.acquireBackoff, d.recordSeparately = time.Time{}, 0, false
 	d.log("duty_taken", "token", int64(revision))
 	d.group.clearAllReplacements()
-	if t.record != nil && t.record.record.Epoch == revision.Epoch() {
-		d.noteRecordWritten(t.record.record, revision)
-		d.adoptRecord(*t.record)
+	if a.record != nil && a.record.record.Epoch == revision.Epoch() {
+		d.noteRecordWritten(a.record.record, revision)
+		d.adoptRecord(*a.record)
 	} else {
 		d.tryInheritRecord(ctx)
 	}
--- a/internal/gateway/coordinator.go
+++ b/internal/gateway/coordinator.go
@@ -14,30 +14,31 @@
 )
 
 const (
-	// coordinatorLeaseTTL is the life of the lease under which a host's duties stand: after the host's death, others
-	// take them this much later.
+	// coordinatorLeaseTTL is the TTL of the store lease under all roles of a host: when the host dies, other hosts
+	// acquire its roles this much later.
 	coordinatorLeaseTTL = 3 * time.Second
-	// recordWriteTimeout bounds the writing of what the next holder must know.
+	// recordWriteTimeout bounds a write of the record for the next coordinator.
 	recordWriteTimeout = 500 * time.Millisecond
-	// maxPromotionDelay is how long an order without an answer may still be carried out where the
-	// platform checks no fencing tokens: the users' late calls come up to 6 s after.
+	// maxPromotionDelay is how long after an unanswered request the platform may still promote the member, if it
+	// checks no fencing tokens: delayed calls on users' platforms are carried out up to 6 s later.
 	maxPromotionDelay = 8 * time.Second
-	// coordinatorPollInterval is the pause between looks at duties that others may leave. After a restart of
-	// all hosts nobody grants leases until the duties are taken again.
+	// coordinatorPollInterval is the interval at which a host checks for vacant roles. It is short because after a
+	// restart of all hosts nobody grants leases until the roles are acquired again.
 	coordinatorPollInterval = 100 * time.Millisecond
-	// minAcquireBackoff is the pause after a try to take a duty that failed, maxAcquireBackoff the longest one. A host
-	// that hears no news tried ten times a second to take what another one had taken, three calls each.
+	// minAcquireBackoff and maxAcquireBackoff bound the backoff after a failed attempt to acquire a role. Without
+	// it, a host that received no updates tried ten times a second to acquire a role that another host already had,
+	// with three store calls each time.
 	minAcquireBackoff = 200 * time.Millisecond
 	maxAcquireBackoff = 3200 * time.Millisecond
-	// acquireBatchSize is how many duties are taken in one transaction, of at most 32 entries: each needs two expectations
-	// and two writes.
+	// acquireBatchSize is how many roles are acquired in one transaction. A transaction has at most 32 entries, and
+	// each role needs two preconditions and two writes.
 	acquireBatchSize = 8
-	// acceptedPromotionDelay is how long an order may take to be carried out that was accepted: the users'
-	// members take up to 1 s to lead.
+	// acceptedPromotionDelay is how long an accepted promotion may take to complete: users' members take up to 1 s
+	// to become primary.
 	acceptedPromotionDelay = 1200 * time.Millisecond
 )
 
-// coordinator is this host's part in the promotions of one group.
+// coordinator is the coordinator role of one group as seen by this host, which may or may not hold it.
 type coordinator struct {
 	host  *Host
 	group *Group
@@ -45,61 +46,62 @@
 	mu    sync.Mutex
 	held  bool
 	lease int64
-	// token is the revision at which the duty's entry was last written: it rises
-	// with each holder, and with each decision of one, also if the store came back from an older copy in
-	// between. It is the fencing token.
+	// token is the fencing token: the revision at which the role's entry was last written. It increases with each
+	// new coordinator and with each decision of a coordinator, even if the store is restored from an older copy in
+	// between.
 	token kv.Revision
-	// acquiredAt is when the duty was taken; renewedAt is when the entry was last known to be this host's.
+	// acquiredAt is when the role was acquired. renewedAt is when the entry was last known to belong to this host.
 	acquiredAt, renewedAt time.Time
-	// renewalsUnbroken is true while each renewal of the lease since then has succeeded.
+	// renewalsUnbroken is true while every renewal of the lease since renewedAt has succeeded.
 	renewalsUnbroken bool
-	// writeUncertain is true after a write of the entry whose outcome is not known: an entry of this host may then be a later
-	// one than the holder's before.
+	// writeUncertain is true after a write of the entry with an unknown outcome: an entry of this host may then
+	// be newer than the previous coordinator's.
 	writeUncertain bool
-	// tokenRaisedAt is when the platform first acknowledged a token of this host since it took the duty, or
+	// tokenRaisedAt is when the platform first acknowledged a token of this host since the role was acquired, or
 	// zero.
 	tokenRaisedAt time.Time
-	// record is the last one that this host has written of the group, in any time that it held the duty. It lies
-	// in the store for the next holder, as written at recordRevision.
-	// That is zero while it is not known.
+	// record is the last record of the group that this host has written, whenever it held the role. The store
+	// holds it for the next coordinator at recordRevision, which is zero while the stored record is not known.
 	record         leadership.StoredRecord
 	recordRevision kv.Revision
-	// recordInherited is true once the record of the holder before was read.
+	// recordInherited is true once the record of the previous coordinator has been read.
 	recordInherited bool
-	// primaryStatus is what leases on the primary are granted on, and grants are those that may
-	// hold.
+	// primaryStatus is the state of the primary that lease grants are based on. grants holds the leases that may
+	// still be valid.
 	primaryStatus primaryStatus
 	grants        leadership.Grants
-	// reclaimed is true if the duty was an earlier process's of this host, and predecessorHandedBack if its
-	// holder had given it back.
+	// reclaimed is true if an earlier process of this host held the role before. predecessorHandedBack is true if
+	// the previous coordinator handed the role back.
 	reclaimed, predecessorHandedBack bool
-	// lastWokenAt is when a question that brought no lease last woke the holder.
+	// lastWokenAt is when a lease request that was not granted last woke the group's monitor.
 	lastWokenAt time.Time
-	// resigning is true once the duty is being given up while its leases end.
+	// resigning is true once the host has begun to hand the role back and waits for its leases to end.
 	resigning bool
-	// vacantSince is since when nobody has held the duty, or zero. After a try to take it that failed the next
-	// one comes no sooner than nextAcquireAt, after acquireBackoff.
+	// vacantSince is when the role was first seen without a holder, or zero. After a failed attempt to acquire it,
+	// the next attempt starts no sooner than nextAcquireAt, which is acquireBackoff later.
 	vacantSince, nextAcquireAt time.Time
 	acquireBackoff             time.Duration
-	// recordSeparately is true if the record is to be read and written after the duty was taken, not along with it.
+	// recordSeparately is true if the record is to be read and written after the role is acquired rather than in
+	// the same transaction.
 	recordSeparately bool
-	// pendingMember is the member named by the last order, pendingToken its token and pendingAt
-	// when it was given last, until it is seen to lead. Empty means that no order is open.
+	// pendingMember is the member named by the last promotion request, pendingToken the request's token and
+	// pendingAt when it was last sent. They are kept until the member is seen to lead. An empty pendingMember means
+	// that no promotion is pending.
 	pendingMember string
 	pendingToken  kv.Revision
 	pendingAt     time.Time
-	// raisedToken is the highest token that the platform has acknowledged: orders with
-	// lower ones are refused from then on.
+	// raisedToken is the highest token that the platform has acknowledged. It refuses requests with lower tokens
+	// from then on.
 	raisedToken kv.Revision
-	// firstToken is the token if the group had no holder before that could have ordered anything, or zero: the platform need
-	// not see it before leases are granted.
+	// firstToken is the token of this coordinator if no earlier one can have requested a promotion, or else zero. The
+	// platform need not see such a token before leases are granted.
 	firstToken kv.Revision
 }
 
 func (h *Host) coordinatorKey(group string) string { return h.ports.Keys.OwnPrefix + "duty/" + group }
 
-// runCoordinators takes duties that fall to this host, and keeps those it holds. It looks after the leases of the same
-// groups, beginning as soon as there is such a group.
+// runCoordinators acquires the coordinator roles that this host should hold and maintains those it holds, until ctx ends.
+// It also maintains the read and write leases of the same groups, starting as soon as a group exists.
 func (h *Host) runCoordinators(ctx context.Context) {
 	var wait sync.WaitGroup
 	defer wait.Wait()
@@ -119,16 +121,16 @@
 	h.coordinatorLease.end()
 }
 
-// heldCoordinators returns the duties that the host holds.
+// heldCoordinators returns the coordinators of the groups whose role the host holds.
 func (h *Host) heldCoordinators() []*coordinator {
 	h.mu.Lock()
-	duties := slices.Collect(maps.Values(h.coordinators))
+	all := slices.Collect(maps.Values(h.coordinators))
 	h.mu.Unlock()
-	return slices.DeleteFunc(duties, func(d *coordinator) bool { return !d.isHeld() })
+	return slices.DeleteFunc(all, func(d *coordinator) bool { return !d.isHeld() })
 }
 
-// awaitCoordinatorPoll waits until the duties are to be looked at again, or a Group has come into being. It returns false when ctx
-// ended.
+// awaitCoordinatorPoll waits until the roles are to be checked again or a Group has been created. It returns false once ctx
+// has ended.
 func (h *Host) awaitCoordinatorPoll(ctx context.Context) bool {
 	due := time.NewTimer(coordinatorPollInterval)
 	defer due.Stop()
@@ -141,17 +143,17 @@
 	return true
 }
 
-// step does what is due about the duty, and reports whether it is to be taken.
-func (d *coordinator) step(ctx context.Context) (takes bool) {
+// step takes the next action that the state of the role calls for, and reports whether the role is to be acquired.
+func (d *coordinator) step(ctx context.Context) (acquire bool) {
 	now := d.host.now()
 	state, holder := d.state()
 	switch state.Next() {
 	case leadership.LoseToRestore:
 		d.loseRole(reasonStoreRestored)
 	case leadership.LoseToHolder:
-		d.loseRole("taken by " + holder)
+		d.loseRole("acquired by " + holder)
 	case leadership.LoseToRemoval:
-		d.loseRole("entry taken away")
+		d.loseRole("entry removed")
 	case leadership.ResignDuty:
 		d.resign(ctx)
 	case leadership.InheritRecord:
@@ -166,23 +168,24 @@
 	return false
 }
 
-// state returns what is known of the duty, and the host that its entry names.
+// state returns the known state of the role and the host that its entry names.
 func (d *coordinator) state() (s leadership.DutyState, holder string) {
 	h := d.host
 	h.mu.Lock()
 	entry, _ := h.storeView.Item(h.coordinatorKey(d.group.name))
-	known, informed := h.storeView.Revision(), h.storeView.Recent()
+	revision, recent := h.storeView.Revision(), h.storeView.Recent()
 	h.mu.Unlock()
 	holder = string(entry.Value)
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return leadership.DutyState{
-		Held: d.held, Token: d.token, EntryRevision: entry.Revision, OwnEntry: holder == h.settings.Host, StoreRevision: known,
-		Stopping: h.stopping.Load(), MayTakeDuty: h.mayCoordinate(), Candidate: h.isCandidate(d.group.name), UpToDate: informed, RecordInherited: d.recordRevision != 0,
+		Held: d.held, Token: d.token, EntryRevision: entry.Revision, OwnEntry: holder == h.settings.Host, StoreRevision: revision,
+		Stopping: h.stopping.Load(), MayTakeDuty: h.mayCoordinate(), Candidate: h.isCandidate(d.group.name), UpToDate: recent, RecordInherited: d.recordRevision != 0,
 	}, holder
 }
 
-// mayClaim reports whether nobody has held the duty for as long as hosts of a higher rank are given to take it.
+// mayClaim reports whether the role has been vacant for as long as higher-ranked hosts are given to acquire it, and no
+// backoff is running.
 func (d *coordinator) mayClaim(now time.Time) bool {
 	if d.vacantSince.IsZero() {
 		d.vacantSince = now
@@ -192,10 +195,10 @@
 	return now.Sub(d.vacantSince) >= wait && !now.Before(d.nextAcquireAt)
 }
 
-// isCandidate reports whether the host is among the first that take a group's duty when nobody holds it.
+// isCandidate reports whether the host is among the highest-ranked hosts, which acquire a group's vacant role first.
 func (h *Host) isCandidate(name string) bool { return h.ports.Peers == nil || h.fleet.Candidate(name) }
 
-// mayCoordinate reports whether the host may take on duties.
+// mayCoordinate reports whether the host may acquire coordinator roles.
 func (h *Host) mayCoordinate() bool { return !h.stopping.Load() && h.synced.Load() }
 
 func (d *coordinator) tryInheritRecord(ctx context.Context) {
@@ -204,14 +207,14 @@
 	}
 }
 
-// resign gives the duty up while the host goes on for a while. The leases on the primary
-// end first, since the next holder does not know them.
+// resign hands the role back in the background, while the host keeps running for a while. The leases on the primary end
+// first, since the next coordinator does not know them.
 func (d *coordinator) resign(ctx context.Context) {
 	d.mu.Lock()
-	again := d.resigning
+	already := d.resigning
 	d.resigning = true
 	d.mu.Unlock()
-	if again {
+	if already {
 		return
 	}
 	go func() {
@@ -223,21 +226,23 @@
 	}()
 }
 
-// acquireFailed puts the next try off. wrote is true if the outcome may be another one.
-func (d *coordinator) acquireFailed(err error, wrote bool) {
+// acquireFailed delays the next attempt to acquire the role. sent is true if the write was sent, so that it may have
+// taken effect unless err is ErrConflict.
+func (d *coordinator) acquireFailed(err error, sent bool) {
 	d.log("duty_not_taken", "err", err)
 	d.mu.Lock()
-	d.writeUncertain = d.writeUncertain || wrote && !errors.Is(err, ErrConflict)
+	d.writeUncertain = d.writeUncertain || sent && !errors.Is(err, ErrConflict)
 	d.mu.Unlock()
 	d.vacantSince, d.recordSeparately = d.host.now(), true
 	d.acquireBackoff = min(max(2*d.acquireBackoff, minAcquireBackoff), maxAcquireBackoff)
 	d.nextAcquireAt = d.vacantSince.Add(d.acquireBackoff)
 }
 
-// errEntryLost means that the duty's entry is not this host's any more.
-var errEntryLost = errors.New("the duty's entry is gone or another host's")
+// errEntryLost means that the role's entry no longer belongs to this host.
+var errEntryLost = errors.New("the coordinator entry was removed or belongs to another host")
 
-// checkEntry looks at the duty's entry.
+// checkEntry reads the role's entry from the store. It returns errEntryLost if the entry is no longer the one that this
+// host wrote.
 func (d *coordinator) checkEntry(ctx context.Context) error {
 	key := d.host.coordinatorKey(d.group.name)
 	i, err := d.host.readKey(ctx, key)
@@ -252,23 +257,24 @@
 	return nil
 }
 
-// reasonStoreRestored is why a duty is lost when the store came back from an older copy.
-const reasonStoreRestored = "the store came back from an older copy"
+// reasonStoreRestored is the reason that is logged when a role is lost because the store was restored from an older copy.
+const reasonStoreRestored = "the store was restored from an older copy"
 
-// errStoreRestored means that a write was carried out in another epoch than the duty was taken in.
+// errStoreRestored means that a write was carried out in another epoch than the one in which the role was acquired.
 var errStoreRestored = errors.New(reasonStoreRestored)
 
-// commitInEpoch carries a transaction out under the duty that was taken in an epoch, as Store.Commit does. In another epoch the
-// number that was compared may have stood for another content: such a write says nothing.
-func (d *coordinator) commitInEpoch(ctx context.Context, taken kv.Epoch, t kv.Transaction) (kv.Revision, error) {
+// commitInEpoch commits a transaction as Store.Commit does, for a role that was acquired in the given epoch. It returns
+// errStoreRestored if the write was carried out in another epoch: the revision that the precondition compared may have
+// stood for another value there, so that the write proves nothing.
+func (d *coordinator) commitInEpoch(ctx context.Context, acquired kv.Epoch, t kv.Transaction) (kv.Revision, error) {
 	written, err := d.host.ports.Store.Commit(ctx, t)
-	if err == nil && written.Epoch() != taken {
-		return 0, errors.Wrapf(errStoreRestored, "written at %v, taken in epoch %d", written, taken)
+	if err == nil && written.Epoch() != acquired {
+		return 0, errors.Wrapf(errStoreRestored, "written at %v, role acquired in epoch %d", written, acquired)
 	}
 	return written, err
 }
 
-// loseRole records that the duty is no longer this host's.
+// loseRole records that this host no longer holds the role, and logs why if it held it.
 func (d *coordinator) loseRole(why string) {
 	d.mu.Lock()
 	held := d.held
@@ -280,35 +286,35 @@
 	}
 }
 
-// acquiredTime returns when the duty was last taken.
+// acquiredTime returns when the role was last acquired.
 func (d *coordinator) acquiredTime() time.Time {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.acquiredAt
 }
 
-// acquiredEpoch returns the epoch in which the duty was taken.
+// acquiredEpoch returns the epoch in which the role was acquired.
 func (d *coordinator) acquiredEpoch() kv.Epoch {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.token.Epoch()
 }
 
-// wasSoleHolder reports whether nobody else can have held the duty at the given time, and replaced a primary.
+// wasSoleHolder reports whether no other host can have held the role, and replaced a primary, at the given time.
 func (d *coordinator) wasSoleHolder(at time.Time) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.held && at.Before(d.soleHolderUntil())
 }
 
-// soleHolderUntil returns until when this host may grant leases, and order without a token that the platform
-// checks. d.mu is held.
+// soleHolderUntil returns until when this host may grant leases, and may request promotions on a platform that checks no
+// fencing tokens. d.mu must be held.
 func (d *coordinator) soleHolderUntil() time.Time { return d.renewedAt.Add(leadership.DutyValidity) }
 
-// unrecordedPromotionsUntil returns until when an earlier holder may have ordered without a record: until
-// the platform had seen this host's token, until this process began if the holder was an earlier one of
-// the same host's, or the zero time if the holder had given the duty back. It returns false while the
-// platform has not seen it.
+// unrecordedPromotionsUntil returns until when an earlier coordinator may have requested promotions without recording
+// them: the time at which the platform saw this host's token, the start of this process if the earlier coordinator was a
+// process of the same host, or the zero time if it had handed the role back. It returns false while the platform has not
+// seen this host's token.
 func (d *coordinator) unrecordedPromotionsUntil() (time.Time, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -321,9 +327,9 @@
 	return d.tokenRaisedAt, !d.tokenRaisedAt.IsZero()
 }
 
-// predecessorLeasesEnd returns when the leases have ended that earlier holders may have granted: at once if the one
-// before had given the duty back, soon after its process ended if it was this host's, and else once it
-// can't be certain of its duty any more.
+// predecessorLeasesEnd returns when the leases that earlier coordinators may have granted have ended: the zero time if the
+// previous one handed the role back, one lease duration after the start of this process if it was a process of this
+// host, and else the time at which it can no longer rely on its role.
 func (d *coordinator) predecessorLeasesEnd() time.Time {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -336,17 +342,16 @@
 	return d.acquiredAt.Add(leadership.DutyValidity)
 }
 
-// isHeld reports whether this host took the duty and knows of no other holder.
+// isHeld reports whether this host has acquired the role and has not seen that it was lost.
 func (d *coordinator) isHeld() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.held
 }
 
-// mayPromote reports whether this host may order promotions. Where the platform checks
-// fencing tokens, a holder goes on while it can't renew: whoever takes over raises
-// the token first, and its own orders are refused from then on. That lets a
-// holder act while the store is down. Elsewhere only a running lease counts.
+// mayPromote reports whether this host may request promotions. If the platform checks fencing tokens, a coordinator
+// continues while it can't renew its role, so that it can act while the store is down: a successor raises the token first,
+// and the platform refuses this host's requests from then on. Otherwise the role must have been renewed recently.
 func (d *coordinator) mayPromote() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/gateway/coordinator_lease.go
+++ b/internal/gateway/coordinator_lease.go
@@ -12,18 +12,20 @@
 	"pearlatch/internal/pause"
 )
 
-// coordinatorLease is the lease under which the entries of all duties of a host stand.
+// coordinatorLease is the store lease under the entries of all coordinator roles of a host.
 type coordinatorLease struct {
 	host *Host
 
 	mu    sync.Mutex
 	lease int64
-	// renewedAt is when the last renewal that succeeded, or the grant, was asked for; triedAt is when one was last tried.
+	// renewedAt is when the grant or the last successful renewal was requested. triedAt is when the grant or a renewal
+	// was last attempted.
 	renewedAt, triedAt time.Time
 }
 
-// ensure returns the lease and when it was last renewed, after opening one if there is none. While it can't be renewed no
-// duty is to be taken under it. One goroutine calls it.
+// ensure returns the lease and when it was last renewed. It requests a new lease if there is none or the last one has
+// expired. While a renewal is overdue it returns errLeaseNotRenewed, since no role must be acquired under a lease that is
+// about to end. It must be called from a single goroutine.
 func (l *coordinatorLease) ensure(ctx context.Context) (lease int64, renewed time.Time, err error) {
 	now := l.host.now()
 	l.mu.Lock()
@@ -47,10 +49,10 @@
 	return lease, now, nil
 }
 
-// errLeaseNotRenewed means that the lease of a host's duties is about to end.
-var errLeaseNotRenewed = errors.New("the lease of the host's duties can't be renewed")
+// errLeaseNotRenewed means that the coordinator lease was not renewed in time and is about to end.
+var errLeaseNotRenewed = errors.New("the coordinator lease can't be renewed")
 
-// forget drops a lease that has ended.
+// forget drops the lease, which has ended, unless a newer one has replaced it.
 func (l *coordinatorLease) forget(lease int64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -59,7 +61,7 @@
 	}
 }
 
-// end gives the lease back, and with it what stands under it.
+// end revokes the lease in the store, which removes the entries under it.
 func (l *coordinatorLease) end() {
 	l.mu.Lock()
 	lease := l.lease
@@ -68,7 +70,7 @@
 	l.host.endStoreLease(lease)
 }
 
-// renewalDue returns the lease if it is to be renewed.
+// renewalDue returns the lease, and whether it is to be renewed now.
 func (l *coordinatorLease) renewalDue() (lease int64, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -76,11 +78,11 @@
 	return l.lease, l.lease != 0 && leadership.RenewalDue(now.Sub(l.renewedAt), now.Sub(l.triedAt))
 }
 
-// renew renews the lease and returns the epoch in which it stands, and when the renewal was asked for.
-func (l *coordinatorLease) renew(ctx context.Context, lease int64) (epoch kv.Epoch, asked time.Time, err error) {
-	asked = l.host.now()
+// renew renews the lease. It returns the epoch in which the lease exists and when the renewal was requested.
+func (l *coordinatorLease) renew(ctx context.Context, lease int64) (epoch kv.Epoch, requested time.Time, err error) {
+	requested = l.host.now()
 	l.mu.Lock()
-	l.triedAt = asked
+	l.triedAt = requested
 	l.mu.Unlock()
 	epoch, err = l.host.renewStoreLease(ctx, lease)
 	if errors.Is(err, ErrNoLease) {
@@ -89,13 +91,13 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if err == nil && l.lease == lease {
-		l.renewedAt = asked
+		l.renewedAt = requested
 	}
-	return epoch, asked, err
+	return epoch, requested, err
 }
 
-// keepCoordinatorLease renews the lease for as long as duties stand under it. It waits for nothing else, so that calls which take
-// long lose no duty.
+// keepCoordinatorLease renews the lease while the host holds any role, until ctx ends. It waits for nothing else, so that slow
+// calls elsewhere lose no role.
 func (h *Host) keepCoordinatorLease(ctx context.Context) {
 	for pause.For(ctx, coordinatorPollInterval) {
 		if held := h.heldCoordinators(); len(held) > 0 {
@@ -104,35 +106,36 @@
 	}
 }
 
-// renewCoordinators renews the lease of the duties if that is due.
+// renewCoordinators renews the lease if that is due, and applies the result to the given roles.
 func (h *Host) renewCoordinators(ctx context.Context, held []*coordinator) {
 	lease, due := h.coordinatorLease.renewalDue()
 	if !due {
 		return
 	}
-	epoch, asked, err := h.coordinatorLease.renew(ctx, lease)
+	epoch, requested, err := h.coordinatorLease.renew(ctx, lease)
 	if err != nil {
 		h.log("duties_not_renewed", "duties", len(held), "err", err)
 	}
 	var wait sync.WaitGroup
 	for _, d := range held {
 		if d.usesLease(lease) {
-			wait.Go(func() { d.applyRenewal(ctx, asked, epoch, err) })
+			wait.Go(func() { d.applyRenewal(ctx, requested, epoch, err) })
 		}
 	}
 	wait.Wait()
 }
 
-// usesLease reports whether the duty's entry stands under the lease.
+// usesLease reports whether the role is held and its entry is under the lease.
 func (d *coordinator) usesLease(lease int64) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.held && d.lease == lease
 }
 
-// applyRenewal takes over the outcome of a renewal of the lease. After one that failed, the platform may have taken the
-// entry away and kept the lease, so that the next one succeeds: the entry itself is looked at then.
-func (d *coordinator) applyRenewal(ctx context.Context, asked time.Time, epoch kv.Epoch, err error) {
+// applyRenewal applies the result of a renewal of the lease to the role. While renewals failed, the platform may have
+// removed the entry and kept the lease, so that a later renewal succeeds although the role is lost. The first successful
+// renewal after a failed one therefore also checks the entry.
+func (d *coordinator) applyRenewal(ctx context.Context, requested time.Time, epoch kv.Epoch, err error) {
 	d.mu.Lock()
 	unbroken := d.renewalsUnbroken
 	d.renewalsUnbroken = unbroken && err == nil
@@ -144,14 +147,14 @@
 	case err != nil:
 		return
 	case epoch != d.acquiredEpoch():
-		// The copy may have the lease and not the entry, so that others can take the duty meanwhile.
+		// The restored copy may have the lease but not the entry, so that another host can have acquired the role.
 		d.loseRole(reasonStoreRestored)
 		return
 	case !unbroken:
-		asked = d.host.now()
+		requested = d.host.now()
 		switch err := d.checkEntry(ctx); {
 		case errors.Is(err, errEntryLost):
-			d.loseRole("entry taken away")
+			d.loseRole("entry removed")
 			return
 		case err != nil:
 			d.log("duty_not_renewed", "err", err)
@@ -160,6 +163,6 @@
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.renewalsUnbroken, d.renewedAt = true, asked
-	d.host.quotas.Renewed(d.group.name, asked)
+	d.renewalsUnbroken, d.renewedAt = true, requested
+	d.host.quotas.Renewed(d.group.name, requested)
 }
--- a/internal/gateway/failover.go
+++ b/internal/gateway/failover.go
@@ -9,14 +9,15 @@
 	"pearlatch/core/group"
 )
 
-// failover promotes a replica in place of a primary that does not serve. The members
-// were listed at the given time, and answered since.
-func (w *groupMonitor) failover(ctx context.Context, started time.Time, answers []controlResult) {
-	// What became of the leases that were taken back, the next answer tells. A member that leads, and was
-	// taken for replaced by mistake, must be believed again.
+// failover promotes a replica in place of a primary that does not serve. The members were listed at listedAt and have
+// answered since then.
+func (w *groupMonitor) failover(ctx context.Context, listedAt time.Time, answers []controlResult) {
+	// Revoking the leases marks the primary as being replaced. Whatever the outcome, the marks are cleared, and the members'
+	// next answers show which one leads. Otherwise a member that leads but was marked by mistake would never be trusted
+	// again.
 	defer w.group.clearAllReplacements()
 	if !w.revokeLeases(ctx, false) {
-		w.log("failover_off", "why", "the duty is not certain")
+		w.log("failover_off", "why", "the coordinator role is not certain")
 		return
 	}
 	term := max(highestTerm(answers), w.group.highestSeenTerm()) + 1
@@ -38,21 +39,21 @@
 		return
 	}
 	w.log("successor", "member", best, "term", term, "answers", formatResults(fenced),
-		"found_ms", w.host.now().Sub(started).Milliseconds())
-	w.promote(ctx, best, successorChoice{listedAt: started, received: receivedBy(best, fenced)})
+		"found_ms", w.host.now().Sub(listedAt).Milliseconds())
+	w.promote(ctx, best, successorChoice{listedAt: listedAt, received: receivedBy(best, fenced)})
 }
 
-// confirmFences asks the replicas once more after all of them were fenced. One that was started
-// again meanwhile has forgotten its fence, and may have acknowledged a write that hosts without
-// a lease let stand, since the others were not fenced yet.
+// confirmFences asks the replicas again after all of them were fenced. A replica that was restarted in between has lost
+// its fence, and may have acknowledged a write that hosts without a lease accepted, since the other replicas were not
+// fenced yet. Its answer gets errFenceLost.
 func (w *groupMonitor) confirmFences(term group.Term, fenced []controlResult) []controlResult {
-	var again []Member
+	var reached []Member
 	for _, a := range fenced {
 		if a.err == nil {
-			again = append(again, a.member)
+			reached = append(reached, a.member)
 		}
 	}
-	out := w.group.controlAll(again, Probe{}, controlTimeout)
+	out := w.group.controlAll(reached, Probe{}, controlTimeout)
 	for i, a := range out {
 		if a.err == nil && a.status.Fenced < term {
 			out[i].err = errFenceLost
@@ -69,8 +70,9 @@
 // errFenceLost means that a member is no longer fenced.
 var errFenceLost = errors.New("the member has lost its fence")
 
-// chooseSuccessor returns the member to promote: a fenced replica, or one that holds what a
-// primary held that has been demoted. If nobody else does, that one leads again.
+// chooseSuccessor returns the member to promote: a replica that is safe to promote going by the fenced replicas alone, or
+// else one that holds everything that the demoted old primary held. If there is none, the old primary is chosen to lead
+// again unless it is leaving.
 func (w *groupMonitor) chooseSuccessor(answers, fenced []controlResult) (string, bool) {
 	if best, ok := group.Successor(nil, w.standbys(fenced)); ok {
 		return best.Member, true
@@ -86,7 +88,7 @@
 	return w.primary.ID, !w.primary.Leaving
 }
 
-// receivedBy returns the end of the member's log among the answers, or the zero position.
+// receivedBy returns the end of the member's log according to the answers, or the zero position if it is not among them.
 func receivedBy(id string, answers []controlResult) group.Position {
 	for _, a := range answers {
 		if a.member.ID == id {
@@ -96,9 +98,9 @@
 	return group.Position{}
 }
 
-// otherPrimarySeen reports whether the primary that is to be replaced is not the last one: a
-// member leads that it took for a replica, or one has led in a later term and can't
-// be told from a replica now. Replicas would then acknowledge to an unknown primary.
+// otherPrimarySeen reports whether the primary to be replaced may not be the latest one: a member that was taken for a
+// replica leads, or a term newer than any seen appeared while some members don't answer, so that one of these may
+// lead. Replicas would then acknowledge writes of an unknown primary.
 func (w *groupMonitor) otherPrimarySeen(answers []controlResult) bool {
 	for _, a := range answers {
 		if a.err == nil && a.status.IsPrimary {
@@ -110,14 +112,13 @@
 	return highestTerm(answers) > w.group.highestSeenTerm() && countFailed(answers) > 0
 }
 
-// standbys turns answers of fenced replicas into what the choice of a successor
-// needs.
+// standbys converts answers of fenced replicas into the input for the choice of a successor.
 func (w *groupMonitor) standbys(answers []controlResult) []group.Standby {
 	lost := w.group.lostMembers()
 	var out []group.Standby
 	for _, a := range answers {
 		if a.err != nil && lost[a.member.ID] && w.group.hasEnded(a) {
-			continue // it has left: what it may have acknowledged is asked of Complete
+			continue // it has left; Complete says whether another log covers what it may have acknowledged
 		}
 		out = append(out, group.Standby{
 			Member: a.member.ID, Answered: a.err == nil, Fenced: a.err == nil, Received: a.status.Received,
--- a/internal/gateway/floor.go
+++ b/internal/gateway/floor.go
@@ -8,7 +8,7 @@
 	"pearlatch/core/leadership"
 )
 
-// noteDeparture records that a replica may have gone with its log.
+// noteDeparture records that a member may have left with its log, or lost its log, at the given time. g.mu must be held.
 func (g *Group) noteDeparture(at time.Time) {
 	g.departedAt, g.departedRevision = laterTime(g.departedAt, at), kv.Revision(g.storeRevision.Load())
 }
@@ -20,23 +20,23 @@
 	return b
 }
 
-// floorValid reports whether the floor covers all members that have left, and those that are
-// missing: they may have left. One that is back under the same birth took nothing along, so that
-// entries which lapsed while the store was away cost no more than that.
+// floorValid reports whether the floor covers all members that have left, and those that are missing, since these may have
+// left. A member that is back in the same incarnation has lost nothing, so entries that expire while the store is down
+// make the floor invalid only until they are back. g.mu must be held.
 func (g *Group) floorValid() bool {
 	if g.floor == (group.Position{}) || !g.floorAt.After(g.departedAt) {
 		return false
 	}
 	for _, m := range g.sortedMembers {
-		if left := m.possiblyLeftAt(); !left.IsZero() && !g.floorAt.After(left) {
+		if leftAt := m.possiblyLeftAt(); !leftAt.IsZero() && !g.floorAt.After(leftAt) {
 			return false
 		}
 	}
 	return true
 }
 
-// treatMissingPrimariesAsReplicas counts members as replicas that the platform lost sight of while they led:
-// since another one leads, they have acknowledged for that one.
+// treatMissingPrimariesAsReplicas counts members that went missing while they led as missing replicas, now that another
+// member leads: they may have acknowledged its writes. g.mu must be held.
 func (g *Group) treatMissingPrimariesAsReplicas(leader string) {
 	for _, m := range g.missingMembers() {
 		if m.ID != leader {
@@ -45,16 +45,15 @@
 	}
 }
 
-// coversDeparted reports whether a log that ends at p holds everything that members
-// acknowledged which have left since.
+// coversDeparted reports whether a log that ends at p is known to hold everything that departed members acknowledged.
 func (g *Group) coversDeparted(p group.Position) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.floorValid() && p.Compare(g.floor) >= 0
 }
 
-// inheritFloor takes over what the record of an earlier holder says of the log that a
-// successor must have.
+// inheritFloor keeps the record of an earlier coordinator, written at the revision, and adopts its floor as soon as that is
+// possible.
 func (g *Group) inheritFloor(r leadership.Record, revision kv.Revision) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -62,7 +61,8 @@
 	g.tryAdoptFloor()
 }
 
-// tryAdoptFloor adopts the inherited floor once all its members are listed, unless one has left since.
+// tryAdoptFloor adopts the floor of the inherited record once all members of the record are listed, unless a member has
+// left since the record was written. g.mu must be held.
 func (g *Group) tryAdoptFloor() {
 	if g.inheritedRevision == 0 || g.departedRevision >= g.inheritedRevision || g.floorValid() || !g.inheritedRecord.FloorValidFor(g.listedIncarnations()) {
 		return
@@ -77,7 +77,7 @@
 	g.inheritedRevision = 0
 }
 
-// listedIncarnations returns the members that are listed.
+// listedIncarnations returns the incarnations of the listed members. g.mu must be held.
 func (g *Group) listedIncarnations() []leadership.Incarnation {
 	var out []leadership.Incarnation
 	for _, m := range g.sortedMembers {
@@ -88,15 +88,15 @@
 	return out
 }
 
-// successorRequirements returns what a successor of the primary must hold, as it is to be
-// recorded, or false while that is not known.
+// successorRequirements returns the record's term, members and floor, which say what a successor of the primary must hold,
+// or false while they are not known for certain.
 func (g *Group) successorRequirements() (leadership.Record, bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return leadership.Record{Term: g.primaryTerm, Members: g.listedIncarnations(), Floor: g.floor}, g.floorValid() && len(g.missingMembers()) == 0
 }
 
-// missingMembers returns the members that the platform has lost sight of.
+// missingMembers returns the members that the platform no longer lists but that may still be running. g.mu must be held.
 func (g *Group) missingMembers() []*member {
 	var out []*member
 	for _, m := range g.sortedMembers {
@@ -107,8 +107,9 @@
 	return out
 }
 
-// renewFloor records that a primary leads which was chosen among the members listed at
-// some time: its log then held whatever members had acknowledged that left before.
+// renewFloor sets the floor after the promotion of a chosen successor. When the successor was chosen, its log held
+// everything that members which had left before had acknowledged. The floor stays as it is if the basis of the choice is
+// not known or a member has left since the members were listed.
 func (g *Group) renewFloor(c successorChoice) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/gateway/promotion.go
+++ b/internal/gateway/promotion.go
@@ -10,60 +10,62 @@
 	"pearlatch/internal/pause"
 )
 
-// successorChoice says on what a successor was chosen. The zero value says nothing.
+// successorChoice is the basis on which a successor of the primary was chosen. The zero value means that it is not known.
 type successorChoice struct {
-	// listedAt is when the members were listed out of which it was chosen.
+	// listedAt is when the members from which it was chosen were listed.
 	listedAt time.Time
-	// received is the end of its log then.
+	// received is the end of the successor's log when it was chosen.
 	received group.Position
 }
 
-// promote orders the promotion and waits until the member leads. It returns false if it gave no
-// order.
-func (w *groupMonitor) promote(ctx context.Context, id string, c successorChoice) (given bool) {
-	if open := w.pendingPromotion(); open != "" && open != id {
-		if s, err := w.probe(open); err == nil && s.Received.Compare(c.received) >= 0 {
-			// The order for that member may be carried out at any moment. It lacks
-			// nothing, so it is ordered again.
-			id, c = open, successorChoice{}
+// promote requests the promotion of the member and waits until it leads, for up to promotionTimeout. If another member's
+// promotion is pending, it either requests that one again or invalidates it first. It returns false if it requested no
+// promotion.
+func (w *groupMonitor) promote(ctx context.Context, id string, c successorChoice) (requested bool) {
+	if pending := w.pendingPromotion(); pending != "" && pending != id {
+		if s, err := w.probe(pending); err == nil && s.Received.Compare(c.received) >= 0 {
+			// The pending promotion may be carried out at any moment. That member lacks nothing, so its promotion is
+			// requested again.
+			id, c = pending, successorChoice{}
 		} else if err := w.invalidatePromotion(ctx); err != nil {
-			w.log("promotion_held_back", "member", id, "open", open, "err", err)
+			w.log("promotion_held_back", "member", id, "open", pending, "err", err)
 			return false
 		}
 	}
 	if err := w.recordPromotion(ctx, id); err != nil {
 		w.log("order_not_recorded", "member", id, "err", err)
 		if !w.host.settings.PromotionTokens {
-			return false // the next holder would not know of the order
+			return false // the next coordinator would not know of the promotion
 		}
 	}
 	started := w.host.now()
 	for w.mayPromote() && ctx.Err() == nil && w.host.now().Sub(started) < promotionTimeout {
-		given = true
+		requested = true
 		if !w.requestPromotion(ctx, id) {
-			return given
+			return requested
 		}
-		if led, ok := w.awaitPromoted(ctx, id); ok {
-			w.recordPrimaryAnswer(led)
-			w.demotePredecessor(id, led.status.Term)
-			w.primary = led.member
+		if answer, ok := w.awaitPromoted(ctx, id); ok {
+			w.recordPrimaryAnswer(answer)
+			w.demotePredecessor(id, answer.status.Term)
+			w.primary = answer.member
 			w.group.metrics.promotion(w.group.name, "led", w.host.now().Sub(started))
 			w.log("promoted", "member", id, "took_ms", w.host.now().Sub(started).Milliseconds())
 			w.clearPendingPromotion()
-			// What the old primary wrote alone is gone: it says nothing against the new one.
+			// Writes that only the old primary had are lost, so a position that no replica had received does not
+			// count against the new primary.
 			w.silentRounds, w.unreceivedPosition = 0, group.Position{}
 			w.group.renewFloor(c)
-			return given
+			return requested
 		}
 	}
 	w.group.metrics.promotion(w.group.name, "open", w.host.now().Sub(started))
 	w.log("promotion_open", "member", id)
-	return given
+	return requested
 }
 
-// invalidatePromotion makes sure that an open order for a member that is gone is not carried out late,
-// when the member is back: by a higher token, which makes the platform refuse it, or by time
-// where the platform checks no tokens.
+// invalidatePromotion makes sure that a pending promotion of a member that does not answer, or is behind, is not carried out
+// later, for example when the member is back. If the platform checks fencing tokens, it takes a higher token, which makes
+// the platform refuse the old request. Otherwise it returns errPromotionPending until the request is too old.
 func (w *groupMonitor) invalidatePromotion(ctx context.Context) error {
 	if w.host.settings.PromotionTokens {
 		return w.renewToken(ctx)
@@ -74,19 +76,19 @@
 	return nil
 }
 
-// errPromotionPending means that an earlier order may still be carried out.
-var errPromotionPending = errors.New("an earlier order may still be carried out")
+// errPromotionPending means that an earlier promotion may still be carried out.
+var errPromotionPending = errors.New("an earlier promotion may still be carried out")
 
-// resumePromotion gives an open order again while the primary before still leads, since it may be
-// carried out at any moment. The fences that make it safe stay. If one is missing, the order was
-// given up or a replica was started again: then all but the member are fenced anew, and it must
-// first receive what the primary has.
-func (w *groupMonitor) resumePromotion(ctx context.Context, open string, primary controlResult, replicas []controlResult) {
+// resumePromotion requests a pending promotion again while the old primary still leads, since the earlier request may be
+// carried out at any moment. The fences that make the promotion safe stay in place. If a replica is not fenced, the
+// promotion was abandoned or the replica was restarted: all replicas but the pending member are fenced again, and that
+// member must first receive everything that the primary has.
+func (w *groupMonitor) resumePromotion(ctx context.Context, pending string, primary controlResult, replicas []controlResult) {
 	var unfenced []Member
 	target := controlResult{err: errNotAsked}
 	for _, r := range replicas {
 		switch {
-		case r.member.ID == open:
+		case r.member.ID == pending:
 			target = r
 		case r.err != nil || r.status.Fenced <= primary.status.Term:
 			unfenced = append(unfenced, r.member)
@@ -95,20 +97,20 @@
 	if len(unfenced) > 0 {
 		w.group.controlAll(unfenced, Fence{Term: max(highestTerm(replicas), primary.status.Term) + 1}, controlTimeout)
 		if target.err != nil || target.status.Received.Compare(primary.status.Received) < 0 {
-			w.log("order_awaits_log", "member", open, "unfenced", len(unfenced))
+			w.log("order_awaits_log", "member", pending, "unfenced", len(unfenced))
 			return
 		}
 	}
-	w.promote(ctx, open, successorChoice{})
+	w.promote(ctx, pending, successorChoice{})
 }
 
-// isReachable reports whether the member answers.
+// isReachable reports whether the member answers, even if only with a failure.
 func (w *groupMonitor) isReachable(id string) bool {
 	_, err := w.probe(id)
 	return err == nil || isMemberFailure(err)
 }
 
-// probe asks the member for its status.
+// probe asks the member for its status. It returns errNotAsked for an unknown member.
 func (w *groupMonitor) probe(id string) (Status, error) {
 	m, ok := w.group.lookupMember(id)
 	if !ok {
@@ -117,14 +119,15 @@
 	return w.group.control(m, Probe{}, controlTimeout)
 }
 
-// requestPromotion names the successor to the platform. It returns false when the order was
-// refused.
+// requestPromotion asks the platform to promote the member. It returns false if the platform refused the token, or if the
+// role was lost since the round began so that nothing was requested. An unanswered request counts as made.
 func (w *groupMonitor) requestPromotion(ctx context.Context, id string) bool {
 	w.mu.Lock()
 	if !w.held || !w.acquiredAt.Equal(w.roundAcquiredAt) {
-		// Lost and taken again since the round began: leases may hold that this round has not waited for.
+		// The role was lost since the round began, and may have been acquired again: leases may be valid that this round
+		// has not waited for.
 		w.mu.Unlock()
-		w.log("promotion_off", "member", id, "why", "the duty was lost meanwhile")
+		w.log("promotion_off", "member", id, "why", "the coordinator role was lost since the round began")
 		return false
 	}
 	token := w.token
@@ -142,13 +145,13 @@
 		w.log("promotion_unanswered", "member", id, "token", int64(token), "err", err)
 		return true
 	}
-	// Older tokens are refused from now on. This one's order is open until the member
-	// leads.
+	// The platform refuses older tokens from now on. This token's promotion is pending until the member leads.
 	w.noteTokenRaised(token - 1)
 	return true
 }
 
-// awaitPromoted waits until the member leads, and returns its answer.
+// awaitPromoted waits until the member leads and returns its answer. It returns false after promotionRetryDelay, or when
+// ctx ends.
 func (w *groupMonitor) awaitPromoted(ctx context.Context, id string) (controlResult, bool) {
 	for until := w.host.now().Add(promotionRetryDelay); w.host.now().Before(until); {
 		if m, ok := w.group.lookupMember(id); ok {
@@ -164,8 +167,8 @@
 	return controlResult{}, false
 }
 
-// demotePredecessor tells the primary before that another member leads. Until it knows, it takes
-// writes that hang, since no replica receives them.
+// demotePredecessor tells the old primary in the background that another member leads. Until it knows, it accepts writes
+// that hang, since no replica receives them.
 func (w *groupMonitor) demotePredecessor(leader string, term group.Term) {
 	old := w.primary
 	if old.ID == "" || old.ID == leader {
--- a/internal/gateway/promotion_state.go
+++ b/internal/gateway/promotion_state.go
@@ -8,7 +8,8 @@
 	"pearlatch/core/kv"
 )
 
-// renewToken takes a higher token for another decision.
+// renewToken rewrites the role's entry to get a higher fencing token for a new decision. If the entry or its lease is no
+// longer this host's, or the store was restored, the role is lost.
 func (d *coordinator) renewToken(ctx context.Context) error {
 	d.mu.Lock()
 	token, lease := d.token, d.lease
@@ -27,7 +28,7 @@
 		d.mu.Unlock()
 	}
 	if err != nil {
-		return errors.Wrap(err, "higher token")
+		return errors.Wrap(err, "renew fencing token")
 	}
 	d.host.quotas.Raised(d.group.name, int64(revision))
 	d.mu.Lock()
@@ -36,8 +37,8 @@
 	return nil
 }
 
-// pendingPromotion returns the member that an order may still promote, or the empty string. A
-// higher token makes the platform refuse the order, where it checks tokens.
+// pendingPromotion returns the member whose promotion may still be carried out, or the empty string. If the platform checks
+// tokens and has seen a higher one, it refuses the request, so that nothing is pending.
 func (d *coordinator) pendingPromotion() string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -47,21 +48,22 @@
 	return d.pendingMember
 }
 
-// clearPendingPromotion records that no order is open any more.
+// clearPendingPromotion records that no promotion is pending any more.
 func (d *coordinator) clearPendingPromotion() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.pendingMember = ""
 }
 
-// pendingPromotionExpired reports whether the last order is too old to be carried out still.
+// pendingPromotionExpired reports whether the last promotion request is too old to be carried out. It is always false if
+// the platform checks tokens.
 func (d *coordinator) pendingPromotionExpired() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return !d.host.settings.PromotionTokens && d.host.now().Sub(d.pendingAt) > maxPromotionDelay
 }
 
-// noteTokenRaised records that the platform has seen the token.
+// noteTokenRaised records that the platform has acknowledged the token.
 func (d *coordinator) noteTokenRaised(token kv.Revision) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -71,7 +73,8 @@
 	}
 }
 
-// tokenCurrent reports whether the platform has seen the newest token, where it checks tokens, or need not.
+// tokenCurrent reports whether the platform has seen the newest token or need not see it: it checks no tokens, or no
+// earlier coordinator can have requested a promotion.
 func (d *coordinator) tokenCurrent() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/gateway/record.go
+++ b/internal/gateway/record.go
@@ -14,8 +14,8 @@
 
 func (h *Host) recordKey(group string) string { return h.recordsPrefix() + group }
 
-// keepFormerRecords keeps the records that the store has lost, or holds in an older form, for those who take a duty now. h.mu
-// is held.
+// keepFormerRecords keeps the newest version of records that the store has lost or reverted to an older version, so that
+// this host can use them if it acquires the role. h.mu must be held.
 func (h *Host) keepFormerRecords(former []kv.Item) {
 	for _, i := range former {
 		name, ok := strings.CutPrefix(i.Key, h.recordsPrefix())
@@ -33,50 +33,53 @@
 	}
 }
 
-// newestKnownRecord returns the newest record that this host knows from before the store last came back.
+// newestKnownRecord returns the newest record that this host has kept from before the store was last restored, or has
+// written itself.
 func (d *coordinator) newestKnownRecord() leadership.StoredRecord {
 	d.host.mu.Lock()
-	out := d.host.formerRecords[d.group.name]
+	newest := d.host.formerRecords[d.group.name]
 	d.host.mu.Unlock()
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.record.Revision > out.Revision {
+	if d.record.Revision > newest.Revision {
 		return d.record
 	}
-	return out
+	return newest
 }
 
-// parseStoredRecord returns the record that was read, or false if there is one that can't be read.
-func (d *coordinator) parseStoredRecord(read kv.Item) (leadership.StoredRecord, bool) {
-	if len(read.Value) == 0 {
+// parseStoredRecord decodes the stored record. A missing record is returned as the zero value and true, one that can't be
+// decoded as the zero value and false.
+func (d *coordinator) parseStoredRecord(item kv.Item) (leadership.StoredRecord, bool) {
+	if len(item.Value) == 0 {
 		return leadership.StoredRecord{}, true
 	}
-	r, err := decodeRecord(read.Value)
+	r, err := decodeRecord(item.Value)
 	if err != nil {
-		d.log("record_unreadable", "revision", read.Revision, "err", err)
+		d.log("record_unreadable", "revision", item.Revision, "err", err)
 		return leadership.StoredRecord{}, false
 	}
-	return leadership.NewStoredRecord(r, read.Revision), true
+	return leadership.NewStoredRecord(r, item.Revision), true
 }
 
-// inheritedRecord is what a holder takes over of the one before.
+// inheritedRecord is what a coordinator takes over from the previous one.
 type inheritedRecord struct {
+	// found is the newest known record of the previous coordinator.
 	found leadership.StoredRecord
-	// certain is true if no other host can have held the duty since the record was written.
+	// certain is true if no other host can have held the role since the record was written.
 	certain bool
-	// formerGranters are the hosts that may take themselves for the granter of the group's accounts.
+	// formerGranters are the hosts that may still consider themselves the granter of the group's quotas.
 	formerGranters []string
-	// record is what this holder writes in its place, so that what the one before still writes fails.
+	// record replaces the stored record, so that later writes of the previous coordinator fail.
 	record leadership.Record
 }
 
-// newInheritedRecord returns what the record says that was read in the epoch.
-func (d *coordinator) newInheritedRecord(read kv.Item, epoch kv.Epoch) inheritedRecord {
-	stored, readable := d.parseStoredRecord(read)
+// newInheritedRecord evaluates the stored record that was read in the epoch.
+func (d *coordinator) newInheritedRecord(item kv.Item, epoch kv.Epoch) inheritedRecord {
+	stored, readable := d.parseStoredRecord(item)
 	found, certain := leadership.Inherit(stored, d.newestKnownRecord(), epoch)
 	i := inheritedRecord{found: found, certain: certain && readable, formerGranters: found.Granters, record: found.Record}
 	if !i.certain {
-		// A holder that the store has forgotten may be any host.
+		// The store may have lost the entry of a later coordinator, which may have been any host.
 		i.formerGranters = leadership.Union(i.formerGranters, d.host.fleet.ListedIDs()...)
 		i.record.Grantees = leadership.Union(i.record.Grantees, i.formerGranters...)
 	}
@@ -85,33 +88,33 @@
 	return i
 }
 
-// inheritRecord reads the record of the holder before, and writes it anew under this one's name.
+// inheritRecord reads the previous coordinator's record, rewrites it with this host as the holder and adopts it.
 func (d *coordinator) inheritRecord(ctx context.Context) error {
-	read, err := d.host.readKey(ctx, d.host.recordKey(d.group.name))
+	item, err := d.host.readKey(ctx, d.host.recordKey(d.group.name))
 	if err != nil {
 		return err
 	}
-	i := d.newInheritedRecord(read, d.acquiredEpoch())
+	i := d.newInheritedRecord(item, d.acquiredEpoch())
 	call, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
-	if err := d.writeRecord(call, i.record, read.Revision, kv.Transaction{}); err != nil {
+	if err := d.writeRecord(call, i.record, item.Revision, kv.Transaction{}); err != nil {
 		return err
 	}
 	d.adoptRecord(i)
 	return nil
 }
 
-// adoptRecord takes over what the holder before has left, once it is written under this one's name.
+// adoptRecord takes over the previous coordinator's record, once it has been rewritten with this host as the holder.
 func (d *coordinator) adoptRecord(i inheritedRecord) {
 	r, found := i.record, i.found
 	d.group.inheritFloor(r, found.Revision)
 	d.group.noteTerm(r.Term)
 	d.startGranting(r.Grantees, i.formerGranters)
 	d.mu.Lock()
-	if !d.recordInherited { // later, this holder knows best which order it gave
+	if !d.recordInherited { // afterwards this host knows the pending promotion better than the store
 		d.recordInherited, d.predecessorHandedBack = true, i.certain && (found.HandedBack || found.Holder == "")
 		if i.certain && found.Holder == "" && !d.reclaimed {
-			// A holder orders nothing before it has left a record.
+			// A coordinator requests no promotion before it has written a record.
 			d.firstToken = d.token
 		}
 		d.reclaimed = d.reclaimed && i.certain && found.Holder == d.host.settings.Host
@@ -121,14 +124,14 @@
 	d.log("record_inherited", "before", found.Holder, "term", r.Term, "floor", r.Floor, "ordered", found.PendingPromotion, "written", found.Revision, "certain", i.certain)
 }
 
-// saveRecord writes the record. After an error nobody knows whether it was written, and it must
-// be inherited again.
+// saveRecord writes the record. After an error it is unknown whether the record was written, so that it must be read and
+// inherited again.
 func (d *coordinator) saveRecord(ctx context.Context, r leadership.Record) error {
 	return d.saveRecordWith(ctx, r, kv.Transaction{})
 }
 
-// saveRecordWith is saveRecord with further changes that are carried out along with it.
-func (d *coordinator) saveRecordWith(ctx context.Context, r leadership.Record, along kv.Transaction) error {
+// saveRecordWith is like saveRecord, but commits further changes in the same transaction.
+func (d *coordinator) saveRecordWith(ctx context.Context, r leadership.Record, extra kv.Transaction) error {
 	d.mu.Lock()
 	revision, last := d.recordRevision, d.record.Record
 	d.mu.Unlock()
@@ -141,22 +144,22 @@
 	if r.Granters = d.granters(last); r.HandedBack {
 		r.Granters = withoutID(r.Granters, r.Holder)
 	}
-	err := d.writeRecord(call, r, revision, along)
+	err := d.writeRecord(call, r, revision, extra)
 	if err != nil {
 		d.mu.Lock()
 		d.recordRevision = 0
 		d.mu.Unlock()
 	}
-	return errors.Wrap(err, "record of the leadership")
+	return errors.Wrap(err, "write leadership record")
 }
 
-func (d *coordinator) writeRecord(ctx context.Context, r leadership.Record, revision kv.Revision, along kv.Transaction) error {
+func (d *coordinator) writeRecord(ctx context.Context, r leadership.Record, revision kv.Revision, extra kv.Transaction) error {
 	r.Epoch = d.acquiredEpoch()
 	value, err := encodeRecord(r)
 	if err != nil {
 		return err
 	}
-	written, err := d.commitInEpoch(ctx, r.Epoch, kv.Replace(d.host.recordKey(d.group.name), revision, value, 0).Merge(along))
+	written, err := d.commitInEpoch(ctx, r.Epoch, kv.Replace(d.host.recordKey(d.group.name), revision, value, 0).Merge(extra))
 	if err != nil {
 		return err
 	}
@@ -164,29 +167,29 @@
 	return nil
 }
 
-// noteRecordWritten records what stands in the store for the next holder.
+// noteRecordWritten notes the record that is now stored for the next coordinator.
 func (d *coordinator) noteRecordWritten(r leadership.Record, written kv.Revision) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.record, d.recordRevision = leadership.StoredRecord{Record: r, Revision: written}, written
 }
 
-// knowsPromotions reports whether this host knows of all recorded orders of earlier holders.
+// knowsPromotions reports whether this host knows all recorded promotion requests of earlier coordinators.
 func (d *coordinator) knowsPromotions() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.recordInherited
 }
 
-// currentRecord returns the record as this host wrote it, or false if that is not certain.
+// currentRecord returns the record as this host last wrote it, or false if it is not certain that the store holds it.
 func (d *coordinator) currentRecord() (leadership.Record, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.record.Record, d.recordRevision != 0
 }
 
-// handBack removes the duty's entry, so that another host need not wait for it, and writes down that this holder gives
-// no more orders.
+// handBack removes the role's entry, so that another host need not wait for it to expire. If no promotion is pending, it
+// also records that this host handed the role back and requests no more promotions.
 func (w *groupMonitor) handBack() {
 	ctx, cancel := context.WithTimeout(context.Background(), storeTimeout)
 	defer cancel()
@@ -196,21 +199,22 @@
 	if !held {
 		return
 	}
-	gone := kv.Remove(w.host.coordinatorKey(w.group.name), token)
+	removal := kv.Remove(w.host.coordinatorKey(w.group.name), token)
 	if r, ok := w.currentRecord(); ok && w.pendingPromotion() == "" {
 		r.HandedBack = true
-		err := w.saveRecordWith(ctx, r, gone)
+		err := w.saveRecordWith(ctx, r, removal)
 		if err == nil {
 			return
 		}
 		w.log("record_not_written", "err", err)
 	}
-	if _, err := w.commitInEpoch(ctx, token.Epoch(), gone); err != nil {
+	if _, err := w.commitInEpoch(ctx, token.Epoch(), removal); err != nil {
 		w.log("duty_not_handed_back", "err", err)
 	}
 }
 
-// updateRecord writes the record anew when what a successor needs has changed.
+// updateRecord rewrites the record when the requirements for a successor of the primary have changed, or a recorded
+// promotion is no longer pending. It does nothing while the stored record or the requirements are not known.
 func (w *groupMonitor) updateRecord(ctx context.Context) {
 	old, ok := w.currentRecord()
 	if !ok {
@@ -226,8 +230,8 @@
 	}
 }
 
-// recordPromotion writes down that an order is about to be given. Without that the next holder
-// would take the old primary for the one that leads while the order is carried out late.
+// recordPromotion records that a promotion is about to be requested. Otherwise the next coordinator would rely on the old
+// primary although a delayed promotion may still replace it.
 func (w *groupMonitor) recordPromotion(ctx context.Context, id string) error {
 	r, ok := w.currentRecord()
 	if !ok {
@@ -240,5 +244,6 @@
 	return w.saveRecord(ctx, r)
 }
 
-// errRecordUnknown means that the record of the holder before could not be read.
-var errRecordUnknown = errors.New("the record of the leadership is not known")
+// errRecordUnknown means that it is not known what record the store holds: that of the previous coordinator was not
+// inherited yet, or a write had an unknown outcome.
+var errRecordUnknown = errors.New("the stored leadership record is not known")
--- a/internal/gateway/record_codec.go
+++ b/internal/gateway/record_codec.go
@@ -10,7 +10,7 @@
 	"pearlatch/core/leadership"
 )
 
-// The form of a leadership.Record in the store.
+// The JSON encoding of a leadership.Record in the store.
 type (
 	wireRecord struct {
 		Holder    string            `json:"holder"`
@@ -20,7 +20,7 @@
 		FloorTerm uint64            `json:"floor_term,omitempty"`
 		FloorLSN  uint64            `json:"floor_lsn,omitempty"`
 		Ordered   string            `json:"ordered,omitempty"`
-		// HandedBack is true once the holder has given the duty back.
+		// HandedBack is true once the holder has handed the role back.
 		HandedBack bool     `json:"handed_back,omitempty"`
 		Grantees   []string `json:"grantees,omitempty"`
 		Granters   []string `json:"granters,omitempty"`
@@ -45,7 +45,7 @@
 func decodeRecord(value []byte) (leadership.Record, error) {
 	var in wireRecord
 	if err := json.Unmarshal(value, &in); err != nil {
-		return leadership.Record{}, errors.Wrap(err, "record of a group's leadership")
+		return leadership.Record{}, errors.Wrap(err, "decode leadership record")
 	}
 	out := leadership.Record{
 		Holder: in.Holder, Epoch: kv.Epoch(in.Epoch), Term: group.Term(in.Term), PendingPromotion: in.Ordered, HandedBack: in.HandedBack, Grantees: in.Grantees, Granters: in.Granters,
--- a/internal/gateway/switchover.go
+++ b/internal/gateway/switchover.go
@@ -7,12 +7,11 @@
 	"pearlatch/internal/pause"
 )
 
-// switchOver replaces a leaving primary while it goes on serving: all replicas but
-// the successor are fenced, so that every write from then on is acknowledged by
-// the successor.
+// switchOver replaces a leaving primary, or another one that still serves, while it continues to serve. All replicas but
+// the switchover target are fenced, so that every later write is acknowledged by the target.
 func (w *groupMonitor) switchOver(ctx context.Context, primary controlResult, replicas []controlResult) {
 	started := w.host.now()
-	best, ok := switchoverTarget(replicas)
+	target, ok := switchoverTarget(replicas)
 	if !ok {
 		w.log("no_heir", "answers", formatResults(replicas))
 		return
@@ -20,14 +19,14 @@
 	term := highestTerm(replicas) + 1
 	var others []Member
 	for _, r := range replicas {
-		if r.member.ID != best.ID {
+		if r.member.ID != target.ID {
 			others = append(others, r.member)
 		}
 	}
 	fenced := w.group.controlAll(others, Fence{Term: term}, controlTimeout)
-	ready := w.hasReceived(best, primary.status.Received) && w.awaitCatchUp(ctx, best, nil, fenced)
-	if !ready && !w.demoteForSwitchover(ctx, term, best, fenced) {
-		w.log("heir_behind", "member", best.ID, "answers", formatResults(fenced))
+	ready := w.hasReceived(target, primary.status.Received) && w.awaitCatchUp(ctx, target, nil, fenced)
+	if !ready && !w.demoteForSwitchover(ctx, term, target, fenced) {
+		w.log("heir_behind", "member", target.ID, "answers", formatResults(fenced))
 		w.group.controlAll(others, Release{}, controlTimeout)
 		return
 	}
@@ -35,13 +34,14 @@
 		w.group.controlAll(others, Release{}, controlTimeout)
 		return
 	}
-	w.log("successor", "member", best.ID, "term", term, "planned", true)
-	if !w.promote(ctx, best.ID, successorChoice{listedAt: started, received: receivedBy(best.ID, replicas)}) {
+	w.log("successor", "member", target.ID, "term", term, "planned", true)
+	if !w.promote(ctx, target.ID, successorChoice{listedAt: started, received: receivedBy(target.ID, replicas)}) {
 		w.group.controlAll(others, Release{}, controlTimeout)
 	}
 }
 
-// switchoverTarget returns the replica that takes over from a leaving primary.
+// switchoverTarget returns the replica that is to replace a leaving primary: of those that answered and are not leaving,
+// the one with the longest log.
 func switchoverTarget(replicas []controlResult) (Member, bool) {
 	var best controlResult
 	for _, r := range replicas {
@@ -55,29 +55,30 @@
 	return best.member, best.member.ID != ""
 }
 
-// hasReceived reports whether the heir has received what the primary held a moment ago. A
-// deaf heir would lack what a replica acknowledges that comes back unfenced.
-func (w *groupMonitor) hasReceived(heir Member, position group.Position) bool {
-	s, err := w.group.control(heir, Probe{}, controlTimeout)
+// hasReceived reports whether the target has received the log up to a recent position of the primary. A target that receives
+// nothing would lack writes acknowledged by a replica that comes back unfenced.
+func (w *groupMonitor) hasReceived(target Member, position group.Position) bool {
+	s, err := w.group.control(target, Probe{}, controlTimeout)
 	return err == nil && s.Received.Compare(position) >= 0
 }
 
-// maxCatchUpRounds bounds the wait for the heir to receive what others had.
+// maxCatchUpRounds bounds the wait, in polls, for the target to receive what other members have.
 const maxCatchUpRounds = 10
 
-// awaitCatchUp reports whether the heir lacks nothing that fenced replicas, or a demoted
-// primary, hold.
-func (w *groupMonitor) awaitCatchUp(ctx context.Context, heir Member, end *group.Position, fenced []controlResult) bool {
+// awaitCatchUp waits until the target holds everything that the fenced replicas hold, and a demoted primary whose log ends at
+// end if that is not nil. It returns false if the target does not answer, is still behind after maxCatchUpRounds, or ctx
+// ends.
+func (w *groupMonitor) awaitCatchUp(ctx context.Context, target Member, end *group.Position, fenced []controlResult) bool {
 	for range maxCatchUpRounds {
-		s, err := w.group.control(heir, Probe{}, controlTimeout)
+		s, err := w.group.control(target, Probe{}, controlTimeout)
 		if err != nil {
 			return false
 		}
 		all := append(w.standbys(fenced), group.Standby{
-			Member: heir.ID, Answered: true, Received: s.Received, Complete: w.group.coversDeparted(s.Received),
+			Member: target.ID, Answered: true, Received: s.Received, Complete: w.group.coversDeparted(s.Received),
 		})
 		best, ok := group.Successor(end, all)
-		if ok && best.Member == heir.ID {
+		if ok && best.Member == target.ID {
 			return true
 		}
 		if !pause.For(ctx, promotionPollInterval) {
@@ -87,10 +88,10 @@
 	return false
 }
 
-// demoteForSwitchover makes a leaving primary a replica where a replica that doesn't answer leaves
-// open what was acknowledged, and reports whether the heir holds all that it held.
-// Otherwise the primary is to lead again.
-func (w *groupMonitor) demoteForSwitchover(ctx context.Context, term group.Term, heir Member, fenced []controlResult) bool {
+// demoteForSwitchover demotes a leaving primary if a replica doesn't answer, since it is then unknown what that replica has
+// acknowledged. It reports whether the target has received everything that the demoted primary holds. If it has not, the
+// old primary is promoted again.
+func (w *groupMonitor) demoteForSwitchover(ctx context.Context, term group.Term, target Member, fenced []controlResult) bool {
 	if countFailed(fenced) == 0 {
 		return false
 	}
@@ -99,7 +100,7 @@
 		return false
 	}
 	w.log("primary_demoted", "member", w.primary.ID, "position", s.Received)
-	if w.awaitCatchUp(ctx, heir, &s.Received, fenced) {
+	if w.awaitCatchUp(ctx, target, &s.Received, fenced) {
 		return true
 	}
 	w.promote(ctx, w.primary.ID, successorChoice{})
