--- a/internal/gateway/coordinator_lease_test.go
+++ b/internal/gateway/coordinator_lease_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// withManyGroups runs a host that takes the duties of so many groups, without members, and gives the test the site.
+// withManyGroups runs a test with a host that is the coordinator of the given number of groups without members.
 func withManyGroups(t *testing.T, groups int, test func(s *fakeSite, h *Host)) {
 	t.Helper()
 	synctest.Test(t, func(*testing.T) {
@@ -26,7 +26,7 @@
 		}()
 		time.Sleep(2 * time.Second)
 		if n := len(h.heldCoordinators()); n != groups {
-			t.Errorf("the host holds %d of %d duties", n, groups)
+			t.Errorf("the host holds %d of %d roles", n, groups)
 		}
 		test(s, h)
 		cancel()
@@ -35,16 +35,16 @@
 	})
 }
 
-// A host took and renewed each of its duties by itself: five calls to take one, and a renewal a second for each, so that
-// what a fleet asks of the store grew with its groups.
+// When a host acquires and renews each role by itself, with five calls to acquire one and a renewal a second for each, the
+// load on the store grows with the number of groups.
 func TestCoordinatorRolesAreAcquiredAndRenewedInBatches(t *testing.T) {
 	withManyGroups(t, 40, func(s *fakeSite, _ *Host) {
 		s.mu.Lock()
-		taken := s.commits
+		commits := s.commits
 		s.renewals = 0
 		s.mu.Unlock()
-		if taken > 10 {
-			t.Errorf("%d calls took 40 duties", taken)
+		if commits > 10 {
+			t.Errorf("%d commits to acquire 40 roles", commits)
 		}
 		time.Sleep(10 * time.Second)
 		s.mu.Lock()
@@ -55,13 +55,13 @@
 	})
 }
 
-// The store takes 240 ms for each call, sixty times as long as usual. A host with five duties renewed them one after the
-// other, needed 1.2 s for a round, and lost them after 3 s.
+// The store takes 240 ms for each call, sixty times as long as usual. A host that renews five roles one after the other then
+// takes 1.2 s for a round, and loses them after 3 s.
 func TestSlowStoreLosesNoRole(t *testing.T) {
 	withManyGroups(t, 40, func(s *fakeSite, h *Host) {
-		held := map[string]int64{}
+		tokens := map[string]int64{}
 		for _, d := range h.heldCoordinators() {
-			held[d.group.name] = int64(d.token)
+			tokens[d.group.name] = int64(d.token)
 		}
 		s.mu.Lock()
 		s.storeDelay = 240 * time.Millisecond
@@ -69,30 +69,30 @@
 		for range 100 {
 			time.Sleep(100 * time.Millisecond)
 			if n := len(h.heldCoordinators()); n != 40 {
-				t.Fatalf("the host holds %d of 40 duties", n)
+				t.Fatalf("the host holds %d of 40 roles", n)
 			}
 		}
 		for _, d := range h.heldCoordinators() {
-			if !d.wasSoleHolder(time.Now()) || held[d.group.name] != int64(d.token) {
-				t.Errorf("the duty of %s is not certain, or was taken anew", d.group.name)
+			if !d.wasSoleHolder(time.Now()) || tokens[d.group.name] != int64(d.token) {
+				t.Errorf("the role of %s is not certain, or was acquired again", d.group.name)
 			}
 		}
 	})
 }
 
-// A host opens a lease for new duties while those that it holds are due for renewal. The store takes long to open it: the
-// renewal must not wait for that. It did, on a lock held over the call.
+// A host requests a new lease for new roles while the lease of those it holds is due for renewal, and the store is slow to
+// grant it. If a lock is held during the call, the renewal waits for it.
 func TestRenewalDoesNotWaitForANewLease(t *testing.T) {
 	withManyGroups(t, 1, func(s *fakeSite, h *Host) {
 		h.coordinatorLease.mu.Lock()
-		h.coordinatorLease.renewedAt = time.Now().Add(-coordinatorLeaseTTL) // not to be used for a new duty
+		h.coordinatorLease.renewedAt = time.Now().Add(-coordinatorLeaseTTL) // expired, so that a new role needs a new lease
 		h.coordinatorLease.mu.Unlock()
 		s.mu.Lock()
 		s.storeDelay = 900 * time.Millisecond
 		s.mu.Unlock()
-		opened := make(chan struct{})
+		granted := make(chan struct{})
 		go func() {
-			defer close(opened)
+			defer close(granted)
 			_, _, _ = h.coordinatorLease.ensure(context.Background())
 		}()
 		time.Sleep(10 * time.Millisecond)
@@ -100,11 +100,11 @@
 			t.Fatal("the lease is locked while the store is called")
 		}
 		h.coordinatorLease.mu.Unlock()
-		<-opened
+		<-granted
 	})
 }
 
-// One of the entries is taken by another host meanwhile: the others of the same call must be taken all the same.
+// Another host acquires one of the roles of a batch first. The other roles of the batch must be acquired all the same.
 func TestTakenRoleDoesNotDelayOthers(t *testing.T) {
 	withManyGroups(t, 8, func(s *fakeSite, h *Host) {
 		s.mu.Lock()
@@ -117,15 +117,15 @@
 		time.Sleep(2 * time.Second)
 		for _, name := range []string{"group-0", "group-3", "group-7"} {
 			if held := h.coordinatorOf(name).isHeld(); held != (name != "group-3") {
-				t.Errorf("the duty of %s is held: %t", name, held)
+				t.Errorf("role of %s: held is %t", name, held)
 			}
 		}
 	})
 }
 
-// The answer to the call that takes a duty is lost, and it was carried out. The host finds its own name in the entry. It
-// must not take the holder before for an earlier process of its own, whose leases have ended: another host may have held
-// the duty until a moment ago.
+// The commit that acquires a role succeeds, but its reply is lost, so the host finds its own name in the entry. It must not
+// conclude that an earlier process of its own held the role before, whose leases would have ended: another host may have held
+// the role until a moment ago.
 func TestRoleAcquiredWithoutReplyIsNotReclaimed(t *testing.T) {
 	withManyGroups(t, 1, func(s *fakeSite, h *Host) {
 		d := h.coordinatorOf("group-0")
@@ -138,7 +138,7 @@
 		s.mu.Unlock()
 		time.Sleep(time.Second)
 		if !d.isHeld() {
-			t.Fatal("the duty was not taken up")
+			t.Fatal("the role is not held")
 		}
 		d.mu.Lock()
 		defer d.mu.Unlock()
--- a/internal/gateway/coordinator_test.go
+++ b/internal/gateway/coordinator_test.go
@@ -11,7 +11,7 @@
 	"pearlatch/core/leadership"
 )
 
-// removeCoordinatorEntry removes the duty's entry, and leaves its lease alone.
+// removeCoordinatorEntry removes the entry of the coordinator role and keeps its lease.
 func (s *fakeSite) removeCoordinatorEntry(h *Host) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -24,17 +24,17 @@
 	return s.items[key].Revision
 }
 
-// renewLeaseNow renews the lease of a host's duty.
+// renewLeaseNow renews the coordinator lease of the host and applies the result to the role.
 func renewLeaseNow(h *Host, d *coordinator) {
 	d.mu.Lock()
 	lease := d.lease
 	d.mu.Unlock()
-	epoch, asked, err := h.coordinatorLease.renew(context.Background(), lease)
-	d.applyRenewal(context.Background(), asked, epoch, err)
+	epoch, requested, err := h.coordinatorLease.renew(context.Background(), lease)
+	d.applyRenewal(context.Background(), requested, epoch, err)
 }
 
-// wantLeasesWaitedOut cuts the holder of the duty off with the primary, right after a renewal, lets the store forget of it, and
-// checks that no lease which it still grants outlasts the change of the primary.
+// wantLeasesWaitedOut partitions the coordinator together with the primary right after a renewal, removes its role from the
+// store by calling forget, and checks that no lease which it still grants outlasts the change of the primary.
 func wantLeasesWaitedOut(t *testing.T, s *fakeSite, f *fakeFleet, holder *Host, forget func()) {
 	t.Helper()
 	for _, h := range f.all() {
@@ -48,24 +48,24 @@
 	f.setFault(f.unreachable, holder.settings.Host, true)
 	f.setFault(f.storeRejects, holder.settings.Host, true)
 	forget()
-	var ends time.Time
+	var leaseEnd time.Time
 	for until := time.Now().Add(15 * time.Second); s.primaryID() == "a" && time.Now().Before(until); {
 		if r := holder.GrantLease(LeaseRequest{Group: testGroup, Host: "x"}); r.Granted > 0 {
-			ends = time.Now().Add(r.Granted)
+			leaseEnd = time.Now().Add(r.Granted)
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
 	if s.primaryID() == "a" {
 		t.Fatal("the primary was not replaced")
 	}
-	if left := time.Until(ends); left > 0 {
-		t.Errorf("a lease on the old primary holds for %s more", left)
+	if left := time.Until(leaseEnd); left > 0 {
+		t.Errorf("a lease on the old primary is valid for %s more", left)
 	}
 }
 
-// The platform turns the holder of the duty away and takes its entry. The next holder, which does not
-// reach the primary, promotes another member, while the one before still grants leases on the old
-// one: a host that reaches only that one would read old data. No lease may outlast the change.
+// The store rejects the coordinator's calls and removes its entry. The next coordinator does not reach the primary and
+// promotes another member, while the previous one still grants leases on the old primary. A host that reaches only the
+// previous one would read stale data, so no lease may outlast the change of the primary.
 func TestNewCoordinatorWaitsOutLeasesOfEvictedOne(t *testing.T) {
 	withFleet(t, 3, 20, freshness.Latest{}, func(s *fakeSite, f *fakeFleet) {
 		for _, h := range f.all() {
@@ -76,12 +76,12 @@
 	})
 }
 
-// The holder of the duty is turned away by the store, its entry is taken, and let in again: its lease
-// still stands, so that a renewal succeeds. It must not take that for the duty.
+// The store rejects the coordinator's calls and removes its entry, then accepts its calls again. The lease still exists, so
+// that a renewal succeeds. The host must not conclude that it still holds the role.
 func TestRenewedLeaseWithoutEntryLosesRole(t *testing.T) {
 	withFleet(t, 3, 20, freshness.Latest{}, func(s *fakeSite, f *fakeFleet) {
 		holder := f.coordinatorHost()
-		f.setFault(f.unreachable, holder.settings.Host, true) // nor does it hear of it from others
+		f.setFault(f.unreachable, holder.settings.Host, true) // so that it learns nothing from other hosts either
 		f.setFault(f.storeRejects, holder.settings.Host, true)
 		s.removeCoordinatorEntry(holder)
 		time.Sleep(leadership.RenewalInterval + coordinatorPollInterval + storeTimeout + 50*time.Millisecond) // a renewal has failed
@@ -89,29 +89,28 @@
 		f.setFault(f.storeRejects, holder.settings.Host, false)
 		renewLeaseNow(holder, d)
 		if d.wasSoleHolder(time.Now()) {
-			t.Error("the host counts on a duty that was taken away")
+			t.Error("the host relies on a role whose entry was removed")
 		}
 	})
 }
 
-// The holder before can't reach the store and does not know that its entry has lapsed. The next one has
-// held the duty for a second and reaches no member yet. From then on the platform must refuse what the
-// one before orders: carried out later, it would promote a member while the next one grants leases on
-// another.
+// The previous coordinator can't reach the store and does not know that its entry has expired. The new one has held the role
+// for a second and reaches no member yet. From then on the platform must refuse the previous coordinator's requests: a
+// late one would promote a member while the new coordinator grants leases on another.
 func TestTokenIsRaisedWithoutKnownPrimary(t *testing.T) {
 	synctest.Test(t, func(*testing.T) {
 		s := newFakeSite("a", "b", "c")
 		_, stop1 := startHost(s, "h1", freshness.Latest{})
 		time.Sleep(3 * time.Second)
-		old := s.revisionOf("own/duty/" + testGroup)
+		oldToken := s.revisionOf("own/duty/" + testGroup)
 		for _, id := range []string{"a", "b", "c"} {
 			s.updateMember(id, func(m *fakeMember) { m.silent = true })
 		}
 		stop1()
 		_, stop2 := startHost(s, "h2", freshness.Latest{})
 		time.Sleep(coordinatorLeaseTTL + 3*time.Second)
-		if err := s.executePromotion("h1", int64(old), "b"); err == nil {
-			t.Errorf("an order with the token %d was taken", old)
+		if err := s.executePromotion("h1", int64(oldToken), "b"); err == nil {
+			t.Errorf("a promotion request with the token %d was accepted", oldToken)
 		}
 		stop2()
 		time.Sleep(10 * time.Second)
--- a/internal/gateway/failover_test.go
+++ b/internal/gateway/failover_test.go
@@ -9,28 +9,29 @@
 	"pearlatch/core/freshness"
 )
 
-// awaitWrite writes until a write succeeds, and returns how long that took.
-func awaitWrite(t *testing.T, h *Host, within time.Duration) time.Duration {
+// awaitWrite repeats a write until it succeeds, and returns how long that took. It fails the test after the timeout.
+func awaitWrite(t *testing.T, h *Host, timeout time.Duration) time.Duration {
 	t.Helper()
 	started := time.Now()
-	for time.Since(started) < within {
+	for time.Since(started) < timeout {
 		if r := exec(h, Write{}); r.Failure == nil {
 			return time.Since(started)
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
-	t.Errorf("no write succeeded within %s", within)
-	return within
+	t.Errorf("no write succeeded within %s", timeout)
+	return timeout
 }
 
-// sendWrites sends a number of writes, twenty a second.
-func sendWrites(h *Host, times int) {
-	for range times {
+// sendWrites sends n writes, with a pause of 50 ms after each.
+func sendWrites(h *Host, n int) {
+	for range n {
 		exec(h, Write{})
 		time.Sleep(50 * time.Millisecond)
 	}
 }
 
+// wantNoLostWrites checks that the primary has every acknowledged write.
 func wantNoLostWrites(t *testing.T, s *fakeSite) {
 	t.Helper()
 	if lost := s.lostWrites(); len(lost) > 0 {
@@ -38,35 +39,34 @@
 	}
 }
 
-// An instructor's booking meets a primary whose process has ended: connections are
-// refused. The next booking must be served by a replica that holds all that was
-// acknowledged, soon after the platform's time for a promotion.
+// The primary's process has ended, so that connections are refused. Soon after the time that the platform takes for a
+// promotion, writes must be served by a replica that has everything that was acknowledged.
 func TestCrashedPrimaryIsReplaced(t *testing.T) {
 	withHost(t, freshness.Latest{}, func(s *fakeSite, h *Host) {
 		exec(h, Write{})
 		s.updateMember("a", func(m *fakeMember) { m.crashed = true })
 		if took := awaitWrite(t, h, 5*time.Second); took > promoteTime+500*time.Millisecond {
-			t.Errorf("the gap was %s", took)
+			t.Errorf("no write succeeded for %s", took)
 		}
 		wantNoLostWrites(t, s)
 	})
 }
 
-// The primary goes dark: nothing is refused, nothing answered. Callers wait, and two
-// unanswered rounds of questions must be enough to replace it.
+// The primary neither refuses connections nor answers, so that callers wait. Two unanswered probe rounds must be enough to
+// replace it.
 func TestSilentPrimaryIsReplaced(t *testing.T) {
 	withHost(t, freshness.Latest{}, func(s *fakeSite, h *Host) {
 		exec(h, Write{})
 		s.updateMember("a", func(m *fakeMember) { m.silent = true })
 		if took := awaitWrite(t, h, 8*time.Second); took > promoteTime+2500*time.Millisecond {
-			t.Errorf("the gap was %s", took)
+			t.Errorf("no write succeeded for %s", took)
 		}
 		wantNoLostWrites(t, s)
 	})
 }
 
-// A primary answers, but no replica receives from it, so its writes hang. It must be
-// replaced, and the caller whose write hung must not be told that it did not run.
+// The primary answers, but no replica receives from it, so its writes hang. It must be replaced, and the caller whose write
+// hung must not be told that the write did not run.
 func TestPrimaryCutOffFromItsReplicasIsReplaced(t *testing.T) {
 	withHost(t, freshness.Latest{}, func(s *fakeSite, h *Host) {
 		exec(h, Write{})
@@ -78,18 +78,17 @@
 		}
 		time.Sleep(3 * time.Second)
 		if s.primaryID() == "a" {
-			t.Error("the primary that nobody receives from still leads")
+			t.Error("the primary that no replica receives from still leads")
 		}
 		if n := len(s.promotionOrders()); n > 1 {
-			t.Errorf("%d orders for one change of primary", n)
+			t.Errorf("%d promotion requests for one change of the primary", n)
 		}
 		wantNoLostWrites(t, s)
 	})
 }
 
-// A caller's write was acknowledged by the one replica that receives while the other
-// is deaf. That replica drains and ends with its log, then the primary crashes. The
-// deaf replica answers, and has the longest log of all that are left: promoting it
+// A write was acknowledged by the only replica that receives. That replica drains and ends with its log, then the primary
+// crashes. The replica that receives nothing answers and has the longest log of the remaining members, but promoting it
 // would lose the write.
 func TestDepartedReplicaMayHoldTheOnlyCopy(t *testing.T) {
 	withHost(t, freshness.Latest{}, func(s *fakeSite, h *Host) {
@@ -103,20 +102,20 @@
 		s.updateMember("a", func(m *fakeMember) { m.crashed = true })
 		time.Sleep(6 * time.Second)
 		if s.primaryID() == "b" {
-			t.Error("the deaf replica was promoted")
+			t.Error("the replica that receives nothing was promoted")
 		}
 	})
 }
 
-// The members of a group are replaced one after the other. The primary drains: it
-// serves on while a replica takes over, and no caller gets an error.
+// The members of a group are replaced one after the other. A draining primary continues to serve while a replica takes
+// over, and no caller gets an error.
 func TestLeavingPrimarySwitchesOver(t *testing.T) {
 	withHost(t, freshness.Latest{}, func(s *fakeSite, h *Host) {
 		exec(h, Write{})
 		s.writeMemberEntry("a", "draining")
 		for range 40 {
 			if r := exec(h, Write{}); r.Failure != nil {
-				t.Errorf("a write during the hand-over failed: %v", r.Failure)
+				t.Errorf("a write during the switchover failed: %v", r.Failure)
 			}
 			time.Sleep(25 * time.Millisecond)
 		}
@@ -127,10 +126,9 @@
 	})
 }
 
-// The platform answers no order and carries each out seconds later. The old primary is
-// back before that, and the replica that was ordered to lead receives nothing from it.
-// If the fences ended, the primary would acknowledge writes with the other replica that
-// are lost when the order is carried out.
+// The platform leaves promotion requests unanswered and carries them out seconds later. The old primary is back before that,
+// and the replica to be promoted receives nothing from it. If the other replica's fence were released, the primary would
+// acknowledge writes with it that are lost when the promotion is carried out.
 func TestDelayedPromotionsLoseNoWrites(t *testing.T) {
 	withHost(t, freshness.Latest{}, func(s *fakeSite, h *Host) {
 		exec(h, Write{})
@@ -146,8 +144,8 @@
 	})
 }
 
-// The platform loses sight of a primary that serves. It must go on to serve until
-// another one leads, and no caller may see a gap.
+// The platform no longer lists a primary that serves. It must continue to serve until another member leads, without an
+// interruption for callers.
 func TestMissingPrimaryServesUntilItIsReplaced(t *testing.T) {
 	withHost(t, freshness.Latest{}, func(s *fakeSite, h *Host) {
 		exec(h, Write{})
@@ -165,21 +163,21 @@
 	})
 }
 
-// A primary's queue is full: it refuses status questions and statements, and runs
-// others. That is no reason to replace it, which would cost callers a gap.
+// The primary's queue is full, so that it refuses probes and some statements, and runs others. It must not be replaced for
+// that, since a replacement interrupts service.
 func TestBusyPrimaryIsNotReplaced(t *testing.T) {
 	withHost(t, freshness.Latest{}, func(s *fakeSite, h *Host) {
 		exec(h, Write{})
 		s.updateMember("a", func(m *fakeMember) { m.full = true })
 		sendWrites(h, 40)
 		for _, o := range s.promotionOrders() {
-			t.Errorf("order %q", o)
+			t.Errorf("promotion request %q", o)
 		}
 	})
 }
 
-// A host starts while only the primary has registered. It must not take a primary
-// without listed replicas for one that is cut off, and demote it.
+// A host starts while only the primary is registered. It must not mistake a primary without listed replicas for one that is
+// cut off from its replicas, and demote it.
 func TestPrimaryListedBeforeReplicasIsKept(t *testing.T) {
 	synctest.Test(t, func(*testing.T) {
 		s := newFakeSite("a", "b", "c")
@@ -200,8 +198,8 @@
 	})
 }
 
-// The holder of the duty dies together with the primary, without giving the duty back.
-// Another host must take it once the lease has run out, and replace the primary.
+// The coordinator stops together with the primary. Another host must acquire the role once the lease has ended, and replace
+// the primary.
 func TestAnotherHostBecomesCoordinator(t *testing.T) {
 	synctest.Test(t, func(*testing.T) {
 		s := newFakeSite("a", "b", "c")
@@ -228,9 +226,9 @@
 	})
 }
 
-// The platform loses sight of a primary, and a replica takes over while the other one
-// is deaf. The old primary goes on as a replica, then it crashes, and the new primary
-// too. The deaf replica alone answers; it lacks what the two had acknowledged.
+// The platform no longer lists the primary, and a replica takes over while the other one receives nothing. The old primary
+// continues as a replica, then it and the new primary crash. Only the replica that receives nothing still answers, but it
+// lacks what the other two acknowledged.
 func TestSecondFailoverSkipsReplicaThatReceivesNothing(t *testing.T) {
 	withHost(t, freshness.Latest{}, func(s *fakeSite, h *Host) {
 		exec(h, Write{})
@@ -248,13 +246,13 @@
 		s.updateMember("b", func(m *fakeMember) { m.crashed = true })
 		time.Sleep(8 * time.Second)
 		if s.primaryID() == "c" {
-			t.Error("the deaf replica was promoted")
+			t.Error("the replica that receives nothing was promoted")
 		}
 	})
 }
 
-// The primary drains while one replica is dead: nobody can tell what that one had
-// acknowledged. The primary is demoted, and the other replica leads if it holds as much.
+// The primary drains while one replica is dead, so that it is unknown what that replica acknowledged. The primary is
+// demoted, and the other replica is promoted if it holds as much as the primary.
 func TestSwitchoverWithDeadReplica(t *testing.T) {
 	withHost(t, freshness.Latest{}, func(s *fakeSite, h *Host) {
 		exec(h, Write{})
@@ -268,8 +266,8 @@
 	})
 }
 
-// The store was away, and all members' entries lapsed meanwhile; they are back a second
-// after its return. Callers must not notice: the members served all the time.
+// All members' entries expired during an outage of the store, and are back a second after it. Callers must not notice, since
+// the members served all the time.
 func TestLapsedMemberEntriesKeepServing(t *testing.T) {
 	withHost(t, freshness.MaxAge{Age: time.Second}, func(s *fakeSite, h *Host) {
 		exec(h, Write{})
@@ -294,9 +292,9 @@
 	})
 }
 
-// A holder asks the members, and before it fences them another one comes to lead, by an
-// order that was carried out late. It must not be taken for a fenced replica: it goes on
-// to acknowledge, and whoever was promoted in its place would lack that.
+// A coordinator probes the members, and before it fences them another member becomes primary by a delayed promotion. That
+// member must not be treated as a fenced replica: it continues to acknowledge writes, which a member promoted in its
+// place would lack.
 func TestFailoverStopsWhenAnotherMemberLeads(t *testing.T) {
 	withHost(t, freshness.Latest{}, func(s *fakeSite, h *Host) {
 		exec(h, Write{})
@@ -306,17 +304,16 @@
 		s.makePrimary(s.member("c"))
 		before := len(s.promotionOrders())
 		w.failover(context.Background(), h.now(), answers)
-		if orders := s.promotionOrders()[before:]; len(orders) > 0 {
-			t.Errorf("orders %v while c leads", orders)
+		if requests := s.promotionOrders()[before:]; len(requests) > 0 {
+			t.Errorf("promotion requests %v while c leads", requests)
 		}
 		wantNoLostWrites(t, s)
 	})
 }
 
-// One replica has died, and the other one receives nothing, so writes hang at a primary
-// that answers. Promoting the deaf replica helps nobody. The dead one comes back to the
-// primary just then and acknowledges a write; callers of a promoted deaf replica would
-// not find it.
+// One replica has died and the other receives nothing, so writes hang at a primary that answers. Promoting the replica that
+// receives nothing does not help. If the dead replica came back to the primary just then and acknowledged a write, the
+// promoted replica would lack it.
 func TestHangingPrimaryIsKeptWhileAReplicaIsDead(t *testing.T) {
 	withHost(t, freshness.Latest{}, func(s *fakeSite, h *Host) {
 		exec(h, Write{})
@@ -333,15 +330,15 @@
 		time.Sleep(time.Second)
 		for _, o := range s.promotionOrders() {
 			if o != "h1 a" {
-				t.Errorf("order %q", o)
+				t.Errorf("promotion request %q", o)
 			}
 		}
 		wantNoLostWrites(t, s)
 	})
 }
 
-// The primary drains while the only replica that answers is deaf. It must not take over:
-// what the other replica acknowledges when it comes back would be missing.
+// The primary drains while the only replica that answers receives nothing. That replica must not take over: it would lack
+// what the other replica acknowledges when it comes back.
 func TestSwitchoverWaitsForTargetThatReceivesNothing(t *testing.T) {
 	withHost(t, freshness.Latest{}, func(s *fakeSite, h *Host) {
 		exec(h, Write{})
@@ -350,18 +347,18 @@
 		time.Sleep(missingMemberGrace + missingMemberRetention)
 		exec(h, Write{})
 		s.updateMember("c", func(m *fakeMember) { m.receivesNothing = true })
-		exec(h, Write{}) // hangs: the primary alone holds it
+		exec(h, Write{}) // hangs, and only the primary holds it
 		s.writeMemberEntry("a", "draining")
 		time.Sleep(2 * time.Second)
 		if s.primaryID() == "c" {
-			t.Error("the deaf replica took over")
+			t.Error("the replica that receives nothing took over")
 		}
 	})
 }
 
-// A leaving primary has handed over to its heir, which the holder of the duty then does not reach for a
-// moment. It took the old primary, which answered that it follows, for a lost one: it took the leases on
-// the heir back, found that the heir leads, and never believed it again. Callers were refused for ever.
+// After a switchover the coordinator briefly does not reach the new primary. The old primary answers that it follows. If the
+// coordinator treats it as a lost primary, it revokes the leases on the switchover target, finds that the target leads and
+// never trusts it again, so that callers are refused forever.
 func TestBrieflySilentSwitchoverTargetStaysPrimary(t *testing.T) {
 	withHost(t, freshness.Latest{}, func(s *fakeSite, h *Host) {
 		exec(h, Write{})
@@ -369,14 +366,14 @@
 		for s.primaryID() != "b" && s.primaryID() != "c" {
 			time.Sleep(time.Millisecond)
 		}
-		heir := s.primaryID()
+		target := s.primaryID()
 		time.Sleep(promotionPollInterval)
-		s.updateMember(heir, func(m *fakeMember) { m.silent = true })
+		s.updateMember(target, func(m *fakeMember) { m.silent = true })
 		time.Sleep(probeInterval + controlTimeout + 50*time.Millisecond)
-		s.updateMember(heir, func(m *fakeMember) { m.silent = false })
+		s.updateMember(target, func(m *fakeMember) { m.silent = false })
 		time.Sleep(4 * time.Second)
 		if r := exec(h, Write{}); r.Failure != nil {
-			t.Errorf("a write: %v", r.Failure)
+			t.Errorf("a write failed: %v", r.Failure)
 		}
 		wantNoLostWrites(t, s)
 	})
--- a/internal/gateway/raise_token_test.go
+++ b/internal/gateway/raise_token_test.go
@@ -8,9 +8,9 @@
 	"pearlatch/core/freshness"
 )
 
-// A fleet starts for the first time, and takes a thousand duties before a platform that accepts fifty calls a second. No
-// holder came before who could have ordered anything, so that leases are granted at once and the platform is not called.
-// The holder after the first one shows its token before all else.
+// A fleet starts for the first time and acquires a thousand roles, while the platform accepts fifty calls a second. No earlier
+// coordinator can have requested a promotion, so leases are granted at once and no token is raised. The second coordinator
+// of a group must raise its token first.
 func TestFirstCoordinatorNeedsNoRaisedToken(t *testing.T) {
 	synctest.Test(t, func(*testing.T) {
 		s := newFakeSite("a", "b", "c")
@@ -24,19 +24,19 @@
 		if !h.existingGroup(testGroup).hasLease("a", time.Now()) {
 			t.Error("no lease was granted")
 		}
-		first := s.revisionOf("own/duty/" + testGroup)
+		firstToken := s.revisionOf("own/duty/" + testGroup)
 		stop1()
 		_, stop2 := startHost(s, "h2", freshness.Latest{})
 		time.Sleep(coordinatorLeaseTTL + 2*time.Second)
-		if raised := s.highestToken(); raised <= int64(first) {
-			t.Errorf("after the second holder the highest token is %d, that of the first was %d", raised, first)
+		if raised := s.highestToken(); raised <= int64(firstToken) {
+			t.Errorf("the highest token is %d under the second coordinator, the first one's was %d", raised, firstToken)
 		}
 		stop2()
 		time.Sleep(10 * time.Second)
 	})
 }
 
-// highestToken returns the highest token that the platform has seen.
+// highestToken returns the highest token that the fake platform has seen.
 func (s *fakeSite) highestToken() int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/gateway/record_test.go
+++ b/internal/gateway/record_test.go
@@ -11,9 +11,8 @@
 	"pearlatch/core/leadership"
 )
 
-// The primary goes dark, and the host that holds the duty ends before it has replaced it.
-// The next holder has never spoken to the primary. What a successor must hold stands in the
-// store, so it need not wait for the old primary to come back.
+// The primary stops answering, and the coordinator stops before it has replaced it. The next coordinator has never reached
+// the primary. The requirements for a successor are in the store, so it need not wait for the old primary to come back.
 func TestNewCoordinatorInheritsSuccessorRequirements(t *testing.T) {
 	synctest.Test(t, func(*testing.T) {
 		s := newFakeSite("a", "b", "c")
@@ -36,29 +35,29 @@
 	})
 }
 
-// The platform checks no tokens, leaves an order unanswered and carries it out three seconds
-// later. The holder dies right after it, and the old primary comes back. The next holder must
-// know of the order: if it let the old primary acknowledge writes with the other replica,
-// they would be lost.
+// The platform checks no tokens, leaves a promotion request unanswered and carries it out three seconds later. The
+// coordinator dies right after the request, and the old primary comes back. The next coordinator must know of the request:
+// writes that the old primary acknowledged with the other replica would be lost by the late promotion.
 func TestNewCoordinatorKnowsPendingPromotion(t *testing.T) {
 	testPendingPromotion(t, func(*fakeSite, storeBackup) {})
 }
 
-// testPendingPromotion lets a holder order the promotion of b late, end, and another one take over, after a mishap of the store,
-// of which there is a copy from before the order. Nothing that is acknowledged then may be lost.
-func testPendingPromotion(t *testing.T, mishap func(*fakeSite, storeBackup)) {
+// testPendingPromotion lets a coordinator request a promotion of b that the platform delays, and stop. Then it calls
+// storeFault, with a backup of the store from before the request, and lets another host become coordinator. No write that
+// is acknowledged after that may be lost.
+func testPendingPromotion(t *testing.T, storeFault func(*fakeSite, storeBackup)) {
 	t.Helper()
 	synctest.Test(t, func(*testing.T) {
 		s := newFakeSite("a", "b", "c")
 		s.ignoresTokens = true
 		h1, stop1 := startHost(s, "h1", freshness.Latest{})
 		h2, stop2 := startHost(s, "h2", freshness.Latest{})
-		stop, left := map[string]func(){"h1": stop1, "h2": stop2}, map[string]*Host{"h1": h2, "h2": h1}
+		stop, other := map[string]func(){"h1": stop1, "h2": stop2}, map[string]*Host{"h1": h2, "h2": h1}
 		time.Sleep(3 * time.Second)
-		s.updateMember("c", func(m *fakeMember) { m.receivesNothing = true }) // so that the order is for b
+		s.updateMember("c", func(m *fakeMember) { m.receivesNothing = true }) // so that b is chosen
 		exec(h2, Write{})
 		s.updateMember("c", func(m *fakeMember) { m.receivesNothing = false })
-		b := s.backup()
+		backup := s.backup()
 		s.mu.Lock()
 		holder := string(s.items["own/duty/"+testGroup].Value)
 		s.promotionDelay = 6 * time.Second
@@ -70,11 +69,11 @@
 		s.mu.Lock()
 		s.promotionDelay = 0
 		s.mu.Unlock()
-		mishap(s, b)
+		storeFault(s, backup)
 		s.updateMember("a", func(m *fakeMember) { m.silent = false })
 		s.updateMember("b", func(m *fakeMember) { m.receivesNothing = true })
-		time.Sleep(time.Second) // fences that were left behind are released
-		sendWrites(left[holder], 160)
+		time.Sleep(time.Second) // until stale fences are released
+		sendWrites(other[holder], 160)
 		wantNoLostWrites(t, s)
 		for _, f := range stop {
 			f()
@@ -83,7 +82,7 @@
 	})
 }
 
-// The record of a holder reads back as it was written.
+// Encoding and decoding a record preserves its contents, and an invalid encoding is refused.
 func TestRecordRoundTrip(t *testing.T) {
 	r := leadership.Record{
 		Holder: "h1", Term: 3, Floor: group.Position{Term: 2, LSN: 77}, PendingPromotion: "b",
@@ -98,13 +97,13 @@
 		t.Errorf("%+v, %v", got, err)
 	}
 	if _, err := decodeRecord([]byte("{")); err == nil {
-		t.Error("a broken record was read")
+		t.Error("an invalid record was decoded without an error")
 	}
 }
 
-// A holder took the leases back to replace a primary, and ended before it ordered anything. The
-// host that takes the duty over had given its lease back, and believes in no primary since. If the
-// old one answers, it must lead on; if not, another must take over.
+// A coordinator revoked the leases to replace a primary, and stopped before it requested a promotion. The host that acquires
+// the role had its own lease revoked, and has known no primary since. If the old primary answers, it must continue to lead;
+// if not, another member must be promoted.
 func TestNewCoordinatorResumesWhereLastStopped(t *testing.T) {
 	for _, silent := range []bool{false, true} {
 		t.Run(fmt.Sprint("silent ", silent), func(t *testing.T) {
@@ -119,7 +118,7 @@
 				h2.RevokeLease(testGroup, "a", false)
 				stop1()
 				awaitWrite(t, h2, 6*time.Second)
-				if took := s.primaryID() != "a"; took != silent {
+				if replaced := s.primaryID() != "a"; replaced != silent {
 					t.Errorf("%q leads", s.primaryID())
 				}
 				wantNoLostWrites(t, s)
