--- a/internal/gateway/execute.go
+++ b/internal/gateway/execute.go
@@ -10,224 +10,225 @@
 	"pearlatch/internal/pause"
 )
 
-// runStatement answers a read or a write.
+// runStatement answers a read, a write or the execution of a prepared statement.
 func (s *Session) runStatement(ctx context.Context, r Request, arrived time.Time) Reply {
-	writes, shape, failure := s.resolve(r)
+	writes, prepared, failure := s.resolve(r)
 	if failure != nil {
 		return s.failTransaction(Reply{Failure: failure})
 	}
 	if s.state == InTransaction {
-		return s.runInTransaction(ctx, r, arrived, writes, shape)
+		return s.runInTransaction(ctx, r, arrived, writes, prepared)
 	}
-	w, failure := s.planOperation(arrived, writes)
+	op, failure := s.planOperation(arrived, writes)
 	if failure != nil {
 		return Reply{Failure: failure}
 	}
-	w.prepared = shape
-	w.deadline = arrived.Add(w.route.Timeout)
-	return s.runSingle(ctx, r, w)
+	op.prepared = prepared
+	op.deadline = arrived.Add(op.route.Timeout)
+	return s.runSingle(ctx, r, op)
 }
 
-// runSingle runs a statement outside a transaction. It offers the statement
-// again only while it has certainly not run, or when it only reads.
-func (s *Session) runSingle(ctx context.Context, r Request, w operation) Reply {
-	if w.servedElsewhere {
-		if reply, ok := s.runOnOtherHost(ctx, r, &w); ok {
+// runSingle runs a statement outside a transaction. It retries the statement only if it has
+// certainly not run or only reads.
+func (s *Session) runSingle(ctx context.Context, r Request, op operation) Reply {
+	if op.servedElsewhere {
+		if reply, ok := s.runOnOtherHost(ctx, r, &op); ok {
 			return reply
 		}
-		w.setRequirements(s.lastWrite)
+		op.setRequirements(s.lastWrite)
 	}
 	for {
-		if f := w.outageRefusal(Busy); f != nil && !w.need.Forwardable {
+		if f := op.outageRefusal(Busy); f != nil && !op.need.Forwardable {
 			return Reply{Failure: f}
 		}
-		if !s.verifyPrimaryFirst(ctx, &w) {
-			return busyReply(w)
+		if !s.verifyPrimaryFirst(ctx, &op) {
+			return busyReply(op)
 		}
-		w.need.Deadline = w.waitUntil()
-		p, err := w.group.acquire(ctx, w.need)
+		op.need.Deadline = op.waitUntil()
+		p, err := op.group.acquire(ctx, op.need)
 		if errors.Is(err, errReroute) {
-			if reply, ok := s.reroute(ctx, r, &w); ok {
+			if reply, ok := s.reroute(ctx, r, &op); ok {
 				return reply
 			}
 			continue
 		}
 		if err != nil {
-			return busyReply(w)
+			return busyReply(op)
 		}
-		reply, next := s.attempt(r, &w, p)
+		reply, next := s.attempt(r, &op, p)
 		if next == nil {
 			return reply
 		}
-		if !w.group.now().Before(w.waitUntil()) {
-			return next.finalReply(w)
+		if !op.group.now().Before(op.waitUntil()) {
+			return next.finalReply(op)
 		}
-		s.host.metrics.retry(w.group.name, next.reason())
+		s.host.metrics.retry(op.group.name, next.reason())
 		next.sleep(ctx)
 	}
 }
 
-// runOnOtherHost runs a statement of a group that others serve: on the replica of this host's zone if
-// it reads and that can, or on a host that serves. It returns false if none took it.
-func (s *Session) runOnOtherHost(ctx context.Context, r Request, w *operation) (Reply, bool) {
-	if !w.writes {
-		if reply, ok := s.runOnLocalReplica(ctx, r, w); ok {
+// runOnOtherHost runs a statement of a group that other hosts serve: a read on the local replica
+// if that can answer it, otherwise on a serving host. It returns false if no host took it.
+func (s *Session) runOnOtherHost(ctx context.Context, r Request, op *operation) (Reply, bool) {
+	if !op.writes {
+		if reply, ok := s.runOnLocalReplica(ctx, r, op); ok {
 			return reply, true
 		}
 	}
-	return s.forwardSingle(ctx, r, w)
+	return s.forwardSingle(ctx, r, op)
 }
 
-// retry says why a statement is offered again.
+// retry says why a statement is to be retried, and after which delay.
 type retry struct {
 	failure *Failure
 	delay   time.Duration
 }
 
-func (a *retry) sleep(ctx context.Context) {
-	if a.delay > 0 {
-		pause.For(ctx, a.delay)
+func (r *retry) sleep(ctx context.Context) {
+	if r.delay > 0 {
+		pause.For(ctx, r.delay)
 	}
 }
 
-// reason names why, for counting.
-func (a *retry) reason() string {
-	if a.failure == nil {
+// reason returns the reason as a label for metrics.
+func (r *retry) reason() string {
+	if r.failure == nil {
 		return "moved"
 	}
-	return a.failure.Code.String()
+	return r.failure.Code.String()
 }
 
-func (a *retry) finalReply(w operation) Reply {
-	if a.failure != nil {
-		return Reply{Failure: a.failure}
+func (r *retry) finalReply(op operation) Reply {
+	if r.failure != nil {
+		return Reply{Failure: r.failure}
 	}
-	return busyReply(w)
+	return busyReply(op)
 }
 
-// attempt runs a statement once on the connection. It returns an answer, or why the
-// statement is to be offered again.
-func (s *Session) attempt(r Request, w *operation, p *pooledConn) (Reply, *retry) {
-	g := w.group
-	if next := s.checkPrimary(w, p); next != nil {
+// attempt runs a statement once on the connection. It returns a reply, or why the statement is to
+// be retried.
+func (s *Session) attempt(r Request, op *operation, p *pooledConn) (Reply, *retry) {
+	g := op.group
+	if next := s.checkPrimary(op, p); next != nil {
 		return Reply{}, next
 	}
-	asked := g.now()
-	left := w.deadline.Sub(asked)
-	if w.writes && g.connNeedsCheck(p, asked) && !s.checkConn(w, p) {
+	sentAt := g.now()
+	remaining := op.deadline.Sub(sentAt)
+	if op.writes && g.connNeedsCheck(p, sentAt) && !s.checkConn(op, p) {
 		return Reply{}, &retry{}
 	}
-	layout, name := p.setupCommands(s.values, w.prepared)
-	commands := append(layout, Forward{Request: r, After: w.need.MinPosition, Name: name})
-	ended := func(bool) {}
-	if w.writes {
-		ended = g.beginWrite()
+	setup, name := p.setupCommands(s.values, op.prepared)
+	commands := append(setup, Forward{Request: r, After: op.need.MinPosition, Name: name})
+	done := func(bool) {}
+	if op.writes {
+		done = g.beginWrite()
 	}
-	replies, err := p.conn.Do(g.callTimeout(p.member, left, w.writes), commands...)
-	ended(err == nil && replies[len(replies)-1].Failure == nil)
+	replies, err := p.conn.Do(g.callTimeout(p.member, remaining, op.writes), commands...)
+	done(err == nil && replies[len(replies)-1].Failure == nil)
 	if err != nil {
 		g.discard(p, err)
-		w.need.Avoid = p.member.ID
-		return s.handleBrokenConn(r, w, p, err)
+		op.need.Avoid = p.member.ID
+		return s.handleBrokenConn(r, op, p, err)
 	}
 	reply := replies[len(replies)-1]
-	return s.handleReply(w, p, asked, reply)
+	return s.handleReply(op, p, sentAt, reply)
 }
 
 const (
-	// staleConnAge is how long a connection may have been unused before a
-	// write is preceded by a question of our own: a connection that went silent
-	// would leave the write's outcome unknown.
+	// staleConnAge is how long a connection may be unused before a write on it is preceded by a
+	// check. If the connection had silently failed, the outcome of the write would be unknown.
 	staleConnAge = 500 * time.Millisecond
-	// minReadTimeout is the least time for which a read is left with a member, and readTimeoutFactor
-	// how many times its average, beyond that. One statement in 100 takes five times as long as
-	// usual, and a member with a full queue ten times; of reads whose answer is lost at a member
-	// that takes 15 ms, the next offer comes after 120 ms.
+	// minReadTimeout is the minimum time that a member has to answer a read, and readTimeoutFactor
+	// the multiple of the member's average latency that it has if that is longer. One statement in
+	// 100 takes five times as long as usual, and at a member with a full queue ten times. If a
+	// reply is lost at a member that takes 15 ms, the read is retried after 120 ms.
 	minReadTimeout    = 100 * time.Millisecond
 	readTimeoutFactor = 8
-	// connCheckTimeout bounds the question before a write on an unused connection.
+	// connCheckTimeout bounds the check before a write on an unused connection.
 	connCheckTimeout = 150 * time.Millisecond
 )
 
-// connNeedsCheck reports whether a connection may have gone silent: it was not used for a
-// while, or its member failed to answer on another one.
+// connNeedsCheck reports whether a connection may have silently failed: it has not been used for a
+// while, or its member did not answer on another connection.
 func (g *Group) connNeedsCheck(p *pooledConn, now time.Time) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return now.Sub(p.poolConn.LastUsed()) > staleConnAge || !p.member.silentSince.IsZero()
 }
 
-// callTimeout is how long a member has to answer: all that is left, unless the statement can be
-// offered again elsewhere. Then it has many times as long as it usually takes: an answer that was
-// lost would else hold a read until half of its time has gone by.
-func (g *Group) callTimeout(m *member, left time.Duration, once bool) time.Duration {
-	if once {
-		return max(left, time.Millisecond)
+// callTimeout returns how long a member has to answer: all of the remaining time if the statement
+// must not be repeated, otherwise a multiple of the member's usual latency. Without that bound a
+// lost reply would hold up a read until half of its time has passed.
+func (g *Group) callTimeout(m *member, remaining time.Duration, mustNotRepeat bool) time.Duration {
+	if mustNotRepeat {
+		return max(remaining, time.Millisecond)
 	}
 	g.mu.Lock()
-	usual := m.poolMember.Latency()
+	latency := m.poolMember.Latency()
 	g.mu.Unlock()
-	if usual == 0 {
-		usual = minReadTimeout
+	if latency == 0 {
+		latency = minReadTimeout
 	}
-	return max(min(left, max(readTimeoutFactor*usual, minReadTimeout)), time.Millisecond)
+	return max(min(remaining, max(readTimeoutFactor*latency, minReadTimeout)), time.Millisecond)
 }
 
-// verifyPrimaryFirst makes sure that the primary leads, so that what it answers misses nothing that was
-// acknowledged before the statement arrived. That may take questions, and connections to the
-// primary are few: none is held meanwhile. It returns false when time is up.
-func (s *Session) verifyPrimaryFirst(ctx context.Context, w *operation) bool {
-	if !w.needsPrimaryCheck {
+// verifyPrimaryFirst makes sure that the primary leads, so that its reply includes everything that
+// was acknowledged before the statement arrived. Members may have to be asked, and connections to
+// the primary are scarce, so none is held meanwhile. It returns false if the time to wait is over.
+func (s *Session) verifyPrimaryFirst(ctx context.Context, op *operation) bool {
+	if !op.needsPrimaryCheck {
 		return true
 	}
-	g := w.group
+	g := op.group
 	g.notePrimaryNeeded()
-	g.preopen(w.need.Account)
-	call, cancel := context.WithTimeout(ctx, w.waitUntil().Sub(g.now()))
+	g.preopen(op.need.Account)
+	checkCtx, cancel := context.WithTimeout(ctx, op.waitUntil().Sub(g.now()))
 	defer cancel()
-	for !w.need.Forwardable || !g.primaryUnreachable() {
-		leader := g.primaryMember().ID
-		if leader == "" || g.verifyPrimary(call, leader, w.primarySince()) {
+	for !op.need.Forwardable || !g.primaryUnreachable() {
+		primary := g.primaryMember().ID
+		if primary == "" || g.verifyPrimary(checkCtx, primary, op.primarySince()) {
 			return true
 		}
-		if !pause.For(call, verifyRetryInterval) {
+		if !pause.For(checkCtx, verifyRetryInterval) {
 			return false
 		}
 	}
 	return true
 }
 
-// primarySince returns since when the primary must be known to have led.
-func (w *operation) primarySince() time.Time {
-	if w.writes && !w.freshReads {
-		return w.need.ArrivedAt.Add(-maxWriteCheckAge) // whether it is kept is settled afterwards
+// primarySince returns the time at or after which the primary must be known to have led.
+func (op *operation) primarySince() time.Time {
+	if op.writes && !op.freshReads {
+		return op.need.ArrivedAt.Add(-maxWriteCheckAge) // confirmWrite checks afterwards whether the write is kept
 	}
-	return w.need.ArrivedAt
+	return op.need.ArrivedAt
 }
 
-// checkPrimary returns why the statement is to be offered again, or nil if the member is known to lead
-// where it must.
-func (s *Session) checkPrimary(w *operation, p *pooledConn) *retry {
-	g := w.group
-	if !w.needsPrimaryCheck || g.isKnownPrimary(p.member.ID, w.primarySince()) {
+// checkPrimary returns nil if the member is known to lead or need not be. Otherwise it releases
+// the connection and returns a retry.
+func (s *Session) checkPrimary(op *operation, p *pooledConn) *retry {
+	g := op.group
+	if !op.needsPrimaryCheck || g.isKnownPrimary(p.member.ID, op.primarySince()) {
 		return nil
 	}
 	g.release(p)
 	return &retry{}
 }
 
-// maxWriteCheckAge is how old a proof may be that lets a write be sent: as long as it takes to find
-// out that a primary is lost. It spares a question for each write while there is no lease.
+// maxWriteCheckAge is the maximum age of the primary check with which a write may be sent: the
+// time that it takes to detect the loss of a primary. It avoids a check for each write while there
+// is no lease.
 const maxWriteCheckAge = 600 * time.Millisecond
 
-// verifyRetryInterval is the pause before a leadership is to be proven again that could not be.
+// verifyRetryInterval is the pause before a failed primary check is repeated.
 const verifyRetryInterval = 20 * time.Millisecond
 
-// checkConn asks whether the connection still works.
-func (s *Session) checkConn(w *operation, p *pooledConn) bool {
+// checkConn reports whether the connection still works. A connection that does not is discarded;
+// one that does is reset.
+func (s *Session) checkConn(op *operation, p *pooledConn) bool {
 	_, err := p.conn.Do(connCheckTimeout, Reset{})
 	if err != nil {
-		w.group.discard(p, err)
+		op.group.discard(p, err)
 		return false
 	}
 	clear(p.values)
@@ -235,32 +236,34 @@
 	return true
 }
 
-// handleBrokenConn decides what a connection that failed means for a statement.
-func (s *Session) handleBrokenConn(r Request, w *operation, p *pooledConn, err error) (Reply, *retry) {
-	s.host.logAttempt(s, r, w, p.member.ID, "broken", err)
-	if w.writes {
+// handleBrokenConn handles the failure of the connection that a statement was sent on. A write is
+// in doubt; a read is retried.
+func (s *Session) handleBrokenConn(r Request, op *operation, p *pooledConn, err error) (Reply, *retry) {
+	s.host.logAttempt(s, r, op, p.member.ID, "broken", err)
+	if op.writes {
 		return failureReply(InDoubt, "the connection to "+p.member.ID+" failed after the write was sent"), nil
 	}
 	return Reply{}, &retry{failure: &Failure{TimedOut, "no answer from " + p.member.ID}}
 }
 
-// busyRetryInterval is the pause before a member with a full queue is asked again: one
-// short statement's time.
+// busyRetryInterval is the pause before a member with a full queue is asked again: the duration of
+// one short statement.
 const busyRetryInterval = 8 * time.Millisecond
 
-// handleReply decides what a member's answer means for a statement.
-func (s *Session) handleReply(w *operation, p *pooledConn, asked time.Time, reply Reply) (Reply, *retry) {
-	g := w.group
-	g.noteLatency(p.member, asked)
+// handleReply updates the group and the session from a member's reply. It returns the reply, or
+// why the statement is to be retried.
+func (s *Session) handleReply(op *operation, p *pooledConn, sentAt time.Time, reply Reply) (Reply, *retry) {
+	g := op.group
+	g.noteLatency(p.member, sentAt)
 	g.noteApplied(p.member, reply.Position)
-	g.observePosition(p.member, asked, reply.Position)
+	g.observePosition(p.member, sentAt, reply.Position)
 	if reply.Failure == nil {
 		g.noteSuccess(p.member)
-		if w.writes {
+		if op.writes {
 			s.advanceLastWrite(reply.Position)
 		}
 		g.release(p)
-		if w.writes && !g.confirmWrite(p.member.ID, reply.Position.Term) {
+		if op.writes && !g.confirmWrite(p.member.ID, reply.Position.Term) {
 			return failureReply(InDoubt, p.member.ID+" may have been replaced as it acknowledged the write"), nil
 		}
 		return reply, nil
@@ -269,7 +272,7 @@
 	switch reply.Failure.Code {
 	case Busy:
 		g.noteOverload(p.member)
-		w.need.Avoid = p.member.ID
+		op.need.Avoid = p.member.ID
 		next.delay = busyRetryInterval
 	case Lagging:
 		g.noteLag(p.member, reply.Position)
@@ -278,11 +281,11 @@
 	case UnknownStatement:
 		clear(p.prepared)
 	case Failed, TimedOut:
-		if w.writes || w.need.Avoid != "" {
+		if op.writes || op.need.Avoid != "" {
 			g.release(p)
 			return reply, nil
 		}
-		w.need.Avoid = p.member.ID
+		op.need.Avoid = p.member.ID
 	default:
 		g.release(p)
 		return reply, nil
@@ -291,14 +294,14 @@
 	return Reply{}, next
 }
 
-// advanceLastWrite lifts the session's mark.
+// advanceLastWrite raises the position of the session's last write to p if p is higher.
 func (s *Session) advanceLastWrite(p group.Position) {
 	if p.Compare(s.lastWrite) > 0 {
 		s.lastWrite = p
 	}
 }
 
-// failTransaction breaks a transaction, if there is one, and returns the reply.
+// failTransaction rolls back the open transaction, if any, marks it failed, and returns the reply.
 func (s *Session) failTransaction(reply Reply) Reply {
 	if s.tx != nil {
 		s.tx.rollback(s)
--- a/internal/gateway/forward.go
+++ b/internal/gateway/forward.go
@@ -12,64 +12,65 @@
 )
 
 const (
-	// openStreamTimeout bounds the opening of a lane to another host: a hundred round trips
-	// within a region.
+	// openStreamTimeout bounds opening a stream to another host: a hundred round trips within a
+	// region.
 	openStreamTimeout = 150 * time.Millisecond
-	// outcomeQueryDelay is how long a request may be under way until the other host is asked
-	// whether it has it. Statements take less, but where they wait.
+	// outcomeQueryDelay is how long a request may be outstanding before the other host is asked
+	// for its outcome. Statements that don't have to wait take less.
 	outcomeQueryDelay = 120 * time.Millisecond
-	// outcomeQueryTimeout bounds that question, and outcomeQueryInterval is the pause until the next:
-	// a dark host counts as lost after half a second, within the users' deadlines.
+	// outcomeQueryTimeout bounds an outcome query, and outcomeQueryInterval is the pause before
+	// the next one. An unreachable host thus counts as lost after half a second, within the users'
+	// deadlines.
 	outcomeQueryTimeout  = 150 * time.Millisecond
 	outcomeQueryInterval = 60 * time.Millisecond
-	// maxMissedOutcomeQueries is how many questions in a row may stay unanswered.
+	// maxMissedOutcomeQueries is how many outcome queries in a row may go unanswered.
 	maxMissedOutcomeQueries = 2
-	// peerReplyMargin is how much longer than a statement's deadline the answer of another
-	// host may take: the way back.
+	// peerReplyMargin is how much longer than a statement's deadline to wait for another host's
+	// reply: the time for the way back.
 	peerReplyMargin = 50 * time.Millisecond
-	// peerRetryInterval is the pause after all hosts that serve a group failed to answer.
+	// peerRetryInterval is the pause after no host that serves the group has taken a statement,
+	// and between outcome queries for a broken request.
 	peerRetryInterval = 25 * time.Millisecond
 )
 
 var (
-	// errNotRun means that a request has certainly not run on the other host, and
-	// never will.
+	// errNotRun means that a request has certainly not run on the other host and never will.
 	errNotRun = errors.New("the request has not run")
-	// errPeerPrimaryUnreachable means that the other host can't reach the primary either.
+	// errPeerPrimaryUnreachable means that the other host can't reach the primary.
 	errPeerPrimaryUnreachable = errors.New("the other host can't reach the primary")
-	// errOutcomeUnknown means that nobody knows whether a request has run.
+	// errOutcomeUnknown means that it can't be determined whether a request has run.
 	errOutcomeUnknown = errors.New("the outcome is not known")
 )
 
-// remoteTransaction is a transaction's part on another host.
+// remoteTransaction identifies the host on which a transaction runs, and the stream to it.
 type remoteTransaction struct {
 	server membership.Host
 	stream Stream
 }
 
-// newPeerRequest describes a statement to another host.
-func (s *Session) newPeerRequest(r Request, arrived time.Time, w *operation) *PeerRequest {
+// newPeerRequest returns the request that forwards a statement to another host.
+func (s *Session) newPeerRequest(r Request, arrived time.Time, op *operation) *PeerRequest {
 	h := s.host
 	return &PeerRequest{
-		From: h.processID, Serial: h.requestSerial.Add(1), Group: w.group.name, Database: s.database, Route: w.route, Account: w.need.Account,
-		Age: h.now().Sub(arrived), LastWrite: s.lastWrite, Values: s.values, Prepared: w.prepared, Request: r,
+		From: h.processID, Serial: h.requestSerial.Add(1), Group: op.group.name, Database: s.database, Route: op.route, Account: op.need.Account,
+		Age: h.now().Sub(arrived), LastWrite: s.lastWrite, Values: s.values, Prepared: op.prepared, Request: r,
 	}
 }
 
-// forwardSingle passes a statement outside a transaction on to a host that serves the
-// group. It returns false if none took it.
-func (s *Session) forwardSingle(ctx context.Context, r Request, w *operation) (reply Reply, ok bool) {
-	arrived := w.deadline.Add(-w.route.Timeout)
-	s.tryServers(ctx, w, func(server membership.Host, insist bool) error {
-		req := s.newPeerRequest(r, arrived, w)
-		req.WaitForPrimary = insist
-		got, _, err := s.forward(ctx, server, req, w.deadline)
+// forwardSingle forwards a statement outside a transaction to a host that serves the group. It
+// returns false if no host took it.
+func (s *Session) forwardSingle(ctx context.Context, r Request, op *operation) (reply Reply, ok bool) {
+	arrived := op.deadline.Add(-op.route.Timeout)
+	s.tryServers(ctx, op, func(server membership.Host, waitForPrimary bool) error {
+		req := s.newPeerRequest(r, arrived, op)
+		req.WaitForPrimary = waitForPrimary
+		got, _, err := s.forward(ctx, server, req, op.deadline)
 		switch {
 		case err == nil:
 			s.advanceLastWrite(got.LastWrite)
 			reply, ok = got.Reply, true
-		case errors.Is(err, errOutcomeUnknown) && w.writes:
-			reply, ok = failureReply(InDoubt, "host "+server.ID+" was lost with the write"), true
+		case errors.Is(err, errOutcomeUnknown) && op.writes:
+			reply, ok = failureReply(InDoubt, "contact with host "+server.ID+" was lost after the write was sent"), true
 			return nil
 		}
 		return err
@@ -77,101 +78,104 @@
 	return reply, ok
 }
 
-// attemptFunc offers a statement to another host. The error is nil once the statement is settled.
-type attemptFunc func(server membership.Host, insist bool) error
+// attemptFunc sends a statement to another host. The error is nil once the outcome of the
+// statement is decided.
+type attemptFunc func(server membership.Host, waitForPrimary bool) error
 
-// tryServers turns to one host after the other that serves the group until the statement
-// is settled, has waited for long enough, or this host is to serve the group itself.
-func (s *Session) tryServers(ctx context.Context, w *operation, settle attemptFunc) {
-	if !w.servedElsewhere {
-		s.tryAlternatives(w, settle)
+// tryServers tries the hosts that serve the group in turn until the outcome of the statement is
+// decided, its time to wait is over, or this host is to serve the group itself.
+func (s *Session) tryServers(ctx context.Context, op *operation, attempt attemptFunc) {
+	if !op.servedElsewhere {
+		s.tryAlternatives(op, attempt)
 		return
 	}
-	for s.tryServersOnce(w, settle) {
+	for s.tryServersOnce(op, attempt) {
 		if !pause.For(ctx, peerRetryInterval) {
 			return
 		}
 	}
 }
 
-// tryServersOnce offers a statement once to each host that serves the group. It returns true if
-// the statement is to be offered again.
-func (s *Session) tryServersOnce(w *operation, settle attemptFunc) bool {
-	g, h := w.group, s.host
-	var without []membership.Host // those that can't reach the primary
+// tryServersOnce sends a statement to each host that serves the group until one takes it. It
+// returns true if the statement is to be retried.
+func (s *Session) tryServersOnce(op *operation, attempt attemptFunc) bool {
+	g, h := op.group, s.host
+	var withoutPrimary []membership.Host // hosts that can't reach the primary
 	for _, server := range h.serversFor(g).servers {
-		err := settle(server, false)
+		err := attempt(server, false)
 		switch {
 		case err == nil:
 			g.noteServerReached()
 			return false
 		case errors.Is(err, errPeerPrimaryUnreachable):
-			without = append(without, server)
+			withoutPrimary = append(withoutPrimary, server)
 		case g.noteServerUnreached():
 			return false
 		}
-		if !h.now().Before(w.waitUntil()) {
+		if !h.now().Before(op.waitUntil()) {
 			return false
 		}
-		if len(without) > maxAlternatives {
+		if len(withoutPrimary) > maxAlternatives {
 			break
 		}
 	}
-	// Where several hosts miss the primary it is most likely being replaced, and the
-	// statement waits for the next one.
-	if len(without) > 0 && settle(without[0], true) == nil {
+	// If several hosts can't reach the primary it is most likely being replaced, and the statement
+	// waits for the new primary at one of them.
+	if len(withoutPrimary) > 0 && attempt(withoutPrimary[0], true) == nil {
 		g.noteServerReached()
 		return false
 	}
 	return true
 }
 
-// maxAlternatives is how many further hosts are asked for a primary that one can't reach. A
-// partition that leaves a majority on the other side is crossed by two of three.
+// maxAlternatives is how many further hosts are tried if one can't reach the primary. With a
+// partition that leaves a majority of the hosts on the primary's side, two of three hosts reach
+// it.
 const maxAlternatives = 2
 
-// tryAlternatives offers a statement to hosts that may reach the primary while this one, which
+// tryAlternatives sends a statement to hosts that may reach the primary while this host, which
 // serves the group, can't.
-func (s *Session) tryAlternatives(w *operation, settle attemptFunc) {
-	detours := s.host.fleet.Usable(s.host.alternativeHosts(w.group))
-	for _, server := range detours[:min(len(detours), 1+maxAlternatives)] {
-		if settle(server, false) == nil || !s.host.now().Before(w.waitUntil()) {
+func (s *Session) tryAlternatives(op *operation, attempt attemptFunc) {
+	alternatives := s.host.fleet.Usable(s.host.alternativeHosts(op.group))
+	for _, server := range alternatives[:min(len(alternatives), 1+maxAlternatives)] {
+		if attempt(server, false) == nil || !s.host.now().Before(op.waitUntil()) {
 			return
 		}
 	}
 }
 
-// forward sends a request to a host on a lane of its own. Without an error the lane is
-// the caller's.
+// forward sends a request to a host on a new stream. If the error is nil the caller owns the
+// stream.
 func (s *Session) forward(ctx context.Context, server membership.Host, r *PeerRequest, deadline time.Time) (*PeerReply, Stream, error) {
 	h := s.host
-	call, cancel := context.WithTimeout(ctx, openStreamTimeout)
+	callCtx, cancel := context.WithTimeout(ctx, openStreamTimeout)
 	defer cancel()
-	lane, err := h.ports.Peers.OpenStream(call, server.Peer)
+	stream, err := h.ports.Peers.OpenStream(callCtx, server.Peer)
 	if err != nil {
 		h.peerFailed(server.ID, err)
 		h.logForward(s, r, server.ID, "not reached", err)
 		return nil, nil, errNotRun
 	}
-	reply, err := s.send(ctx, server, lane, r, deadline)
+	reply, err := s.send(ctx, server, stream, r, deadline)
 	if err != nil {
 		return nil, nil, err
 	}
-	return reply, lane, nil
+	return reply, stream, nil
 }
 
-// send sends a request on a lane, which is closed when it fails.
-func (s *Session) send(ctx context.Context, server membership.Host, lane Stream, r *PeerRequest, deadline time.Time) (*PeerReply, error) {
+// send sends a request on a stream. It closes the stream if the request fails on it or is
+// declined.
+func (s *Session) send(ctx context.Context, server membership.Host, stream Stream, r *PeerRequest, deadline time.Time) (*PeerReply, error) {
 	h := s.host
 	r.To = h.fleet.Process(server.ID)
-	call, cancel := context.WithTimeout(ctx, deadline.Sub(h.now())+peerReplyMargin)
+	callCtx, cancel := context.WithTimeout(ctx, deadline.Sub(h.now())+peerReplyMargin)
 	defer cancel()
 	sent := h.now()
-	watch := time.AfterFunc(outcomeQueryDelay, func() { h.watchRequest(call, cancel, server, r) })
-	reply, err := lane.Do(call, r)
-	watch.Stop()
+	timer := time.AfterFunc(outcomeQueryDelay, func() { h.watchRequest(callCtx, cancel, server, r) })
+	reply, err := stream.Do(callCtx, r)
+	timer.Stop()
 	if err != nil {
-		lane.Close()
+		stream.Close()
 		h.logForward(s, r, server.ID, "broken", err)
 		if errors.Is(err, ErrNotSent) || r.isRetrySafe() {
 			return nil, errNotRun
@@ -179,9 +183,9 @@
 		reply, err = h.resolveOutcome(ctx, server, r, deadline)
 		switch {
 		case errors.Is(err, errNotRun):
-			lane.ReplaceIfSilent(h.now().Sub(sent))
+			stream.ReplaceIfSilent(h.now().Sub(sent))
 		case err == nil && reply.Reply.State == InTransaction:
-			// With its lane, the transaction was rolled back.
+			// The other host rolled the transaction back when the stream closed.
 			return nil, errNotRun
 		}
 	}
@@ -191,7 +195,7 @@
 	}
 	h.peerAnswered(server.ID, reply.Process)
 	if reply.Declined != Accepted {
-		lane.Close()
+		stream.Close()
 		h.logForward(s, r, server.ID, reply.Declined.String(), nil)
 		if reply.Declined == PrimaryUnreachable {
 			return nil, errPeerPrimaryUnreachable
@@ -202,23 +206,24 @@
 	return reply, nil
 }
 
-// watchRequest asks a host whether it has a request that takes long, and ends the wait
-// when it does not answer or has it no longer: the connection may have gone silent.
-func (h *Host) watchRequest(ctx context.Context, giveUp func(), server membership.Host, r *PeerRequest) {
+// watchRequest queries the outcome of a request that takes long. It cancels the wait for the reply
+// if the host does not answer or does not know the request: the connection may have silently
+// failed.
+func (h *Host) watchRequest(ctx context.Context, cancel func(), server membership.Host, r *PeerRequest) {
 	for missed := 0; ctx.Err() == nil; {
 		switch got, err := h.queryOutcome(ctx, server, r); got.(type) {
 		case OutcomeRunning:
 			missed = 0
 		default:
 			if ctx.Err() != nil {
-				return // the answer has come
+				return // the reply has arrived
 			}
 			if err != nil {
-				// Others need not wait for the outcome of this one.
+				// Mark the host suspect, so that other statements don't wait for it.
 				h.peerFailed(server.ID, err)
 			}
 			if missed++; err == nil || missed >= maxMissedOutcomeQueries || r.isRetrySafe() {
-				giveUp()
+				cancel()
 				return
 			}
 		}
@@ -228,14 +233,15 @@
 	}
 }
 
-// queryOutcome asks a host what became of a request.
+// queryOutcome asks a host for the outcome of a request.
 func (h *Host) queryOutcome(ctx context.Context, server membership.Host, r *PeerRequest) (RequestOutcome, error) {
-	call, cancel := context.WithTimeout(ctx, outcomeQueryTimeout)
+	callCtx, cancel := context.WithTimeout(ctx, outcomeQueryTimeout)
 	defer cancel()
-	return h.ports.Peers.QueryOutcome(call, server.Peer, r.From, r.Serial)
+	return h.ports.Peers.QueryOutcome(callCtx, server.Peer, r.From, r.Serial)
 }
 
-// resolveOutcome finds out what became of a request whose lane broke.
+// resolveOutcome determines the outcome of a request whose stream broke, and returns its reply.
+// The error is errNotRun or errOutcomeUnknown.
 func (h *Host) resolveOutcome(ctx context.Context, server membership.Host, r *PeerRequest, deadline time.Time) (*PeerReply, error) {
 	for missed := 0; h.now().Before(deadline) && missed < maxMissedOutcomeQueries; {
 		got, err := h.queryOutcome(ctx, server, r)
@@ -248,7 +254,7 @@
 			return got.Reply, nil
 		case OutcomeUnknown:
 			if r.To == "" || got.Process != r.To {
-				return nil, errOutcomeUnknown // it may have come to a process that has ended
+				return nil, errOutcomeUnknown // an earlier process of the host may have run it
 			}
 			return nil, errNotRun
 		}
@@ -259,7 +265,7 @@
 	return nil, errOutcomeUnknown
 }
 
-// peerFailed records that another host did not answer.
+// peerFailed records that another host did not answer, and starts probing it.
 func (h *Host) peerFailed(id string, err error) {
 	if !h.fleet.Failed(id) {
 		return
@@ -268,8 +274,8 @@
 	go h.probeUntilRegained(id)
 }
 
-// probeUntilRegained asks a host that failed until it answers or is no longer listed, so that no
-// caller has to find out.
+// probeUntilRegained probes a host that failed until it answers or is no longer listed, so that no
+// caller's request has to find out whether it is back.
 func (h *Host) probeUntilRegained(id string) {
 	ctx, cancel := contextUntil(context.Background(), h.ended)
 	defer cancel()
@@ -278,8 +284,8 @@
 		if !suspect {
 			return
 		}
-		call, cancel := context.WithTimeout(ctx, outcomeQueryTimeout)
-		got, err := h.ports.Peers.QueryOutcome(call, addr, h.processID, 0)
+		callCtx, cancel := context.WithTimeout(ctx, outcomeQueryTimeout)
+		got, err := h.ports.Peers.QueryOutcome(callCtx, addr, h.processID, 0)
 		cancel()
 		if known, ok := got.(OutcomeUnknown); ok && err == nil {
 			h.peerAnswered(id, known.Process)
@@ -295,18 +301,18 @@
 	}
 }
 
-// reroute runs a statement by way of another host, since this one can't reach the primary.
-// A caller of another host goes back there. It returns false if no host took it: then the
-// statement waits here.
-func (s *Session) reroute(ctx context.Context, r Request, w *operation) (Reply, bool) {
+// reroute runs a statement by way of another host, since this one can't reach the primary. A
+// forwarded statement is returned to the host that sent it. It returns false if no host took the
+// statement, which then waits here.
+func (s *Session) reroute(ctx context.Context, r Request, op *operation) (Reply, bool) {
 	if s.returnToOrigin() {
-		return busyReply(*w), true
+		return busyReply(*op), true
 	}
-	w.need.Forwardable = false
-	return s.forwardSingle(ctx, r, w)
+	op.need.Forwardable = false
+	return s.forwardSingle(ctx, r, op)
 }
 
-// rerouteInTransaction does the same for a transaction that has run nothing yet.
+// rerouteInTransaction is reroute for a transaction that has run no statement yet.
 func (s *Session) rerouteInTransaction(ctx context.Context, r Request, arrived time.Time) (Reply, bool) {
 	if s.returnToOrigin() {
 		return s.failTransaction(busyReply(s.tx.op)), true
@@ -315,8 +321,8 @@
 	return s.forwardInTransaction(ctx, r, arrived)
 }
 
-// returnToOrigin makes the answer to another host say that this one can't reach the primary. It
-// returns false for this host's own callers.
+// returnToOrigin returns a forwarded statement to the host that sent it: the reply says that this
+// host can't reach the primary. It returns false for this host's own callers.
 func (s *Session) returnToOrigin() bool {
 	if s.origin == nil {
 		return false
@@ -325,37 +331,38 @@
 	return true
 }
 
-// logForward writes the line of a statement that another host did not answer.
+// logForward logs and counts a forwarded statement that another host did not take or answer.
 func (h *Host) logForward(s *Session, r *PeerRequest, server, outcome string, err error) {
 	h.log("forward", "request", r.Request.ID, "database", s.database, "group", r.Group, "peer", server,
 		"outcome", outcome, "age_ms", r.Age.Milliseconds(), "err", err)
 	h.metrics.forward(r.Group, "failed")
 }
 
-// forwardInTransaction passes a statement of a transaction, or its commit, on. The first
-// one opens the transaction on the other host. It returns false if no host took it.
+// forwardInTransaction forwards a statement or the commit of a transaction. The first one also
+// begins the transaction on the other host. It returns false if no host took it.
 func (s *Session) forwardInTransaction(ctx context.Context, r Request, arrived time.Time) (reply Reply, ok bool) {
 	t := s.tx
 	if t.remote != nil {
 		return s.continueRemote(ctx, r, arrived), true
 	}
-	s.tryServers(ctx, &t.op, func(server membership.Host, insist bool) error {
+	s.tryServers(ctx, &t.op, func(server membership.Host, waitForPrimary bool) error {
 		req := s.newPeerRequest(r, arrived, &t.op)
 		req.Begin, req.BeginAge = &Begin{ReadOnly: t.readOnly}, s.host.now().Sub(t.started)
-		req.WaitForPrimary = insist
-		// If the answer is lost the other host rolls back, so another one may begin.
-		got, lane, err := s.forward(ctx, server, req, t.op.deadline)
+		req.WaitForPrimary = waitForPrimary
+		// If the reply is lost the other host rolls back, so the transaction may begin on another
+		// one.
+		got, stream, err := s.forward(ctx, server, req, t.op.deadline)
 		if err != nil {
 			return err
 		}
-		t.remote = &remoteTransaction{server, lane}
+		t.remote = &remoteTransaction{server, stream}
 		reply, ok = s.applyRemoteReply(r, got), true
 		return nil
 	})
 	return reply, ok
 }
 
-// continueRemote runs a further statement of a transaction on its host.
+// continueRemote runs a further statement of a transaction on the host where it began.
 func (s *Session) continueRemote(ctx context.Context, r Request, arrived time.Time) Reply {
 	t := s.tx
 	server := t.remote.server
@@ -366,36 +373,37 @@
 		return s.applyRemoteReply(r, reply)
 	}
 	t.remote = nil
-	if _, ends := r.Statement.(Commit); ends && !t.readOnly && errors.Is(err, errOutcomeUnknown) {
+	if _, isCommit := r.Statement.(Commit); isCommit && !t.readOnly && errors.Is(err, errOutcomeUnknown) {
 		s.tx, s.state = nil, Idle
-		return failureReply(InDoubt, "host "+server.ID+" was lost with the commit")
+		return failureReply(InDoubt, "contact with host "+server.ID+" was lost after the commit was sent")
 	}
-	return s.failTransaction(failureReply(Aborted, "host "+server.ID+" was lost, "+retryAfter(0)))
+	return s.failTransaction(failureReply(Aborted, "contact with host "+server.ID+" was lost, "+retryAfter(0)))
 }
 
-// applyRemoteReply takes over what another host answered to a statement of a transaction.
+// applyRemoteReply updates the session from another host's reply to a statement of a transaction.
 func (s *Session) applyRemoteReply(r Request, reply *PeerReply) Reply {
 	s.advanceLastWrite(reply.LastWrite)
 	if reply.Reply.State != InTransaction {
 		s.tx = nil
 	}
 	s.state = reply.Reply.State
-	if _, ends := r.Statement.(Commit); ends {
+	if _, isCommit := r.Statement.(Commit); isCommit {
 		s.state = Idle
 	}
 	return reply.Reply
 }
 
-// rollbackRemote ends a transaction on another host.
+// rollbackRemote rolls back a transaction on another host. If that fails it closes the stream,
+// upon which the other host rolls back.
 func (t *transaction) rollbackRemote(s *Session) {
-	a := t.remote
+	remote := t.remote
 	t.remote = nil
 	ctx, cancel := context.WithTimeout(context.Background(), rollbackTimeout)
 	defer cancel()
 	r := s.newPeerRequest(Request{ID: s.lastRequestID, Statement: Rollback{}}, s.host.now(), &t.op)
 	r.Continues = true
-	reply, err := a.stream.Do(ctx, r)
+	reply, err := remote.stream.Do(ctx, r)
 	if err != nil || reply.Declined != Accepted || reply.Reply.State != Idle {
-		a.stream.Close()
+		remote.stream.Close()
 	}
 }
--- a/internal/gateway/forwarded_session.go
+++ b/internal/gateway/forwarded_session.go
@@ -9,77 +9,79 @@
 	"pearlatch/core/recall"
 )
 
-// ForwardedSession does what another host passes on, for one of its callers at a time. It is used
-// by one goroutine at a time.
+// ForwardedSession runs requests that another host forwards, for one of its callers at a time. It
+// is used by one goroutine at a time.
 type ForwardedSession struct {
 	host    *Host
 	session *Session
-	// counted is true while the host counts the guest's open transaction.
+	// counted is true while the open transaction is included in the host's forwardedCount.
 	counted bool
 }
 
-// forwardOrigin is what a guest's session goes by in place of the host's own configuration: the
-// host that the caller is connected to decides about routes.
+// forwardOrigin replaces the host's own configuration in a forwarded session: the host that the
+// caller is connected to decides on the route.
 type forwardOrigin struct {
 	from string
 	routeTarget
-	// waitForPrimary is true when the caller's statement waits for the primary here, and
-	// returned is set when it does not and this host can't reach it.
+	// waitForPrimary is true if the current request is to wait for the primary on this host.
+	// returned is set if it does not wait and goes back to its host, since this one can't reach
+	// the primary.
 	waitForPrimary, returned bool
 }
 
 // NewForwardedSession returns a ForwardedSession without a caller.
 func (h *Host) NewForwardedSession() *ForwardedSession { return &ForwardedSession{host: h} }
 
-// Accept decides whether to run a request of another host, and records it, so that the host
-// can answer for it from then on. It returns the answer to a request that is declined.
-func (g *ForwardedSession) Accept(r *PeerRequest) (declined *PeerReply) {
-	h := g.host
-	why := g.declineReason(r)
-	if why == Accepted && !h.recentRequests.Admit(recall.Key{Sender: r.From, Serial: r.Serial}, h.now()) {
-		why = ReportedUnknown
+// Accept decides whether to run a request of another host, and records a request that it accepts,
+// so that OutcomeOf can answer for it from then on. It returns the reply to a request that is
+// declined, or nil.
+func (fs *ForwardedSession) Accept(r *PeerRequest) (declined *PeerReply) {
+	h := fs.host
+	reason := fs.declineReason(r)
+	if reason == Accepted && !h.recentRequests.Admit(recall.Key{Sender: r.From, Serial: r.Serial}, h.now()) {
+		reason = ReportedUnknown
 	}
-	if why == Accepted {
+	if reason == Accepted {
 		h.forwardedCount.Add(1)
 		return nil
 	}
-	return &PeerReply{Process: h.processID, Declined: why}
+	return &PeerReply{Process: h.processID, Declined: reason}
 }
 
-// Run runs a request that was taken.
-func (g *ForwardedSession) Run(ctx context.Context, r *PeerRequest) *PeerReply {
-	h := g.host
+// Run runs a request that Accept has accepted, and returns the reply to it.
+func (fs *ForwardedSession) Run(ctx context.Context, r *PeerRequest) *PeerReply {
+	h := fs.host
 	defer h.forwardedCount.Add(-1)
 	if group := h.group(r.Group); group != nil {
 		group.startFallback()
 	}
-	reply := g.run(ctx, r)
-	g.updateCount()
+	reply := fs.run(ctx, r)
+	fs.updateCount()
 	h.recentRequests.Complete(recall.Key{Sender: r.From, Serial: r.Serial}, reply)
 	return reply
 }
 
-// declineReason says why the request is not to run here. Once a transaction is open its
-// statements run here or nowhere.
-func (g *ForwardedSession) declineReason(r *PeerRequest) DeclineReason {
-	if r.To != "" && r.To != g.host.processID {
+// declineReason returns why the request is not to run here, or Accepted. Statements of an open
+// transaction run here or nowhere.
+func (fs *ForwardedSession) declineReason(r *PeerRequest) DeclineReason {
+	if r.To != "" && r.To != fs.host.processID {
 		return OtherProcess
 	}
 	switch {
-	case r.Continues != g.Open():
-		// The transaction was rolled back, since its lane was given up or it rested for
-		// too long: the statement must not run by itself.
+	case r.Continues != fs.Open():
+		// The transaction was rolled back since its stream was closed or it was idle for too long.
+		// The statement must not run outside it.
 		return NoTransaction
 	case r.Continues:
 		return Accepted
-	case g.host.stopping.Load():
+	case fs.host.stopping.Load():
 		return HostStopping
 	}
-	group := g.host.group(r.Group)
+	group := fs.host.group(r.Group)
 	switch {
 	case group == nil:
 		return GroupUnknown
-	case r.Account == "" && !r.Route.Public && g.host.requiresAccounts():
+	case r.Account == "" && !r.Route.Public && fs.host.requiresAccounts():
 		return AccountMissing
 	case !r.WaitForPrimary && r.needsPrimary() && group.primaryUnreachable():
 		return PrimaryUnreachable
@@ -99,7 +101,8 @@
 	return writes || r.Prepared != nil && r.Prepared.Writes
 }
 
-// requiresAccounts reports whether callers need an account by this host's configuration.
+// requiresAccounts reports whether this host's configuration requires callers to have a client
+// account.
 func (h *Host) requiresAccounts() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -107,29 +110,31 @@
 }
 
 // Open reports whether a transaction is open.
-func (g *ForwardedSession) Open() bool { return g.session != nil && g.session.state == InTransaction }
+func (fs *ForwardedSession) Open() bool {
+	return fs.session != nil && fs.session.state == InTransaction
+}
 
-// updateCount tells the host whether a transaction is open.
-func (g *ForwardedSession) updateCount() {
-	switch open := g.Open(); {
-	case open && !g.counted:
-		g.host.forwardedCount.Add(1)
-	case !open && g.counted:
-		g.host.forwardedCount.Add(-1)
+// updateCount adds an open transaction to the host's forwardedCount, or removes an ended one.
+func (fs *ForwardedSession) updateCount() {
+	switch open := fs.Open(); {
+	case open && !fs.counted:
+		fs.host.forwardedCount.Add(1)
+	case !open && fs.counted:
+		fs.host.forwardedCount.Add(-1)
 	}
-	g.counted = g.Open()
+	fs.counted = fs.Open()
 }
 
-// run takes over the caller's session as the request describes it. The ages make times
-// of this host's clock that are not before the sender's: what decides on freshness is
-// never older than it seems.
-func (g *ForwardedSession) run(ctx context.Context, r *PeerRequest) *PeerReply {
-	h := g.host
+// run adopts the caller's session state from the request and runs the statement. It converts ages
+// in the request to times of this host's clock. The transfer can make these times later than at
+// the sender, never earlier, so a freshness requirement never becomes weaker.
+func (fs *ForwardedSession) run(ctx context.Context, r *PeerRequest) *PeerReply {
+	h := fs.host
 	now := h.now()
-	if !g.Open() {
-		g.session = &Session{host: h, database: r.Database, origin: &forwardOrigin{from: r.From, routeTarget: routeTarget{r.Route, h.group(r.Group), &account.Account{Name: r.Account}}}}
+	if !fs.Open() {
+		fs.session = &Session{host: h, database: r.Database, origin: &forwardOrigin{from: r.From, routeTarget: routeTarget{r.Route, h.group(r.Group), &account.Account{Name: r.Account}}}}
 	}
-	s := g.session
+	s := fs.session
 	s.origin.waitForPrimary, s.origin.returned = r.WaitForPrimary, false
 	s.values = r.Values
 	s.advanceLastWrite(r.LastWrite)
@@ -141,7 +146,7 @@
 	}
 	reply := s.do(ctx, r.Request, now.Add(-r.Age))
 	if s.state == InFailedTransaction {
-		// The caller's own host keeps the state of a failed transaction.
+		// The host that the caller is connected to keeps the state of a failed transaction.
 		s.state = Idle
 	}
 	out := &PeerReply{Process: h.processID, Reply: reply, LastWrite: s.lastWrite}
@@ -151,34 +156,35 @@
 	return out
 }
 
-// Expire rolls back a transaction whose host sent nothing for too long: it may be gone
-// without a trace, and its transaction holds a connection.
-func (g *ForwardedSession) Expire() {
-	if g.Open() {
-		g.session.Expire()
+// Expire rolls back a transaction whose host has sent nothing for too long. That host may have
+// failed without closing the stream, and the transaction holds a connection.
+func (fs *ForwardedSession) Expire() {
+	if fs.Open() {
+		fs.session.Expire()
 	}
-	g.session = nil
-	g.updateCount()
+	fs.session = nil
+	fs.updateCount()
 }
 
-// IdleTimeout is how long the next request may take to come while a transaction is open.
-func (g *ForwardedSession) IdleTimeout() time.Duration {
-	return g.host.TransactionIdle() + forwardedIdleMargin
+// IdleTimeout returns how long to wait for the next request while a transaction is open.
+func (fs *ForwardedSession) IdleTimeout() time.Duration {
+	return fs.host.TransactionIdle() + forwardedIdleMargin
 }
 
-// forwardedIdleMargin lets the caller's own host end a resting transaction first.
+// forwardedIdleMargin gives the caller's own host time to end an idle transaction first.
 const forwardedIdleMargin = 500 * time.Millisecond
 
-// Close ends the guest. An open transaction is rolled back.
-func (g *ForwardedSession) Close() {
-	if g.Open() {
-		g.session.abandon()
+// Close ends the forwarded session. An open transaction is rolled back.
+func (fs *ForwardedSession) Close() {
+	if fs.Open() {
+		fs.session.abandon()
 	}
-	g.session = nil
-	g.updateCount()
+	fs.session = nil
+	fs.updateCount()
 }
 
-// OutcomeOf says what became of a request of another host.
+// OutcomeOf returns the outcome of a request that another host has sent. A request that is not
+// known is refused from then on.
 func (h *Host) OutcomeOf(from string, serial uint64) RequestOutcome {
 	switch outcome, reply := h.recentRequests.Resolve(recall.Key{Sender: from, Serial: serial}, h.now()); outcome {
 	case recall.Answered:
@@ -189,5 +195,5 @@
 	return OutcomeUnknown{h.processID}
 }
 
-// ForwardedCount returns how many requests and transactions of other hosts are open here.
+// ForwardedCount returns the number of running requests and open transactions of other hosts.
 func (h *Host) ForwardedCount() int64 { return h.forwardedCount.Load() }
--- a/internal/gateway/operation.go
+++ b/internal/gateway/operation.go
@@ -8,7 +8,8 @@
 	"pearlatch/core/pool"
 )
 
-// operation describes a statement or a transaction on its way to a member.
+// operation describes a statement or a transaction and what it requires of the member that runs
+// it.
 type operation struct {
 	group             *Group
 	route             Route
@@ -16,34 +17,36 @@
 	writes            bool
 	prepared          *PreparedStatement
 	needsPrimaryCheck bool
-	// freshReads is true for a transaction: also one that may write must read nothing old.
+	// freshReads is true for a transaction: even if it may write, its reads must not return stale
+	// data.
 	freshReads bool
 	deadline   time.Time
-	// servedElsewhere is true when other hosts serve the group. What a member must hold is
-	// then decided there.
+	// servedElsewhere is true if other hosts serve the group. They then decide what is required of
+	// the member.
 	servedElsewhere bool
 }
 
-// planOperation says what a request needs. For a transaction, arrived is its start.
+// planOperation returns the operation for a request, with its requirements. For a transaction,
+// arrived is the time of its begin.
 func (s *Session) planOperation(arrived time.Time, writes bool) (operation, *Failure) {
-	at, err := s.route()
+	target, err := s.route()
 	if err != nil {
 		return operation{}, err
 	}
-	g := at.group
-	w := operation{group: g, route: at.route, writes: writes, need: pool.Request{Account: at.account.Name, Priority: at.route.Priority, ArrivedAt: arrived}}
+	g := target.group
+	op := operation{group: g, route: target.route, writes: writes, need: pool.Request{Account: target.account.Name, Priority: target.route.Priority, ArrivedAt: arrived}}
 	if s.origin == nil && s.host.forwards(g) {
-		w.servedElsewhere = true
-		return w, nil
+		op.servedElsewhere = true
+		return op, nil
 	}
-	w.setRequirements(s.lastWrite)
-	w.need.Forwardable = w.need.PrimaryOnly && s.mayReroute(g)
-	return w, nil
+	op.setRequirements(s.lastWrite)
+	op.need.Forwardable = op.need.PrimaryOnly && s.mayReroute(g)
+	return op, nil
 }
 
-// mayReroute reports whether a statement whose primary this host can't reach may run by
-// way of another host. A caller of another host goes back there, and its host knows
-// further ones.
+// mayReroute reports whether a statement may run by way of another host if this host can't reach
+// the primary. A forwarded statement is returned to the host that sent it, which knows alternative
+// hosts.
 func (s *Session) mayReroute(g *Group) bool {
 	if s.origin != nil {
 		return !s.origin.waitForPrimary
@@ -51,84 +54,85 @@
 	return len(s.host.alternativeHosts(g)) > 0
 }
 
-// setRequirements says what a member must hold, or be, for a session with the mark.
-func (w *operation) setRequirements(mark group.Position) {
-	if w.writes {
-		// What is written must not go to a primary that may have been replaced either: its
-		// write would hang until the caller's time is up, and be in doubt.
-		w.need.PrimaryOnly, w.needsPrimaryCheck = true, true
+// setRequirements sets the position that a member must have, or that it must be the primary, for a
+// session with the given last write.
+func (op *operation) setRequirements(lastWrite group.Position) {
+	if op.writes {
+		// Writes need the primary check too: on a replaced primary they would hang until the
+		// deadline and be in doubt.
+		op.need.PrimaryOnly, op.needsPrimaryCheck = true, true
 		return
 	}
-	switch c := w.route.Class.(type) {
+	switch c := op.route.Class.(type) {
 	case freshness.Latest:
-		w.need.PrimaryOnly, w.needsPrimaryCheck = true, true
+		op.need.PrimaryOnly, op.needsPrimaryCheck = true, true
 	case freshness.OwnWrites:
-		w.need.MinPosition = mark
+		op.need.MinPosition = lastWrite
 	case freshness.MaxAge:
-		p, ok := w.group.positionCovering(w.need.ArrivedAt.Add(-c.Age))
+		p, ok := op.group.positionCovering(op.need.ArrivedAt.Add(-c.Age))
 		if !ok {
-			// Nothing was heard of the primary within the age: only it knows.
-			w.need.PrimaryOnly, w.needsPrimaryCheck = true, true
+			// No position of the primary is known within the age, so only the primary can answer.
+			op.need.PrimaryOnly, op.needsPrimaryCheck = true, true
 			break
 		}
-		w.need.MinPosition = p
-		if mark.Compare(p) > 0 {
-			w.need.MinPosition = mark
+		op.need.MinPosition = p
+		if lastWrite.Compare(p) > 0 {
+			op.need.MinPosition = lastWrite
 		}
 	}
 }
 
-// resolve returns whether the request writes, and the shape that it executes.
-func (s *Session) resolve(r Request) (writes bool, shape *PreparedStatement, failure *Failure) {
+// resolve returns whether the request writes, and the prepared statement that it executes, if any.
+func (s *Session) resolve(r Request) (writes bool, prepared *PreparedStatement, failure *Failure) {
 	switch st := r.Statement.(type) {
 	case Write:
 		return true, nil, nil
 	case Execute:
-		known, ok := s.prepared[st.Name]
+		statement, ok := s.prepared[st.Name]
 		if !ok {
 			return false, nil, &Failure{UnknownStatement, st.Name}
 		}
-		return known.Writes, &known, nil
+		return statement.Writes, &statement, nil
 	}
 	return false, nil, nil
 }
 
 const (
-	// maxWaitFraction of a statement's timeout may go by while it waits. A caller that
-	// is refused then still has time to try elsewhere: the users' callers give an
-	// operation up after 600 ms where the timeout is 800 ms.
+	// maxWaitFraction is the share of its timeout that a statement may wait for a member. A caller
+	// that is refused after that still has time to try another host: users' clients give up an
+	// operation after 600 ms where the timeout is 800 ms.
 	maxWaitFraction = 0.35
-	// maxWaitLatencyFactor is how many times the latency objective a statement may wait:
-	// beyond that its answer is of little use.
+	// maxWaitLatencyFactor bounds the same wait, as a multiple of the route's latency target: a
+	// later reply is of little use.
 	maxWaitLatencyFactor = 1.2
 )
 
-// waitUntil returns until when the statement may wait without an offer.
-func (w *operation) waitUntil() time.Time {
-	started := w.deadline.Add(-w.route.Timeout)
-	wait := time.Duration(maxWaitFraction * float64(w.route.Timeout))
-	if w.route.LatencyTarget > 0 {
-		wait = min(wait, time.Duration(maxWaitLatencyFactor*float64(w.route.LatencyTarget)))
+// waitUntil returns the time until which the statement may wait for a member that can run it.
+func (op *operation) waitUntil() time.Time {
+	started := op.deadline.Add(-op.route.Timeout)
+	wait := time.Duration(maxWaitFraction * float64(op.route.Timeout))
+	if op.route.LatencyTarget > 0 {
+		wait = min(wait, time.Duration(maxWaitLatencyFactor*float64(op.route.LatencyTarget)))
 	}
 	return started.Add(wait)
 }
 
-func busyReply(w operation) Reply {
-	if !w.need.PrimaryOnly {
+func busyReply(op operation) Reply {
+	if !op.need.PrimaryOnly {
 		return failureReply(Busy, "no connection in time, "+retryAfter(0))
 	}
-	remaining, _ := w.group.outageOutlasts(w.deadline)
+	remaining, _ := op.group.outageOutlasts(op.deadline)
 	return failureReply(Busy, "no connection to the primary in time, "+retryAfter(remaining))
 }
 
-// outageRefusal returns a refusal with the code for a statement whose primary is not expected
-// back in time, or nil.
-func (w *operation) outageRefusal(code Code) *Failure {
-	if !w.need.PrimaryOnly || w.servedElsewhere {
+// outageRefusal returns a failure with the code if the operation needs the primary and the outage
+// is expected to outlast its deadline, or nil.
+func (op *operation) outageRefusal(code Code) *Failure {
+	if !op.need.PrimaryOnly || op.servedElsewhere {
 		return nil
 	}
-	w.group.notePrimaryNeeded()
-	if remaining, ok := w.group.outageOutlasts(w.deadline); ok {
+	op.group.notePrimaryNeeded()
+	if remaining, ok := op.group.outageOutlasts(op.deadline); ok {
 		return outageFailure(code, remaining)
 	}
 	return nil
--- a/internal/gateway/reply.go
+++ b/internal/gateway/reply.go
@@ -15,48 +15,48 @@
 const (
 	Idle State = iota
 	InTransaction
-	// InFailedTransaction means that the transaction failed and only its end is accepted.
+	// InFailedTransaction means that the transaction has failed and only a commit or rollback is
+	// accepted.
 	InFailedTransaction // Broken
 )
 
-// Code says why a statement failed.
+// Code is the reason why a statement failed.
 type Code uint8
 
-// The codes. The group up to TooManyConnections promises that nothing of the caller's
-// attempt is kept.
+// The codes. Those up to TooManyConnections guarantee that no effect of the caller's attempt
+// is kept.
 const (
-	// Busy means that nothing had room for the statement.
+	// Busy means that no member or connection could take the statement in time.
 	Busy Code = iota
 	// Aborted means that the transaction was rolled back.
 	Aborted
-	// Lagging means that the member's log lacks a position.
+	// Lagging means that the member's log has not reached the required position.
 	Lagging
-	// ReadOnly means that the member does not lead.
+	// ReadOnly means that the member is not the primary.
 	ReadOnly
-	// Misrouted means that the address belongs to another member now.
+	// Misrouted means that the address now belongs to another member.
 	Misrouted
-	// TooManyConnections means that the member has no connection left.
+	// TooManyConnections means that the member accepts no further connection.
 	TooManyConnections // TooMany
-	// UnknownStatement means that no statement is prepared under the name.
+	// UnknownStatement means that there is no prepared statement of that name.
 	UnknownStatement
-	// Failed means that the statement ran and failed.
+	// Failed means that the statement ran and returned an error.
 	Failed
-	// TimedOut means that the statement ran out of time.
+	// TimedOut means that the statement exceeded its time limit.
 	TimedOut
-	// InDoubt means that the outcome is not known.
+	// InDoubt means that it is unknown whether the statement took effect.
 	InDoubt
-	// Malformed means that the statement makes no sense in the session's state.
+	// Malformed means that the statement is not valid in the session's state.
 	Malformed
-	// NoDatabase means that no route has the caller's database.
+	// NoDatabase means that no route is configured for the caller's database.
 	NoDatabase
 	// Unauthorized means that no client account has the caller's key.
 	Unauthorized
-	// OverQuota means that the caller's account has no operation left for now.
+	// OverQuota means that the account's quota is used up for now.
 	OverQuota
 )
 
-// NotRun reports whether a member that answers with the code has certainly not
-// run the statement.
+// NotRun reports whether a member that replies with the code has certainly not run the statement.
 func (c Code) NotRun() bool {
 	switch c {
 	case Busy, Lagging, ReadOnly, Misrouted, TooManyConnections, UnknownStatement:
@@ -65,7 +65,7 @@
 	return false
 }
 
-// Failure is an unsuccessful answer.
+// Failure is the error of an unsuccessful reply.
 type Failure struct {
 	Code   Code
 	Detail string
@@ -74,14 +74,14 @@
 // Error implements error.
 func (f *Failure) Error() string { return fmt.Sprintf("%s: %s", f.Code, f.Detail) }
 
-// Reply answers a statement.
+// Reply is the answer to a statement.
 type Reply struct {
 	Rows []string
-	// Signature is the member's proof that it ran the statement, or empty.
+	// Signature is the member's proof that it ran the statement. It is empty if no member ran it.
 	Signature string
-	// Failure is nil for a success.
+	// Failure is nil if the statement succeeded.
 	Failure *Failure
 	State   State
-	// Position is how far the member's log has been applied, or zero.
+	// Position is the position up to which the member has applied its log, or zero.
 	Position group.Position
 }
--- a/internal/gateway/session.go
+++ b/internal/gateway/session.go
@@ -8,26 +8,27 @@
 	"pearlatch/core/group"
 )
 
-// Session is a caller's session. It is used by one goroutine at a time.
+// Session is the session of a caller. It is used by one goroutine at a time.
 type Session struct {
 	host     *Host
 	database string
 	caller   account.Caller
-	// values and prepared belong to the caller until the session ends.
+	// values and prepared keep the caller's session values and prepared statements until the
+	// session ends.
 	values   map[string]string
 	prepared map[string]PreparedStatement
 	state    State
 	tx       *transaction
 	// lastWrite is the position of the session's last write.
 	lastWrite group.Position
-	// lastRequestID is the identifier of the newest request.
+	// lastRequestID is the identifier of the latest request.
 	lastRequestID string
-	// origin is set for a caller of another host, and decides in place of the
-	// configuration. Such a session is never passed on.
+	// origin is set if the caller is connected to another host. It replaces this host's
+	// configuration, and the session's statements are never forwarded further.
 	origin *forwardOrigin
 }
 
-// Open starts a caller's session with a database, or returns a *Failure.
+// Open starts a session with a database for a caller, or returns a *Failure.
 func (h *Host) Open(database string, c account.Caller) (*Session, *Failure) {
 	if err := h.authorize(database, c); err != nil {
 		h.logRefused(database, err)
@@ -37,10 +38,11 @@
 	return &Session{host: h, database: database, caller: c}, nil
 }
 
-// Authorized reports whether the session's caller may begin anything now. A key that was taken away ends that.
+// Authorized reports whether the session's caller may begin a statement or transaction now. It
+// returns false once the caller's key has been revoked.
 func (s *Session) Authorized() bool {
 	if s.origin != nil {
-		return true // its own host looks at that
+		return true // checked by the host that the caller is connected to
 	}
 	err := s.host.authorize(s.database, s.caller)
 	return err == nil || err.Code != Unauthorized
@@ -52,7 +54,7 @@
 	s.abandon()
 }
 
-// abandon rolls an open transaction back whose caller has left.
+// abandon rolls back the open transaction, if any, of a caller that has disconnected.
 func (s *Session) abandon() {
 	if s.tx == nil {
 		return
@@ -63,7 +65,7 @@
 	s.tx = nil
 }
 
-// route returns where the session's statements go now, and for whom.
+// route returns the current target of the session's statements and the account that they run for.
 func (s *Session) route() (routeTarget, *Failure) {
 	if s.origin != nil {
 		return s.origin.routeTarget, nil
@@ -71,24 +73,25 @@
 	return s.host.route(s.database, s.caller)
 }
 
-// ReplyUndelivered records that the answer to the newest request could not be delivered.
+// ReplyUndelivered records that the reply to the latest request could not be delivered to the
+// caller.
 func (s *Session) ReplyUndelivered() {
 	s.host.log("answer_undelivered", "request", s.lastRequestID, "database", s.database)
 }
 
-// State returns the transaction status.
+// State returns the transaction status of the session.
 func (s *Session) State() State { return s.state }
 
-// Do runs a statement and returns the answer for the caller.
+// Do runs a statement and returns the reply for the caller.
 func (s *Session) Do(ctx context.Context, r Request) Reply { return s.do(ctx, r, s.host.now()) }
 
 func (s *Session) do(ctx context.Context, r Request, arrived time.Time) Reply {
 	s.lastRequestID = r.ID
 	if s.state == InTransaction && !s.Authorized() {
-		// Nothing that the account began is kept once its key was taken away.
+		// Once its key is revoked, nothing that the account has begun is kept.
 		s.host.logFailure(s, r, arrived, &Failure{Unauthorized, "the caller's key was taken away, rolled back"})
 		s.failTransaction(Reply{})
-		if _, ends := r.Statement.(Commit); !ends {
+		if _, isCommit := r.Statement.(Commit); !isCommit {
 			reply := failureReply(Aborted, "the key was taken away")
 			reply.State = s.state
 			return reply
@@ -127,8 +130,9 @@
 	return reply
 }
 
-// chargeQuota takes a token of the account's quota for an operation that begins here: a transaction, or a statement
-// outside of one. Those of other hosts' callers were counted there.
+// chargeQuota takes a token from the account's quota for an operation that begins with the
+// request: a transaction, or a statement outside one. Operations of another host's callers were
+// charged there.
 func (s *Session) chargeQuota(ctx context.Context, r Request, arrived time.Time) *Failure {
 	if s.origin != nil || s.state != Idle {
 		return nil
@@ -138,14 +142,14 @@
 	default:
 		return nil
 	}
-	at, f := s.route()
+	target, f := s.route()
 	if f != nil {
 		return f
 	}
-	return s.host.takeQuota(ctx, at.account, arrived.Add(at.route.Timeout))
+	return s.host.takeQuota(ctx, target.account, arrived.Add(target.route.Timeout))
 }
 
-// recordOutcome counts a statement that was answered, and writes a line if it failed.
+// recordOutcome counts a statement that was answered, and logs it if it failed.
 func (s *Session) recordOutcome(r Request, arrived time.Time, reply Reply) {
 	outcome := "served"
 	switch {
@@ -156,7 +160,7 @@
 		outcome = reply.Failure.Code.String()
 		s.host.logFailure(s, r, arrived, reply.Failure)
 	case reply.Signature == "":
-		return // answered without a member
+		return // no member was involved
 	}
 	if s.origin != nil {
 		s.host.metrics.forwardedStatement(s.origin.group.name, outcome)
@@ -169,7 +173,8 @@
 	return Reply{Failure: &Failure{Code: c, Detail: detail}}
 }
 
-// doInFailedTransaction answers while a failed transaction waits for its end.
+// doInFailedTransaction answers a statement in a failed transaction. Only a commit or a rollback
+// ends it; all other statements are refused.
 func (s *Session) doInFailedTransaction(r Request) Reply {
 	switch r.Statement.(type) {
 	case Rollback:
--- a/internal/gateway/statement.go
+++ b/internal/gateway/statement.go
@@ -18,7 +18,7 @@
 	Read struct{}
 	// Write is a statement that changes data.
 	Write struct{}
-	// Set gives a session value.
+	// Set assigns a session value.
 	Set struct{ Name, Value string }
 	// Prepare gives a statement a name in the caller's session.
 	Prepare struct {
@@ -29,12 +29,12 @@
 	Execute struct {
 		// Name is the caller's name of the statement.
 		Name string
-		// Arguments stand behind the name, as the caller wrote them.
+		// Arguments is the text after the name, as the caller wrote it.
 		Arguments string
 	}
-	// Deallocate drops the name of a prepared statement.
+	// Deallocate removes a prepared statement from the caller's session.
 	Deallocate struct{ Name string }
-	// Unknown is anything else.
+	// Unknown is any other statement.
 	Unknown struct{}
 )
 
@@ -49,16 +49,17 @@
 func (Deallocate) isStatement() {}
 func (Unknown) isStatement()    {}
 
-// PreparedStatement is the text of a prepared statement. Callers' names for it collide, so
-// connections that callers share know it by its shape.
+// PreparedStatement is a prepared statement. Callers may use the same name for different
+// statements, so connections that callers share identify a statement by this value and not by its
+// name.
 type PreparedStatement struct {
 	Writes bool
 	Text   string
 }
 
-// Request is a statement of a caller.
+// Request is a statement that a caller sends.
 type Request struct {
-	// ID is the caller's identifier of the attempt.
+	// ID is the identifier that the caller gave the attempt.
 	ID string
 	// Text is the statement as the caller wrote it.
 	Text      string
--- a/internal/gateway/transaction.go
+++ b/internal/gateway/transaction.go
@@ -9,20 +9,19 @@
 	"pearlatch/internal/pause"
 )
 
-// transaction is an open transaction. It takes a connection with its first
-// statement, so that a caller who pauses after the start holds nothing.
+// transaction is an open transaction. It takes a connection only with its first statement, so that
+// a caller that pauses after the begin holds none.
 type transaction struct {
 	readOnly bool
 	started  time.Time
 	op       operation
-	// conn is nil until the first statement, and while the transaction runs on
-	// another host.
+	// conn is nil until the first statement, and while the transaction runs on another host.
 	conn *pooledConn
 	// remote is set while the transaction runs on another host.
 	remote *remoteTransaction
-	// answeredCount counts statements whose answers the caller has.
+	// answeredCount is the number of statements whose replies were returned to the caller.
 	answeredCount int
-	// sentWrite is true once a write was sent to the member.
+	// sentWrite is true once a write has been sent to the member.
 	sentWrite bool
 }
 
@@ -30,27 +29,27 @@
 	if s.state != Idle {
 		return s.failTransaction(failureReply(Malformed, "a transaction is open"))
 	}
-	w, failure := s.planOperation(arrived, !st.ReadOnly)
+	op, failure := s.planOperation(arrived, !st.ReadOnly)
 	if failure != nil {
 		return Reply{Failure: failure}
 	}
-	w.freshReads, w.needsPrimaryCheck = true, w.needsPrimaryCheck || !st.ReadOnly
-	s.tx = &transaction{readOnly: st.ReadOnly, started: arrived, op: w}
+	op.freshReads, op.needsPrimaryCheck = true, op.needsPrimaryCheck || !st.ReadOnly
+	s.tx = &transaction{readOnly: st.ReadOnly, started: arrived, op: op}
 	s.state = InTransaction
 	return Reply{}
 }
 
-// runsElsewhere reports whether the next statement is to go to another host: the transaction
-// has begun there, or has not begun and other hosts serve the group.
+// runsElsewhere reports whether the next statement is to be forwarded to another host: the
+// transaction has begun there, or it has not begun and other hosts serve the group.
 func (t *transaction) runsElsewhere() bool {
 	return t.remote != nil || t.op.servedElsewhere && t.conn == nil
 }
 
-// rollbackTimeout bounds the rollback on a member. A connection that takes longer
-// is closed, which rolls back as well.
+// rollbackTimeout bounds the rollback on a member or another host. A connection or stream that
+// takes longer is closed, which rolls the transaction back as well.
 const rollbackTimeout = 300 * time.Millisecond
 
-// rollback frees the transaction's connection.
+// rollback rolls the transaction back on its member or host and frees its connection.
 func (t *transaction) rollback(s *Session) {
 	if t.remote != nil {
 		t.rollbackRemote(s)
@@ -77,16 +76,16 @@
 	return Reply{}
 }
 
-// Expire rolls back a transaction that rested for too long.
+// Expire rolls back the open transaction, which has been idle for longer than the limit.
 func (s *Session) Expire() {
 	s.host.log("transaction_expired", "request", s.lastRequestID, "database", s.database, "bound_ms", s.host.TransactionIdle().Milliseconds())
 	s.failTransaction(Reply{})
 }
 
-func (s *Session) runInTransaction(ctx context.Context, r Request, arrived time.Time, writes bool, shape *PreparedStatement) Reply {
+func (s *Session) runInTransaction(ctx context.Context, r Request, arrived time.Time, writes bool, prepared *PreparedStatement) Reply {
 	t := s.tx
 	t.op.deadline = arrived.Add(t.op.route.Timeout)
-	t.op.prepared = shape
+	t.op.prepared = prepared
 	if t.runsElsewhere() {
 		if reply, ok := s.forwardInTransaction(ctx, r, arrived); ok {
 			return reply
@@ -111,13 +110,13 @@
 			return reply
 		}
 		if !s.host.now().Before(t.op.deadline) {
-			return s.failTransaction(failureReply(Aborted, "no time left, "+retryAfter(0)))
+			return s.failTransaction(failureReply(Aborted, "statement deadline exceeded, "+retryAfter(0)))
 		}
 		next.sleep(ctx)
 	}
 }
 
-// asFailure returns the *Failure that err is.
+// asFailure returns the *Failure in the chain of err, or nil if there is none.
 func asFailure(err error) *Failure {
 	var f *Failure
 	errors.As(err, &f)
@@ -127,16 +126,16 @@
 // beginOnMember begins the transaction on a member. The error is errReroute or a *Failure.
 func (s *Session) beginOnMember(ctx context.Context) error {
 	t := s.tx
-	w := &t.op
+	op := &t.op
 	for {
-		if f := w.outageRefusal(Aborted); f != nil && !w.need.Forwardable {
+		if f := op.outageRefusal(Aborted); f != nil && !op.need.Forwardable {
 			return f
 		}
-		if !s.verifyPrimaryFirst(ctx, w) {
-			return &Failure{Aborted, "the primary could not be proven to lead in time, " + retryAfter(0)}
+		if !s.verifyPrimaryFirst(ctx, op) {
+			return &Failure{Aborted, "the primary could not be verified in time, " + retryAfter(0)}
 		}
-		w.need.Deadline = w.waitUntil()
-		p, err := w.group.acquire(ctx, w.need)
+		op.need.Deadline = op.waitUntil()
+		p, err := op.group.acquire(ctx, op.need)
 		if errors.Is(err, errReroute) {
 			return err
 		}
@@ -148,31 +147,31 @@
 			t.conn = p
 			return nil
 		}
-		if !w.group.now().Before(w.waitUntil()) {
+		if !op.group.now().Before(op.waitUntil()) {
 			return &Failure{Aborted, "no member could begin the transaction in time, " + retryAfter(0)}
 		}
 		next.sleep(ctx)
 	}
 }
 
-// beginOnConn begins the transaction on the connection. Nothing of the caller has run
-// yet, so any failure may be tried again.
+// beginOnConn begins the transaction on the connection. No statement of the caller has run yet, so
+// any failure may be retried.
 func (s *Session) beginOnConn(p *pooledConn) *retry {
 	t := s.tx
-	w, g := &t.op, t.op.group
-	if next := s.checkPrimary(w, p); next != nil {
+	op, g := &t.op, t.op.group
+	if next := s.checkPrimary(op, p); next != nil {
 		return next
 	}
-	if !t.readOnly && g.connNeedsCheck(p, g.now()) && !s.checkConn(w, p) {
+	if !t.readOnly && g.connNeedsCheck(p, g.now()) && !s.checkConn(op, p) {
 		return &retry{}
 	}
-	layout, _ := p.setupCommands(s.values, nil)
-	asked := g.now()
-	commands := append(layout, OpenTransaction{ReadOnly: t.readOnly, After: w.need.MinPosition})
-	replies, err := p.conn.Do(g.callTimeout(p.member, w.deadline.Sub(asked), false), commands...)
+	setup, _ := p.setupCommands(s.values, nil)
+	sentAt := g.now()
+	commands := append(setup, OpenTransaction{ReadOnly: t.readOnly, After: op.need.MinPosition})
+	replies, err := p.conn.Do(g.callTimeout(p.member, op.deadline.Sub(sentAt), false), commands...)
 	if err != nil {
 		g.discard(p, err)
-		w.need.Avoid = p.member.ID
+		op.need.Avoid = p.member.ID
 		return &retry{}
 	}
 	reply := replies[len(replies)-1]
@@ -180,38 +179,39 @@
 		if reply.Failure == nil {
 			reply.Failure = &Failure{Busy, "the transaction did not begin"}
 		}
-		_, next := s.handleReply(w, p, asked, reply)
+		_, next := s.handleReply(op, p, sentAt, reply)
 		if next == nil {
 			next = &retry{delay: busyRetryInterval}
 		}
 		return next
 	}
-	g.observePosition(p.member, asked, reply.Position)
+	g.observePosition(p.member, sentAt, reply.Position)
 	g.markResting(p)
 	return nil
 }
 
-// tryInTransaction runs a statement on the transaction's connection.
+// tryInTransaction runs a statement once on the transaction's connection. It returns a reply, or
+// why the statement is to be retried.
 func (s *Session) tryInTransaction(r Request, writes bool) (Reply, *retry) {
 	t := s.tx
-	p, w, g := t.conn, &t.op, t.op.group
-	layout, name := p.setupCommands(s.values, w.prepared)
-	asked := g.now()
+	p, op, g := t.conn, &t.op, t.op.group
+	setup, name := p.setupCommands(s.values, op.prepared)
+	sentAt := g.now()
 	t.sentWrite = t.sentWrite || writes
-	commands := append(layout, Forward{Request: r, Name: name})
-	replies, err := p.conn.Do(g.callTimeout(p.member, w.deadline.Sub(asked), true), commands...)
+	commands := append(setup, Forward{Request: r, Name: name})
+	replies, err := p.conn.Do(g.callTimeout(p.member, op.deadline.Sub(sentAt), true), commands...)
 	if err != nil {
 		t.conn = nil
 		g.discard(p, err)
-		s.host.logAttempt(s, r, w, p.member.ID, "broken", err)
+		s.host.logAttempt(s, r, op, p.member.ID, "broken", err)
 		if t.answeredCount == 0 {
-			// The member rolls back what the connection began.
-			w.need.Avoid = p.member.ID
+			// The member rolls back the transaction of a lost connection.
+			op.need.Avoid = p.member.ID
 			return Reply{}, &retry{}
 		}
 		return s.failTransaction(failureReply(Aborted, "the connection to "+p.member.ID+" failed, "+retryAfter(0))), nil
 	}
-	g.noteLatency(p.member, asked)
+	g.noteLatency(p.member, sentAt)
 	reply := replies[len(replies)-1]
 	if reply.Failure == nil {
 		t.answeredCount++
@@ -231,7 +231,7 @@
 	return s.failTransaction(reply), nil
 }
 
-// commit ends the transaction on its member.
+// commit commits the transaction on its member or on the host where it runs.
 func (s *Session) commit(ctx context.Context, r Request, arrived time.Time) Reply {
 	if s.state != InTransaction {
 		return failureReply(Malformed, "no transaction is open")
@@ -246,16 +246,16 @@
 		}
 		t.op.setRequirements(s.lastWrite)
 	}
-	reply, settled := s.beginForCommit(ctx, r, arrived)
-	if !settled {
+	reply, answered := s.beginForCommit(ctx, r, arrived)
+	if !answered {
 		reply = s.sendCommit(ctx, r)
 	}
 	s.tx, s.state = nil, Idle
 	return reply
 }
 
-// beginForCommit begins a transaction that has run nothing yet. It returns true if the
-// commit was answered by that.
+// beginForCommit begins on a member a transaction that has run no statement yet, so that its
+// commit can be sent. It returns true if the commit was already answered by that.
 func (s *Session) beginForCommit(ctx context.Context, r Request, arrived time.Time) (Reply, bool) {
 	for s.tx.conn == nil {
 		err := s.beginOnMember(ctx)
@@ -274,26 +274,26 @@
 
 func (s *Session) sendCommit(ctx context.Context, r Request) Reply {
 	t := s.tx
-	p, w, g := t.conn, &t.op, t.op.group
+	p, op, g := t.conn, &t.op, t.op.group
 	for {
-		asked := g.now()
-		ended := g.beginWrite()
-		replies, err := p.conn.Do(g.callTimeout(p.member, w.deadline.Sub(asked), true), Forward{Request: r})
-		ended(err == nil && replies[0].Failure == nil)
+		sentAt := g.now()
+		done := g.beginWrite()
+		replies, err := p.conn.Do(g.callTimeout(p.member, op.deadline.Sub(sentAt), true), Forward{Request: r})
+		done(err == nil && replies[0].Failure == nil)
 		if err != nil {
 			g.discard(p, err)
-			s.host.logAttempt(s, r, w, p.member.ID, "broken", err)
+			s.host.logAttempt(s, r, op, p.member.ID, "broken", err)
 			if !t.sentWrite {
 				return failureReply(Aborted, "the connection failed; nothing was written, "+retryAfter(0))
 			}
 			return failureReply(InDoubt, "the connection to "+p.member.ID+" failed after the commit was sent")
 		}
 		reply := replies[0]
-		if reply.Failure != nil && reply.Failure.Code == Busy && reply.State == InTransaction && g.now().Before(w.deadline) {
+		if reply.Failure != nil && reply.Failure.Code == Busy && reply.State == InTransaction && g.now().Before(op.deadline) {
 			pause.For(ctx, busyRetryInterval)
 			continue
 		}
-		s.finishCommit(p, asked, reply)
+		s.finishCommit(p, sentAt, reply)
 		if t.sentWrite && reply.Failure == nil && !g.confirmWrite(p.member.ID, reply.Position.Term) {
 			return failureReply(InDoubt, p.member.ID+" may have been replaced as it acknowledged the commit")
 		}
@@ -301,10 +301,11 @@
 	}
 }
 
-// finishCommit settles the connection after a member's answer to a commit.
-func (s *Session) finishCommit(p *pooledConn, asked time.Time, reply Reply) {
+// finishCommit releases the connection after a member's reply to a commit, or rolls back if the
+// transaction is still open.
+func (s *Session) finishCommit(p *pooledConn, sentAt time.Time, reply Reply) {
 	t, g := s.tx, s.tx.op.group
-	g.observePosition(p.member, asked, reply.Position)
+	g.observePosition(p.member, sentAt, reply.Position)
 	if reply.Failure == nil && t.sentWrite {
 		s.advanceLastWrite(reply.Position)
 	}
