--- a/internal/gateway/account_test.go
+++ b/internal/gateway/account_test.go
@@ -9,10 +9,10 @@
 	"pearlatch/core/freshness"
 )
 
-// twoAccounts are in force in these tests.
+// twoAccounts are the client accounts that these tests configure, each with its key.
 var twoAccounts = []string{"bakery k1", "hotel k2"}
 
-// accounts returns on whose connections statements ran, and how many.
+// accounts returns the number of statements that ran on connections of each account.
 func (s *fakeSite) accounts() map[string]int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -23,8 +23,8 @@
 	return out
 }
 
-// Callers of two accounts take turns. Members are told whose statement each one is by the connection on
-// which it comes, so no statement may run on a connection of the other account.
+// Callers of two accounts alternate. A member tells the account of a statement by its connection,
+// so no statement may run on a connection of the other account.
 func TestStatementsRunOnConnectionsOfTheirAccount(t *testing.T) {
 	withHost(t, freshness.Latest{}, func(s *fakeSite, h *Host) {
 		s.put("config", withAccounts(52, 20, twoAccounts...), 0)
@@ -44,14 +44,14 @@
 	})
 }
 
-// A host that does not serve the group passes statements on. The host that does has not seen the key, and
-// must run each one for the account that the first host found.
+// A host that does not serve the group forwards statements. The serving host does not get the key,
+// and must run each statement for the account that the first host determined.
 func TestForwardedStatementsKeepTheirAccount(t *testing.T) {
 	withFleet(t, 20, 20, freshness.OwnWrites{}, func(s *fakeSite, f *fakeFleet) {
 		s.put("config", withAccounts(52, 20, twoAccounts...), 0)
 		time.Sleep(3 * time.Second)
-		_, elsewhere := f.serving()
-		for i, h := range elsewhere {
+		_, others := f.serving()
+		for i, h := range others {
 			if r := execAs(h, []string{"k1", "k2"}[i%2], Write{}); r.Failure != nil {
 				t.Error(r.Failure)
 			}
@@ -60,14 +60,14 @@
 			}
 		}
 		got := s.accounts()
-		if got["bakery"]+got["hotel"] != len(elsewhere) || len(got) != 2 {
-			t.Errorf("%d statements by account: %v", len(elsewhere), got)
+		if got["bakery"]+got["hotel"] != len(others) || len(got) != 2 {
+			t.Errorf("%d statements by account: %v", len(others), got)
 		}
 	})
 }
 
-// A host of an older version knows nothing of accounts and passes a statement on without one. Run under
-// this host's own name it would count as nobody's, so it is declined, and has not run.
+// A host of an older version without support for accounts forwards a statement with none. It would
+// be counted for no account, so it is declined and does not run.
 func TestForwardedStatementWithoutItsAccountIsDeclined(t *testing.T) {
 	withHost(t, freshness.Latest{}, func(s *fakeSite, h *Host) {
 		s.put("config", withAccounts(52, 20, twoAccounts...), 0)
@@ -83,26 +83,26 @@
 	})
 }
 
-// An operator takes a key away. Its caller has a session, and another one is in the middle of a
-// transaction. Nothing new may run for either, nothing of the transaction is kept, and the account's other
-// callers go on.
+// An operator revokes a key while one of its callers has an idle session and another is in a
+// transaction. Nothing more may run for either, the transaction is rolled back, and the account's
+// callers with a valid key are still served.
 func TestRevokedKeyAbortsOpenTransaction(t *testing.T) {
 	withHost(t, freshness.Latest{}, func(s *fakeSite, h *Host) {
 		s.put("config", withAccounts(52, 20, twoAccounts...), 0)
 		time.Sleep(2 * time.Second)
-		resting, working := openSessionAs(t, h, "k1"), openSessionAs(t, h, "k1")
-		execIn(working, Begin{})
-		if r := execIn(working, Write{}); r.Failure != nil {
+		idle, active := openSessionAs(t, h, "k1"), openSessionAs(t, h, "k1")
+		execIn(active, Begin{})
+		if r := execIn(active, Write{}); r.Failure != nil {
 			t.Fatal(r.Failure)
 		}
 		s.put("config", withAccounts(53, 20, "bakery k9", "hotel k2"), 0)
 		time.Sleep(2 * time.Second)
 		before := len(s.accounts())
 		ran := s.accounts()["bakery"]
-		wantCode(t, execIn(resting, Read{}), Unauthorized)
-		wantCode(t, execIn(working, Commit{}), Aborted)
-		if working.State() != Idle || resting.Authorized() {
-			t.Errorf("state %s, allowed %v", working.State(), resting.Authorized())
+		wantCode(t, execIn(idle, Read{}), Unauthorized)
+		wantCode(t, execIn(active, Commit{}), Aborted)
+		if active.State() != Idle || idle.Authorized() {
+			t.Errorf("state %s, authorized %v", active.State(), idle.Authorized())
 		}
 		if r := execAs(h, "k1", Read{}); r.Failure == nil || r.Failure.Code != Unauthorized {
 			t.Errorf("a new session got %v", r.Failure)
@@ -128,8 +128,8 @@
 	return s
 }
 
-// A configuration that has lost its accounts would let everybody in. It is refused, and the one before
-// stays in force.
+// A configuration that has lost its accounts would admit every caller. It is rejected, and the
+// previous one stays in force.
 func TestConfigWithoutAccountsIsRejected(t *testing.T) {
 	withHost(t, freshness.Latest{}, func(s *fakeSite, h *Host) {
 		s.put("config", withAccounts(52, 20, twoAccounts...), 0)
@@ -143,8 +143,8 @@
 	})
 }
 
-// Ten accounts share four connections a member: whoever comes finds one, in place of the account that was
-// not there for longest, and the members' connections are never exceeded.
+// Ten accounts share four connections per member. Each caller gets one, in place of the account
+// that has been unused for longest, and the members' connection limits hold.
 func TestManyAccountsShareFewConnections(t *testing.T) {
 	withHost(t, freshness.Latest{}, func(s *fakeSite, h *Host) {
 		var lines []string
--- a/internal/gateway/reroute_test.go
+++ b/internal/gateway/reroute_test.go
@@ -7,39 +7,40 @@
 	"pearlatch/core/freshness"
 )
 
-// The way from one serving host to the primary is cut, and other hosts reach it. Callers
-// whose host turns to that one first must not be refused while the primary is well.
+// A serving host can't reach the primary, while other hosts can. Callers whose host forwards to
+// that one first must not be refused.
 func TestServerThatCannotReachPrimaryReroutes(t *testing.T) {
 	withFleet(t, 30, 20, freshness.Latest{}, func(_ *fakeSite, f *fakeFleet) {
-		here, elsewhere := f.serving()
-		f.setFault(f.severed, here[0].settings.Host+" a", true)
+		serving, others := f.serving()
+		f.setFault(f.severed, serving[0].settings.Host+" a", true)
 		for range 3 {
-			for _, h := range elsewhere {
+			for _, h := range others {
 				exec(h, Write{})
 			}
 		}
-		for _, h := range elsewhere {
+		for _, h := range others {
 			if r := exec(h, Write{}); r.Failure != nil {
 				t.Errorf("a write at %s: %v", h.settings.Host, r.Failure)
 			}
-			c := openSession(t, h)
-			execIn(c, Begin{})
-			execIn(c, Read{})
-			if r := execIn(c, Commit{}); r.Failure != nil {
+			session := openSession(t, h)
+			execIn(session, Begin{})
+			execIn(session, Read{})
+			if r := execIn(session, Commit{}); r.Failure != nil {
 				t.Errorf("a commit at %s: %v", h.settings.Host, r.Failure)
 			}
 		}
 	})
 }
 
-// cutFromPrimary returns a host that serves for itself and whose way to the primary is cut.
+// cutFromPrimary severs one host from the primary in a fleet where every host serves its own
+// callers, and returns that host.
 func (f *fakeFleet) cutFromPrimary(t *testing.T) *Host {
 	t.Helper()
-	here, elsewhere := f.serving()
-	if len(elsewhere) != 0 {
-		t.Fatalf("%d hosts don't serve", len(elsewhere))
+	serving, others := f.serving()
+	if len(others) != 0 {
+		t.Fatalf("%d hosts don't serve", len(others))
 	}
-	h := here[0]
+	h := serving[0]
 	f.setFault(f.severed, h.settings.Host+" a", true)
 	for range 3 {
 		exec(h, Write{})
@@ -47,8 +48,8 @@
 	return h
 }
 
-// Every host serves for itself, and the way from one of them to the primary is cut. Its
-// callers' writes go by way of another host, and no longer once the way is whole.
+// Every host serves its own callers, and one of them can't reach the primary. Its callers' writes
+// are forwarded to another host, but no longer once it reaches the primary again.
 func TestHostThatCannotReachPrimaryForwards(t *testing.T) {
 	withFleet(t, 4, 20, freshness.Latest{}, func(_ *fakeSite, f *fakeFleet) {
 		h := f.cutFromPrimary(t)
@@ -66,60 +67,60 @@
 			exec(h, Write{})
 		}
 		if len(f.forwardedTo) > 0 {
-			t.Errorf("others still carry its writes: %v", f.forwardedTo)
+			t.Errorf("its writes are still forwarded: %v", f.forwardedTo)
 		}
 	})
 }
 
-// A transaction that began by way of another host stays on the connection of its first
-// statement, also when the way to the primary is whole again.
+// A transaction that began by way of another host stays on the connection of its first statement,
+// even after its own host reaches the primary again.
 func TestTransactionStaysWhereItBegan(t *testing.T) {
 	withFleet(t, 4, 20, freshness.Latest{}, func(_ *fakeSite, f *fakeFleet) {
 		h := f.cutFromPrimary(t)
-		c := openSession(t, h)
-		execIn(c, Begin{})
-		execIn(c, Read{})
-		if c.tx == nil || c.tx.remote == nil {
-			t.Fatal("the transaction did not go by way of another host")
+		session := openSession(t, h)
+		execIn(session, Begin{})
+		execIn(session, Read{})
+		if session.tx == nil || session.tx.remote == nil {
+			t.Fatal("the transaction was not forwarded to another host")
 		}
-		server := c.tx.remote.server
+		server := session.tx.remote.server
 		f.setFault(f.severed, h.settings.Host+" a", false)
 		time.Sleep(time.Second)
-		execIn(c, Write{})
-		if c.tx == nil || c.tx.remote == nil || c.tx.conn != nil || c.tx.remote.server != server {
+		execIn(session, Write{})
+		if session.tx == nil || session.tx.remote == nil || session.tx.conn != nil || session.tx.remote.server != server {
 			t.Error("the transaction's second statement ran on another connection")
 		}
-		if r := execIn(c, Commit{}); r.Failure != nil {
+		if r := execIn(session, Commit{}); r.Failure != nil {
 			t.Errorf("commit: %v", r.Failure)
 		}
 	})
 }
 
-// The primary dies for everybody. Callers wait for the next one at the host that serves
-// them, and are not sent round all hosts again and again.
+// The primary fails for all hosts. Callers wait for the new one at the host that serves them, and
+// their statements are not forwarded to all hosts repeatedly.
 func TestLostPrimaryIsWaitedForAtOneHost(t *testing.T) {
 	withFleet(t, 30, 20, freshness.Latest{}, func(s *fakeSite, f *fakeFleet) {
-		_, elsewhere := f.serving()
+		_, others := f.serving()
 		s.updateMember("a", func(m *fakeMember) { m.silent, m.isPrimary = true, false })
 		f.mu.Lock()
 		f.forwardedTo = map[string]int{}
 		f.mu.Unlock()
-		for _, h := range elsewhere[:5] {
+		for _, h := range others[:5] {
 			exec(h, Read{})
 		}
 		f.mu.Lock()
 		defer f.mu.Unlock()
 		n := 0
-		for _, c := range f.forwardedTo {
-			n += c
+		for _, count := range f.forwardedTo {
+			n += count
 		}
 		if n > 5*4 {
-			t.Errorf("five statements were sent %d times", n)
+			t.Errorf("five statements were forwarded %d times", n)
 		}
 	})
 }
 
-// storedCoordinator returns the host that holds the duty of the group.
+// storedCoordinator returns the host that is stored as the coordinator of the group.
 func (f *fakeFleet) storedCoordinator(s *fakeSite) *Host {
 	s.mu.Lock()
 	id := string(s.items["own/duty/"+testGroup].Value)
@@ -132,17 +133,17 @@
 	return nil
 }
 
-// The way from the holder of the duty to the primary is cut; all others reach it. If the
-// holder took it for dead, callers of all hosts would lose their transactions, and what
-// the old primary acknowledges meanwhile with an unfenced replica.
+// The coordinator can't reach the primary; all other hosts can. If it replaced the primary,
+// callers of all hosts would lose their transactions, and also the writes that the old primary
+// acknowledges meanwhile with an unfenced replica.
 func TestPrimaryThatOthersReachIsKept(t *testing.T) {
 	withFleet(t, 30, 20, freshness.Latest{}, func(s *fakeSite, f *fakeFleet) {
-		holder := f.storedCoordinator(s)
-		f.setFault(f.severed, holder.settings.Host+" a", true)
-		_, elsewhere := f.serving()
+		coordinator := f.storedCoordinator(s)
+		f.setFault(f.severed, coordinator.settings.Host+" a", true)
+		_, others := f.serving()
 		failed := 0
 		for range 100 {
-			if exec(elsewhere[0], Write{}).Failure != nil {
+			if exec(others[0], Write{}).Failure != nil {
 				failed++
 			}
 			time.Sleep(50 * time.Millisecond)
@@ -156,17 +157,17 @@
 	})
 }
 
-// As before, but no replica receives what the primary writes either: its writes hang. It
-// must be replaced all the same.
+// The coordinator can't reach the primary, and no replica receives what the primary writes, so
+// writes hang. The primary must be replaced although other hosts reach it.
 func TestUnreachablePrimaryWithHangingWritesIsReplaced(t *testing.T) {
 	withFleet(t, 30, 20, freshness.Latest{}, func(s *fakeSite, f *fakeFleet) {
-		holder := f.storedCoordinator(s)
-		f.setFault(f.severed, holder.settings.Host+" a", true)
+		coordinator := f.storedCoordinator(s)
+		f.setFault(f.severed, coordinator.settings.Host+" a", true)
 		for _, id := range []string{"b", "c"} {
 			s.updateMember(id, func(m *fakeMember) { m.receivesNothing = true })
 		}
-		_, elsewhere := f.serving()
-		sendWrites(elsewhere[0], 60)
+		_, others := f.serving()
+		sendWrites(others[0], 60)
 		if s.primaryID() == "a" {
 			t.Error("the primary whose writes hang still leads")
 		}
--- a/internal/gateway/session_test.go
+++ b/internal/gateway/session_test.go
@@ -19,7 +19,7 @@
 func wantCode(t *testing.T, r Reply, want Code) {
 	t.Helper()
 	if r.Failure == nil || r.Failure.Code != want {
-		t.Errorf("answered with %v, want %s", r.Failure, want)
+		t.Errorf("reply failed with %v, want %s", r.Failure, want)
 	}
 }
 
@@ -32,15 +32,15 @@
 	return s
 }
 
-// Two callers share a connection, each with a value of its own under the same name, and
-// a third has none. Each must see its own value, and the third no one's.
+// Sessions share connections. Two set different values under the same name and a third sets none.
+// If values remained on a connection, one session would see another's.
 func TestSessionValuesStayWithTheirSession(t *testing.T) {
 	withHost(t, freshness.Latest{}, func(_ *fakeSite, h *Host) {
-		one, two, none := openSession(t, h), openSession(t, h), openSession(t, h)
-		execIn(one, Set{"v", "1"})
-		execIn(two, Set{"v", "2"})
+		first, second, third := openSession(t, h), openSession(t, h), openSession(t, h)
+		execIn(first, Set{"v", "1"})
+		execIn(second, Set{"v", "2"})
 		for range 3 {
-			for want, s := range map[string]*Session{"a v=1": one, "a v=2": two, "a": none} {
+			for want, s := range map[string]*Session{"a v=1": first, "a v=2": second, "a": third} {
 				if got := row(execIn(s, Read{})); got != want {
 					t.Errorf("read %q, want %q", got, want)
 				}
@@ -49,26 +49,28 @@
 	})
 }
 
-// Callers give the same name to different statements. Each must run its own.
+// Two sessions on shared connections prepare different statements under the same name. Each must
+// run its own.
 func TestPreparedNamesStayWithTheirSession(t *testing.T) {
 	withHost(t, freshness.Latest{}, func(_ *fakeSite, h *Host) {
-		one, two := openSession(t, h), openSession(t, h)
-		execIn(one, Prepare{"s", PreparedStatement{Text: "boards"}})
-		execIn(two, Prepare{"s", PreparedStatement{Text: "suits"}})
+		first, second := openSession(t, h), openSession(t, h)
+		execIn(first, Prepare{"s", PreparedStatement{Text: "boards"}})
+		execIn(second, Prepare{"s", PreparedStatement{Text: "suits"}})
 		for range 3 {
-			if got := row(execIn(one, Execute{Name: "s"})); got != "a boards" {
+			if got := row(execIn(first, Execute{Name: "s"})); got != "a boards" {
 				t.Errorf("ran %q", got)
 			}
-			if got := row(execIn(two, Execute{Name: "s"})); got != "a suits" {
+			if got := row(execIn(second, Execute{Name: "s"})); got != "a suits" {
 				t.Errorf("ran %q", got)
 			}
 		}
-		execIn(one, Deallocate{"s"})
-		wantCode(t, execIn(one, Execute{Name: "s"}), UnknownStatement)
+		execIn(first, Deallocate{"s"})
+		wantCode(t, execIn(first, Execute{Name: "s"}), UnknownStatement)
 	})
 }
 
-// rowFromWarmConns reads until the connections that reads prefer are open.
+// rowFromWarmConns reads until the connections that reads prefer are open, and returns the row of
+// a further read.
 func rowFromWarmConns(h *Host) string {
 	for range 3 {
 		exec(h, Read{})
@@ -77,26 +79,26 @@
 	return row(exec(h, Read{}))
 }
 
-// A chef saves a recipe and looks it up. The replicas have not applied the save yet, so
-// the primary must answer; a caller that wrote nothing is served by a replica.
+// A session writes and then reads while no replica has applied the write. The primary must answer.
+// A session that has not written is served by a replica.
 func TestReadSeesOwnWrite(t *testing.T) {
 	withHost(t, freshness.OwnWrites{}, func(s *fakeSite, h *Host) {
 		for _, id := range []string{"b", "c"} {
 			s.updateMember(id, func(m *fakeMember) { m.lagging = true })
 		}
-		chef := openSession(t, h)
-		execIn(chef, Write{})
-		if got := row(execIn(chef, Read{})); got != "a" {
+		session := openSession(t, h)
+		execIn(session, Write{})
+		if got := row(execIn(session, Read{})); got != "a" {
 			t.Errorf("the read after the write ran on %q", got)
 		}
 		if got := rowFromWarmConns(h); got == "a" {
-			t.Error("a read without a write before it burdened the primary")
+			t.Error("a read without a preceding write ran on the primary")
 		}
 	})
 }
 
-// A canteen accepts an answer of two seconds' age. While the replicas are further
-// behind than that, the primary must answer.
+// A route accepts data of up to two seconds' age. While the replicas are further behind, the
+// primary must answer.
 func TestBoundedAgeHoldsOnLaggingReplicas(t *testing.T) {
 	withHost(t, freshness.MaxAge{Age: 2 * time.Second}, func(s *fakeSite, h *Host) {
 		exec(h, Write{})
@@ -113,20 +115,20 @@
 		}
 		time.Sleep(2500 * time.Millisecond)
 		if got := row(exec(h, Read{})); got != "a" {
-			t.Errorf("data older than accepted came from %q", got)
+			t.Errorf("data older than the accepted age came from %q", got)
 		}
 	})
 }
 
-// Another host takes the promotions of a group over and replaces the primary, which is cut
-// off from the other members. It still says that it leads, takes transactions and answers
-// plain reads. A caller that asks for the latest must not get its old data.
+// Another host takes over a group's promotions and replaces the primary, which is partitioned from
+// the other members. The old primary still claims to lead, accepts transactions and answers plain
+// reads. A caller that requires the latest data must not get its stale data.
 func TestLatestReadsNeverComeFromAReplacedPrimary(t *testing.T) {
 	withHost(t, freshness.Latest{}, func(s *fakeSite, h *Host) {
 		exec(h, Write{})
 		s.updateMember("a", func(m *fakeMember) { m.partitioned = true })
 		s.put(h.coordinatorKey(testGroup), []byte("h2"), 0)
-		time.Sleep(leadership.LeaseDuration) // the other holder waits for the leases
+		time.Sleep(leadership.LeaseDuration) // the new coordinator waits for the read and write leases to end
 		s.makePrimary(s.member("b"))
 		if got := s.primaryID(); got != "b" {
 			t.Fatalf("%q leads", got)
@@ -140,8 +142,8 @@
 	})
 }
 
-// The answer to a deposit is lost after the member ran it. The caller must not be told
-// that nothing was kept, and the deposit must not run again.
+// The reply to a write is lost after the member has run it. The caller must not be told that
+// nothing was kept, and the write must not run again.
 func TestLostAnswerOfAWriteIsInDoubtAndNotRepeated(t *testing.T) {
 	withHost(t, freshness.Latest{}, func(s *fakeSite, h *Host) {
 		exec(h, Write{})
@@ -154,7 +156,7 @@
 	})
 }
 
-// The answer to a lookup is lost. Nothing was changed, so another member answers it.
+// The reply to a read is lost. The read changed nothing, so it is retried on another member.
 func TestLostReadReplyIsRetriedElsewhere(t *testing.T) {
 	withHost(t, freshness.OwnWrites{}, func(s *fakeSite, h *Host) {
 		for _, m := range s.members {
@@ -166,43 +168,43 @@
 	})
 }
 
-// A connection breaks in the middle of a transaction. Before the caller has seen any
-// answer the transaction is begun anew; later it is aborted, which is a promise: the
-// member rolls back, and no commit was sent.
+// A connection breaks during a transaction. If the caller has no reply yet, the transaction begins
+// again. Later it is aborted, which guarantees that nothing is kept: the member rolls back, and no
+// commit was sent.
 func TestFailedTransaction(t *testing.T) {
 	withHost(t, freshness.Latest{}, func(s *fakeSite, h *Host) {
-		k := openSession(t, h)
-		execIn(k, Begin{})
+		session := openSession(t, h)
+		execIn(session, Begin{})
 		s.updateMember("a", func(m *fakeMember) { m.breaksAfter = 1 })
-		if r := execIn(k, Write{}); r.Failure != nil {
-			t.Errorf("the first statement was not offered again: %v", r.Failure)
+		if r := execIn(session, Write{}); r.Failure != nil {
+			t.Errorf("the first statement was not retried: %v", r.Failure)
 		}
 		s.updateMember("a", func(m *fakeMember) { m.breaksAfter = 1 })
-		r := execIn(k, Write{})
+		r := execIn(session, Write{})
 		wantCode(t, r, Aborted)
 		if r.State != InFailedTransaction {
 			t.Errorf("state %s", r.State)
 		}
-		wantCode(t, execIn(k, Read{}), Malformed)
-		if r := execIn(k, Rollback{}); r.Failure != nil || r.State != Idle {
+		wantCode(t, execIn(session, Read{}), Malformed)
+		if r := execIn(session, Rollback{}); r.Failure != nil || r.State != Idle {
 			t.Errorf("rollback: %+v", r)
 		}
 	})
 }
 
-// The answer to a commit is lost. With writes in it, its outcome is not known; without
-// any, there was nothing to keep.
+// The reply to a commit is lost. If the transaction wrote, its outcome is unknown; otherwise there
+// was nothing to keep.
 func TestLostAnswerOfACommit(t *testing.T) {
 	for _, c := range []struct {
 		statement Statement
 		want      Code
 	}{{Write{}, InDoubt}, {Read{}, Aborted}} {
 		withHost(t, freshness.Latest{}, func(s *fakeSite, h *Host) {
-			k := openSession(t, h)
-			execIn(k, Begin{})
-			execIn(k, c.statement)
+			session := openSession(t, h)
+			execIn(session, Begin{})
+			execIn(session, c.statement)
 			s.updateMember("a", func(m *fakeMember) { m.breaksAfter = 1 })
-			r := execIn(k, Commit{})
+			r := execIn(session, Commit{})
 			wantCode(t, r, c.want)
 			if r.State != Idle {
 				t.Errorf("state %s after the commit", r.State)
@@ -211,24 +213,24 @@
 	}
 }
 
-// An instructor opens a transaction and pauses before the first statement, and another
-// one leaves a transaction open. Neither may keep a connection for long.
+// A caller begins a transaction and sends no statement, or leaves a transaction open. Neither may
+// keep a connection for long.
 func TestIdleTransactionsHoldNoConnection(t *testing.T) {
 	withHost(t, freshness.Latest{}, func(_ *fakeSite, h *Host) {
-		k := openSession(t, h)
-		execIn(k, Begin{})
+		session := openSession(t, h)
+		execIn(session, Begin{})
 		if n := connsInUse(h); n != 0 {
 			t.Errorf("%d connections in use after a begin", n)
 		}
-		execIn(k, Write{})
+		execIn(session, Write{})
 		if n := connsInUse(h); n != 1 {
 			t.Errorf("%d connections in use in a transaction", n)
 		}
-		k.Expire()
+		session.Expire()
 		if n := connsInUse(h); n != 0 {
 			t.Errorf("%d connections in use after the transaction expired", n)
 		}
-		wantCode(t, execIn(k, Commit{}), Aborted)
+		wantCode(t, execIn(session, Commit{}), Aborted)
 	})
 }
 
@@ -242,8 +244,8 @@
 	return n
 }
 
-// No primary can be had. Statements that need one are refused well before the caller's
-// time is up, told when to come back, and have certainly not run.
+// No primary is available. Statements that need one are refused well before the caller's deadline
+// and with a retry-after time, and have certainly not run.
 func TestWritesAreRefusedInTimeWithoutPrimary(t *testing.T) {
 	withHost(t, freshness.Latest{}, func(s *fakeSite, h *Host) {
 		for _, m := range s.members {
@@ -256,7 +258,7 @@
 			t.Errorf("the refusal took %s", took)
 		}
 		if !strings.Contains(r.Failure.Detail, "retry_after_ms=") {
-			t.Errorf("the refusal %q doesn't say when to come back", r.Failure.Detail)
+			t.Errorf("the refusal %q has no retry-after time", r.Failure.Detail)
 		}
 		for _, m := range s.members {
 			if runs := s.ran(m.id); len(runs) > 0 {
@@ -274,8 +276,8 @@
 	})
 }
 
-// Many callers come to three hosts at once, unevenly. The members' connections are
-// counted over all hosts, and must not be exceeded although the hosts don't talk.
+// Many callers connect to three hosts at once, unevenly. The members' connection limits apply to
+// all hosts together, and must hold although the hosts don't communicate.
 func TestHostsStayWithinTheMembersConnections(t *testing.T) {
 	synctest.Test(t, func(*testing.T) {
 		s := newFakeSite("a", "b", "c")
@@ -300,7 +302,8 @@
 	})
 }
 
-// serveBurst sends callers to the hosts at once and returns how many were served.
+// serveBurst sends reads of many callers to the hosts at once, callers[i] of them to hosts[i], and
+// returns how many were served.
 func serveBurst(hosts []*Host, callers []int) int {
 	var wait sync.WaitGroup
 	var mu sync.Mutex
@@ -308,12 +311,12 @@
 	for i, h := range hosts {
 		for j := range callers[i] {
 			wait.Go(func() {
-				k, failure := h.Open(testDatabase, account.Caller{})
+				session, failure := h.Open(testDatabase, account.Caller{})
 				if failure != nil {
 					return
 				}
-				defer k.Close()
-				r := k.Do(context.Background(), Request{ID: fmt.Sprint(i, "-", j), Statement: Read{}})
+				defer session.Close()
+				r := session.Do(context.Background(), Request{ID: fmt.Sprint(i, "-", j), Statement: Read{}})
 				if r.Failure == nil {
 					mu.Lock()
 					served++
@@ -326,9 +329,9 @@
 	return served
 }
 
-// Both replicas apply the log far too late, so all reads come to the primary, which is
-// at its limit. Another member must take over: the promoted one is up to date at once,
-// and the old primary serves reads as a replica.
+// Both replicas apply the log far too late, so all reads go to the primary, which is overloaded.
+// Another member must be promoted: it is up to date at once, and the old primary serves reads as a
+// replica.
 func TestOverloadedPrimaryIsRelievedWhileReplicasLag(t *testing.T) {
 	withHost(t, freshness.MaxAge{Age: time.Second}, func(s *fakeSite, h *Host) {
 		for _, id := range []string{"b", "c"} {
