--- a/internal/gateway/execute.go
+++ b/internal/gateway/execute.go
@@ -12,7 +12,7 @@
 
 // runStatement answers a read, a write or the execution of a prepared statement.
 func (s *Session) runStatement(ctx context.Context, r Request, arrived time.Time) Reply {
-	writes, prepared, failure := s.resolve(r)
+	writes, prepared, failure := s.resolvePrepared(r)
 	if failure != nil {
 		return s.failTransaction(Reply{Failure: failure})
 	}
--- a/internal/gateway/forwarded_session.go
+++ b/internal/gateway/forwarded_session.go
@@ -68,7 +68,7 @@
 		return OtherProcess
 	}
 	switch {
-	case r.Continues != fs.Open():
+	case r.Continues != fs.HasOpenTransaction():
 		// The transaction was rolled back since its stream was closed or it was idle for too long.
 		// The statement must not run outside it.
 		return NoTransaction
@@ -109,20 +109,20 @@
 	return h.config != nil && h.config.Accounts != nil
 }
 
-// Open reports whether a transaction is open.
-func (fs *ForwardedSession) Open() bool {
+// HasOpenTransaction reports whether a transaction is open.
+func (fs *ForwardedSession) HasOpenTransaction() bool {
 	return fs.session != nil && fs.session.state == InTransaction
 }
 
 // updateCount adds an open transaction to the host's forwardedCount, or removes an ended one.
 func (fs *ForwardedSession) updateCount() {
-	switch open := fs.Open(); {
+	switch open := fs.HasOpenTransaction(); {
 	case open && !fs.counted:
 		fs.host.forwardedCount.Add(1)
 	case !open && fs.counted:
 		fs.host.forwardedCount.Add(-1)
 	}
-	fs.counted = fs.Open()
+	fs.counted = fs.HasOpenTransaction()
 }
 
 // run adopts the caller's session state from the request and runs the statement. It converts ages
@@ -131,7 +131,7 @@
 func (fs *ForwardedSession) run(ctx context.Context, r *PeerRequest) *PeerReply {
 	h := fs.host
 	now := h.now()
-	if !fs.Open() {
+	if !fs.HasOpenTransaction() {
 		fs.session = &Session{host: h, database: r.Database, origin: &forwardOrigin{from: r.From, routeTarget: routeTarget{r.Route, h.group(r.Group), &account.Account{Name: r.Account}}}}
 	}
 	s := fs.session
@@ -159,7 +159,7 @@
 // Expire rolls back a transaction whose host has sent nothing for too long. That host may have
 // failed without closing the stream, and the transaction holds a connection.
 func (fs *ForwardedSession) Expire() {
-	if fs.Open() {
+	if fs.HasOpenTransaction() {
 		fs.session.Expire()
 	}
 	fs.session = nil
@@ -176,7 +176,7 @@
 
 // Close ends the forwarded session. An open transaction is rolled back.
 func (fs *ForwardedSession) Close() {
-	if fs.Open() {
+	if fs.HasOpenTransaction() {
 		fs.session.abandon()
 	}
 	fs.session = nil
--- a/internal/gateway/operation.go
+++ b/internal/gateway/operation.go
@@ -82,8 +82,8 @@
 	}
 }
 
-// resolve returns whether the request writes, and the prepared statement that it executes, if any.
-func (s *Session) resolve(r Request) (writes bool, prepared *PreparedStatement, failure *Failure) {
+// resolvePrepared returns whether the request writes, and the prepared statement that it executes, if any.
+func (s *Session) resolvePrepared(r Request) (writes bool, prepared *PreparedStatement, failure *Failure) {
 	switch st := r.Statement.(type) {
 	case Write:
 		return true, nil, nil
