--- a/internal/gateway/operation.go
+++ b/internal/gateway/operation.go
@@ -82,7 +82,8 @@
 	}
 }
 
-// resolvePrepared returns whether the request writes, and the prepared statement that it executes, if any.
+// resolvePrepared returns whether the request writes, and the prepared statement that it executes,
+// if any.
 func (s *Session) resolvePrepared(r Request) (writes bool, prepared *PreparedStatement, failure *Failure) {
 	switch st := r.Statement.(type) {
 	case Write:
--- a/internal/gateway/session_test.go
+++ b/internal/gateway/session_test.go
@@ -128,7 +128,7 @@
 		exec(h, Write{})
 		s.updateMember("a", func(m *fakeMember) { m.partitioned = true })
 		s.put(h.coordinatorKey(testGroup), []byte("h2"), 0)
-		time.Sleep(leadership.LeaseDuration) // the new coordinator waits for the read and write leases to end
+		time.Sleep(leadership.LeaseDuration) // the new coordinator waits until the leases have ended
 		s.makePrimary(s.member("b"))
 		if got := s.primaryID(); got != "b" {
 			t.Fatalf("%q leads", got)
