--- a/internal/gateway/fakeconn_test.go
+++ b/internal/gateway/fakeconn_test.go
@@ -35,16 +35,16 @@
 type fakeConn struct {
 	site *fakeSite
 	m    *fakeMember
-	// incarnation is the run of the member that the connection leads to.
+	// incarnation is the incarnation of the member that the connection was opened to.
 	incarnation int
-	// account is the one that the connection was opened for.
+	// account is the client account that the connection was opened for.
 	account   string
 	state     State
 	readWrite bool // the transaction may write
 	values    map[string]string
 	prepared  map[string]PreparedStatement
 	closed    bool
-	// severed, if set, tells that the way to the member is cut.
+	// severed, if set, reports whether the network path to the member is cut.
 	severed func() bool
 }
 
@@ -64,7 +64,8 @@
 	return nil
 }
 
-// awaitNoReply waits as a call does whose answer never comes.
+// awaitNoReply returns the error of a call to a member that can't answer, after the timeout if the
+// member is silent. It returns nil if the member can answer.
 func (c *fakeConn) awaitNoReply(timeout time.Duration) error {
 	c.site.mu.Lock()
 	crashed, silent := c.m.crashed || c.m.resets || c.m.incarnation != c.incarnation, c.m.silent
@@ -114,11 +115,11 @@
 
 func (c *fakeConn) Do(timeout time.Duration, commands ...Command) ([]Reply, error) {
 	var out []Reply
-	for _, each := range commands {
+	for _, command := range commands {
 		if err := c.awaitNoReply(timeout); err != nil {
 			return out, err
 		}
-		r, err := c.run(timeout, each)
+		r, err := c.run(timeout, command)
 		if err != nil {
 			return out, err
 		}
@@ -234,7 +235,7 @@
 	return nil
 }
 
-// commit writes a record and waits until a replica has received it.
+// commit appends a record to the member's log and fails after the timeout if no replica receives it.
 func (c *fakeConn) commit(timeout time.Duration) (Reply, error) {
 	c.site.mu.Lock()
 	defer c.site.mu.Unlock()
--- a/internal/gateway/groups_test.go
+++ b/internal/gateway/groups_test.go
@@ -11,9 +11,10 @@
 	"pearlatch/internal/follow"
 )
 
-// A host kept a Group, two goroutines and a look ten times a second for each group of the configuration, and worked out
-// anew who serves each of them whenever a host joined: with hosts and groups both doubled, each host had twice the work.
-// It keeps those that concern it, however many there are.
+// Guards against work that grows with all groups of the configuration. A host used to keep a Group,
+// two goroutines and a check ten times a second for each of them, and to recompute which hosts serve
+// each of them whenever a host joined: with twice the hosts and groups, each host had twice the work.
+// It now keeps only the groups relevant to it, whose number is bounded.
 func TestHostKeepsRelevantGroups(t *testing.T) {
 	for _, n := range []int{150, 300, 600} {
 		h, join := hostWithManyGroups(n, n)
@@ -21,43 +22,45 @@
 			t.Fatal(err)
 		}
 		if kept := len(h.allGroups()); kept == 0 || kept > 60 {
-			t.Errorf("a host of %d before %d groups keeps %d", n, n, kept)
+			t.Errorf("a host in a fleet of %d with %d groups keeps %d", n, n, kept)
 		}
 	}
 }
 
-// A statement for any group is served, and its Group goes again once nothing depends on it.
+// A statement for a group that is not relevant to the host is served, and its Group is dropped once it
+// is unused.
 func TestGroupIsCreatedOnDemandAndDropped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h, _ := hostWithManyGroups(300, 300)
-		far := ""
+		irrelevant := ""
 		for name := range h.config.Groups {
 			if !h.isRelevant(name) {
-				far = name
+				irrelevant = name
 			}
 		}
-		if h.existingGroup(far) != nil {
-			t.Fatalf("%s is kept without need", far)
+		if h.existingGroup(irrelevant) != nil {
+			t.Fatalf("%s is kept although it is not relevant", irrelevant)
 		}
-		at, err := h.route(far, account.Caller{})
-		if err != nil || at.group == nil || len(at.group.listMembers()) != 3 || !at.group.servedElsewhere() {
-			t.Fatalf("the route leads to %+v, %v", at, err)
+		target, err := h.route(irrelevant, account.Caller{})
+		if err != nil || target.group == nil || len(target.group.listMembers()) != 3 || !target.group.servedElsewhere() {
+			t.Fatalf("the statement is routed to %+v, %v", target, err)
 		}
-		h.startGroup(t.Context(), at.group, func(func()) {})
+		h.startGroup(t.Context(), target.group, func(func()) {})
 		h.dropUnusedGroups()
-		if h.existingGroup(far) != at.group {
-			t.Error("the group is dropped at once")
+		if h.existingGroup(irrelevant) != target.group {
+			t.Error("the group is dropped before the retention ends")
 		}
 		time.Sleep(groupRetention)
 		h.dropUnusedGroups()
-		if h.existingGroup(far) != nil {
-			t.Error("the group is kept though nothing needs it")
+		if h.existingGroup(irrelevant) != nil {
+			t.Error("the group is kept although it is unused")
 		}
 	})
 }
 
-// A host that was the holder of a duty and starts again finds its name in the duty's entry, and takes the duty up though
-// other hosts have better claims by now: nobody else may before the entry lapses.
+// Guards against a group without a coordinator after a restart. A restarted host that finds its own
+// name in a group's coordinator entry must resume the role, even if other hosts now rank higher, since
+// they can't acquire it before the entry lapses.
 func TestHostKeepsGroupItCoordinates(t *testing.T) {
 	h, _ := hostWithManyGroups(300, 300)
 	for i := range 300 {
@@ -70,7 +73,7 @@
 			t.Fatal(err)
 		}
 		if h.existingGroup(name) == nil {
-			t.Error("the group of the duty is not kept")
+			t.Error("the group that the host coordinates is not kept")
 		}
 		return
 	}
--- a/internal/gateway/health_test.go
+++ b/internal/gateway/health_test.go
@@ -7,19 +7,19 @@
 	"pearlatch/core/freshness"
 )
 
-// probeCount returns how often the members were asked for their status.
+// probeCount returns how many probes the members have answered.
 func (s *fakeSite) probeCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.probes
 }
 
-// Callers keep a group busy, and all is well. The holder of the duty asks the members seldom:
-// each question takes one of their slots. Without callers it asks seldom too, but it does: a primary
-// that is lost meanwhile should be replaced before the next caller comes.
+// Guards against frequent probes of a healthy group, each of which occupies a slot of a member. The
+// coordinator also probes rarely without traffic, but does not stop: a primary that is lost meanwhile
+// should be replaced before the next client needs it.
 func TestCoordinatorProbesRarelyWhileTrafficIsHealthy(t *testing.T) {
 	withHost(t, freshness.Latest{}, func(s *fakeSite, h *Host) {
-		busy := func() int {
+		probesWithTraffic := func() int {
 			before := s.probeCount()
 			for range 100 {
 				exec(h, Write{})
@@ -28,18 +28,19 @@
 			return s.probeCount() - before
 		}
 		exec(h, Write{})
-		if n := busy(); n > 15 {
-			t.Errorf("%d questions in five seconds with callers", n)
+		if n := probesWithTraffic(); n > 15 {
+			t.Errorf("%d probes in five seconds with traffic", n)
 		}
 		before := s.probeCount()
 		time.Sleep(5 * time.Second)
 		if n := s.probeCount() - before; n < 9 || n > 18 {
-			t.Errorf("%d questions in five seconds without callers", n)
+			t.Errorf("%d probes in five seconds without traffic", n)
 		}
 	})
 }
 
-// Reads are served, and writes hang since no replica receives. That must not count as well.
+// Guards against a group that counts as healthy because reads succeed, while writes hang since no
+// replica receives the log.
 func TestHangingWritesAreUnhealthy(t *testing.T) {
 	withHost(t, freshness.Latest{}, func(s *fakeSite, h *Host) {
 		exec(h, Write{})
@@ -52,13 +53,13 @@
 			time.Sleep(20 * time.Millisecond)
 		}
 		if s.primaryID() == "a" {
-			t.Error("the primary that nobody receives from still leads")
+			t.Error("the member whose log no replica receives is still the primary")
 		}
 	})
 }
 
-// A host lost the primary once and has not needed it since. What it says when it asks where the
-// log stands must not make the holder of the duty ask all members each time.
+// Guards against a host that reports an old failure of the primary forever because it has not used
+// the primary since. Each of its requests for a position would make the coordinator probe all members.
 func TestSuspicionReportExpires(t *testing.T) {
 	withHost(t, freshness.Latest{}, func(_ *fakeSite, h *Host) {
 		exec(h, Write{})
@@ -67,13 +68,13 @@
 		g.members["a"].silentSince = g.now()
 		g.mu.Unlock()
 		if _, suspects := g.healthReport(); !suspects {
-			t.Error("a fresh failure is not told")
+			t.Error("a recent failure is not reported")
 		}
 		g.mu.Lock()
 		g.members["a"].silentSince = g.now().Add(-2 * suspicionReportPeriod)
 		g.mu.Unlock()
 		if _, suspects := g.healthReport(); suspects {
-			t.Error("an old failure is told")
+			t.Error("an old failure is reported")
 		}
 	})
 }
