--- a/internal/gateway/group_monitor.go
+++ b/internal/gateway/group_monitor.go
@@ -193,7 +193,7 @@
 			w.clearPendingPromotion()
 			return
 		}
-		w.finishPromotion(ctx, pending, primary, replicas)
+		w.resumePromotion(ctx, pending, primary, replicas)
 		return
 	}
 	w.clearPendingPromotion()
