--- a/internal/gateway/execute.go
+++ b/internal/gateway/execute.go
@@ -181,7 +181,7 @@
 	}
 	g := op.group
 	g.notePrimaryNeeded()
-	g.preopen(op.need.Account)
+	g.prewarm(op.need.Account)
 	checkCtx, cancel := context.WithTimeout(ctx, op.waitUntil().Sub(g.now()))
 	defer cancel()
 	for !op.need.Forwardable || !g.primaryUnreachable() {
--- a/internal/gateway/promotion.go
+++ b/internal/gateway/promotion.go
@@ -85,7 +85,7 @@
 // member must first receive everything that the primary has.
 func (w *groupMonitor) resumePromotion(ctx context.Context, pending string, primary controlResult, replicas []controlResult) {
 	var unfenced []Member
-	target := controlResult{err: errNotAsked}
+	target := controlResult{err: errNotProbed}
 	for _, r := range replicas {
 		switch {
 		case r.member.ID == pending:
@@ -114,7 +114,7 @@
 func (w *groupMonitor) probe(id string) (Status, error) {
 	m, ok := w.group.lookupMember(id)
 	if !ok {
-		return Status{}, errNotAsked
+		return Status{}, errNotProbed
 	}
 	return w.group.control(m, Probe{}, controlTimeout)
 }
--- a/internal/gateway/transaction.go
+++ b/internal/gateway/transaction.go
@@ -186,7 +186,7 @@
 		return next
 	}
 	g.observePosition(p.member, sentAt, reply.Position)
-	g.markResting(p)
+	g.markIdleInTransaction(p)
 	return nil
 }
 
