--- a/internal/gateway/fakefleet_test.go
+++ b/internal/gateway/fakefleet_test.go
@@ -109,7 +109,7 @@
 // belief.
 func (f *fakeFleet) serving() (here, elsewhere []*Host) {
 	for _, h := range f.all() {
-		if h.group(testGroup).forwards() {
+		if h.group(testGroup).shouldForward() {
 			elsewhere = append(elsewhere, h)
 		} else {
 			here = append(here, h)
