--- a/internal/gateway/fakesite_test.go
+++ b/internal/gateway/fakesite_test.go
@@ -25,13 +25,13 @@
 const (
 	testGroup    = "lessons"
 	testDatabase = "booking"
-	// workTime is how long a fake member works on a statement.
+	// workTime is how long a fake member takes to run a statement.
 	workTime = 5 * time.Millisecond
 	// promoteTime is how long a fake promotion takes.
 	promoteTime = 300 * time.Millisecond
 )
 
-// fakeMember is a member whose replication is synchronous: a write is acknowledged
+// fakeMember is a member with synchronous replication: a write is acknowledged
 // once another member has received it.
 type fakeMember struct {
 	id        string
@@ -42,52 +42,52 @@
 	applied         group.Position
 	fenced          group.Term
 	crashed         bool // connections are refused
-	silent          bool // nothing is answered
-	receivesNothing bool // receives nothing
-	resets          bool // resets connections for questions, as a full member does
-	partitioned     bool // parted from the other members: if replaced, it leads on in its term
-	incarnation     int  // which run of the member this is
-	written         int  // how often it wrote its entry
+	silent          bool // does not answer
+	receivesNothing bool // receives no log from the primary
+	resets          bool // resets connections for probes, as a member at its connection limit does
+	partitioned     bool // cut off from the other members: if replaced, it stays primary in its own term
+	incarnation     int  // identifies this run of the member's process
+	written         int  // how often it wrote its store entry
 	lagging         bool // applies nothing
-	full            bool // its queue has no room
+	full            bool // its queue is full
 	demoted         int  // how often it was demoted
-	claimsPrimary   bool // says that it leads, though it was replaced
+	claimsPrimary   bool // reports itself as primary although it was replaced
 	running         int
 	breaksAfter     int // how many statements run before their connection breaks
 	conns           int
-	runs            []string // identifiers of callers' statements that ran
+	runs            []string // IDs of callers' statements that ran
 	work            time.Duration
 }
 
-// fakeSite is a group of members with the platform's store and promotions.
+// fakeSite is a group of fake members with the platform's store and promotions.
 type fakeSite struct {
 	mu        sync.Mutex
 	members   []*fakeMember
 	maxConns  int
-	peakConns int // connections to one member at once
-	probes    int // questions for a member's status
-	// items and revision are the store's.
+	peakConns int // highest number of concurrent connections to one member
+	probes    int // number of status probes
+	// items and revision are the content and the revision of the store.
 	items         map[string]kv.Item
 	revision      kv.Revision
 	changed       chan struct{}
 	leases        map[int64]time.Time
 	keyLease      map[string]int64
-	storeDown     bool // the store answers nothing
-	storeRefusing bool // the store refuses all calls at once
-	// pages counts the pages that were read. Each holds pageItems items at most, if that is set.
+	storeDown     bool // the store does not answer
+	storeRefusing bool // the store refuses all calls immediately
+	// pages counts the pages that were read. Each holds at most pageItems items, unless that is zero.
 	pages, pageItems int
-	// commits counts the transactions, and renewals those of leases.
+	// commits counts transactions, and renewals counts lease renewals.
 	commits, renewals int
-	storeDelay        time.Duration // each call takes so long
-	// tokens holds the highest token of a promotion; promotionDelay holds back orders.
+	storeDelay        time.Duration // duration of each call
+	// token is the highest token of a promotion; promotionDelay delays the execution of promotions.
 	token          int64
 	orders         []string
 	promotionDelay time.Duration
-	// ignoresTokens is true for a platform that checks no tokens.
+	// ignoresTokens is true for a platform that does not check fencing tokens.
 	ignoresTokens bool
 	history       []group.Position // acknowledged writes
-	dropped       []group.Position // those that a promoted member did not hold
-	// ranFor holds the account of the connection on which each statement ran.
+	dropped       []group.Position // acknowledged writes that a promoted member did not hold
+	// ranFor maps a statement's ID to the account of the connection on which it ran.
 	ranFor map[string]string
 }
 
@@ -116,13 +116,13 @@
 	return nil
 }
 
-// entry returns what the member writes into the store.
+// entry returns the next value of the member's store entry.
 func (m *fakeMember) entry(state, role string) []byte {
 	m.written++
 	return fmt.Appendf(nil, "%s %s %d %d", state, role, m.incarnation, m.written)
 }
 
-// restart ends a member and starts it again under its identifier, with nothing of before.
+// restart restarts a member under the same ID with an empty log and no fence.
 func (s *fakeSite) restart(id string) {
 	s.updateMember(id, func(m *fakeMember) {
 		m.incarnation++
@@ -131,35 +131,35 @@
 	s.writeMemberEntry(id, "ready")
 }
 
-// updateMember changes a member.
+// updateMember changes a member while holding the site's lock.
 func (s *fakeSite) updateMember(id string, change func(*fakeMember)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	change(s.member(id))
 }
 
-// ran returns the callers' statements that the member ran.
+// ran returns the IDs of callers' statements that the member ran.
 func (s *fakeSite) ran(id string) []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.Clone(s.member(id).runs)
 }
 
-// promotionOrders returns the promotions that were ordered.
+// promotionOrders returns the accepted promotions, each as the requesting host and the member.
 func (s *fakeSite) promotionOrders() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.Clone(s.orders)
 }
 
-// peakConnections returns how many connections one member had at once.
+// peakConnections returns the highest number of concurrent connections to one member.
 func (s *fakeSite) peakConnections() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.peakConns
 }
 
-// primaryID returns the member that leads in the highest term.
+// primaryID returns the ID of the primary with the highest term, or the empty string.
 func (s *fakeSite) primaryID() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -181,10 +181,10 @@
 
 func (s *fakeSite) Promote(ctx context.Context, holder string, token int64, _, id string) error {
 	s.mu.Lock()
-	late := s.promotionDelay
+	delay := s.promotionDelay
 	s.mu.Unlock()
-	if late > 0 {
-		time.AfterFunc(late, func() { _ = s.executePromotion(holder, token, id) })
+	if delay > 0 {
+		time.AfterFunc(delay, func() { _ = s.executePromotion(holder, token, id) })
 		<-ctx.Done()
 		return ctx.Err()
 	}
@@ -214,7 +214,7 @@
 	return nil
 }
 
-// makePrimary makes a member the primary of the next term, with what it has received.
+// makePrimary makes a member the primary of the next term, with the log that it has received.
 func (s *fakeSite) makePrimary(m *fakeMember) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -227,7 +227,7 @@
 		term = max(term, o.term)
 	}
 	for _, o := range s.members {
-		wasLeading := o.isPrimary
+		wasPrimary := o.isPrimary
 		o.fenced = 0
 		if o.partitioned && o != m {
 			continue
@@ -239,7 +239,7 @@
 		if o.received.Compare(m.received) > 0 {
 			o.received, o.applied = m.received, m.received
 		}
-		if (wasLeading || o == m) && !s.items["members/"+o.id].Removed {
+		if (wasPrimary || o == m) && !s.items["members/"+o.id].Removed {
 			role := "replica"
 			if o.isPrimary {
 				role = "primary"
@@ -251,7 +251,7 @@
 	m.applied = m.received
 }
 
-// lostWrites returns acknowledged writes that the primary lacks.
+// lostWrites returns the acknowledged writes that the primary lacks or that a promotion dropped.
 func (s *fakeSite) lostWrites() []group.Position {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -273,11 +273,11 @@
 	return out
 }
 
-// zoneOfMember is the availability zone of each member. A fleet's hosts are in the same ones, a
-// lone host is in another.
+// zoneOfMember maps a member to its availability zone. The hosts of a fakeFleet are in the same zones; a single
+// host started by startHost is in another.
 var zoneOfMember = map[string]string{"a": "z0", "b": "z1", "c": "z2"}
 
-// fakeDecoder reads what fakeSite writes.
+// fakeDecoder decodes the values that fakeSite stores.
 type fakeDecoder struct{ class freshness.Class }
 
 func (d fakeDecoder) Config(value []byte) (*Config, error) {
@@ -298,8 +298,8 @@
 	}, nil
 }
 
-// fakeAccounts reads what follows the first two bytes of a configuration: an account a line, with its name,
-// its key, and its rate if it has one. Its burst is as large.
+// fakeAccounts decodes the accounts that follow the first two bytes of a configuration, one per line: name, key and
+// optionally the rate, which is also the burst.
 func fakeAccounts(value []byte) (*account.Directory, error) {
 	if len(value) <= 2 {
 		return nil, nil
@@ -320,24 +320,24 @@
 	return account.NewDirectory(out)
 }
 
-// configWithAccounts returns a configuration with these accounts.
+// configWithAccounts encodes a configuration with the accounts, given as the lines that fakeAccounts decodes.
 func configWithAccounts(version, connections byte, lines ...string) []byte {
 	return append([]byte{version, connections}, strings.Join(lines, "\n")...)
 }
 
 func (fakeDecoder) Member(key string, value []byte) (Member, error) {
 	var state, role string
-	var born, written int64
-	if _, err := fmt.Sscan(string(value), &state, &role, &born, &written); err != nil {
+	var incarnation, written int64
+	if _, err := fmt.Sscan(string(value), &state, &role, &incarnation, &written); err != nil {
 		return Member{}, err
 	}
 	return Member{
 		ID: strings.TrimPrefix(key, "members/"), Group: testGroup, Addr: netip.MustParseAddrPort("127.0.0.1:1"),
-		Zone: zoneOfMember[strings.TrimPrefix(key, "members/")], Slots: 2, Leaving: state == "draining", IsPrimary: role == "primary", Incarnation: born, Sequence: written,
+		Zone: zoneOfMember[strings.TrimPrefix(key, "members/")], Slots: 2, Leaving: state == "draining", IsPrimary: role == "primary", Incarnation: incarnation, Sequence: written,
 	}, nil
 }
 
-// startHost starts a host on the site. The returned function stops it.
+// startHost starts a host on the site. The returned function stops it and waits until it has ended.
 func startHost(s *fakeSite, name string, class freshness.Class) (*Host, func()) {
 	settings := Settings{Host: name, Zone: "z", MemberDrain: 7 * time.Second, ShutdownGrace: 6 * time.Second, PromotionTokens: !s.ignoresTokens}
 	h := NewHost(settings, Ports{
@@ -357,13 +357,13 @@
 }
 
 // withHost runs a test on a site with three members and one host, once the host knows
-// who leads and holds the duty.
+// the primary and is the coordinator.
 func withHost(t *testing.T, class freshness.Class, test func(s *fakeSite, h *Host)) {
 	t.Helper()
 	synctest.Test(t, func(*testing.T) {
 		s := newFakeSite("a", "b", "c")
 		h, stop := startHost(s, "h1", class)
-		defer time.Sleep(10 * time.Second) // timers of orders and watches end
+		defer time.Sleep(10 * time.Second) // lets the timers of promotions and store watches end
 		defer stop()
 		time.Sleep(3 * time.Second)
 		test(s, h)
@@ -372,10 +372,10 @@
 
 var requestSerial atomic.Int64
 
-// exec runs a statement on a new session, as callers with one operation do.
+// exec runs a statement in a new session, as a caller with a single operation does.
 func exec(h *Host, st Statement) Reply { return execAs(h, "", st) }
 
-// execAs does the same with a key.
+// execAs is exec for a caller with the given account key.
 func execAs(h *Host, key string, st Statement) Reply {
 	s, failure := h.Open(testDatabase, account.Caller{Key: account.FingerprintOf(key)})
 	if failure != nil {
@@ -385,11 +385,12 @@
 	return execIn(s, st)
 }
 
+// execIn runs a statement in the session.
 func execIn(s *Session, st Statement) Reply {
 	return s.Do(context.Background(), Request{ID: fmt.Sprint("q", requestSerial.Add(1)), Statement: st})
 }
 
-// testLogger shows the host's log lines when PEARLATCH_TEST_LOG is set.
+// testLogger returns a logger that writes to standard error if PEARLATCH_TEST_LOG is set, and else discards.
 func testLogger() log.Logger {
 	if os.Getenv("PEARLATCH_TEST_LOG") == "" {
 		return log.NewNopLogger()
--- a/internal/gateway/leadership_test.go
+++ b/internal/gateway/leadership_test.go
@@ -11,7 +11,7 @@
 	"pearlatch/core/leadership"
 )
 
-// coordinatorHost returns the host that holds the duty of the test's group.
+// coordinatorHost returns the host that is the coordinator of the test group, or nil.
 func (f *fakeFleet) coordinatorHost() *Host {
 	for _, h := range f.all() {
 		h.mu.Lock()
@@ -24,7 +24,7 @@
 	return nil
 }
 
-// other returns a host that is not the one given.
+// other returns a host other than the given one.
 func (f *fakeFleet) other(than *Host) *Host {
 	for _, h := range f.all() {
 		if h != than {
@@ -34,31 +34,31 @@
 	return nil
 }
 
-// A network parts the primary and one host from the replicas, the store and all other
-// hosts. A replica takes over and acknowledges new writes. The host on the primary's side
-// goes on to reach it, and it goes on to say that it leads: reads of the latest there must
-// be refused rather than answered from the old log.
+// A partition separates the primary and one host from the replicas, the store and all other
+// hosts. A replica is promoted and acknowledges new writes. The host on the old primary's side
+// still reaches it, and it still reports itself as primary. Reads of the latest state on that
+// host must fail rather than return data from the old log.
 func TestHostPartitionedWithReplacedPrimaryReadsNoStaleData(t *testing.T) {
 	withFleet(t, 3, 20, freshness.Latest{}, func(s *fakeSite, f *fakeFleet) {
-		holder := f.coordinatorHost()
-		apart := f.other(holder)
-		exec(apart, Write{})
-		name := apart.settings.Host
+		coord := f.coordinatorHost()
+		cutOff := f.other(coord)
+		exec(cutOff, Write{})
+		name := cutOff.settings.Host
 		f.setFault(f.unreachable, name, true)
 		f.setFault(f.storeRejects, name, true)
 		s.updateMember("a", func(m *fakeMember) { m.partitioned = true })
 		for _, h := range f.all() {
-			if h != apart {
+			if h != cutOff {
 				f.setFault(f.severed, h.settings.Host+" a", true)
 			}
 		}
 		var written bool
 		for range 300 {
 			if !written && s.primaryID() != "a" {
-				written = exec(holder, Write{}).Failure == nil
+				written = exec(coord, Write{}).Failure == nil
 			}
-			late := written
-			if r := exec(apart, Read{}); r.Failure == nil && late && row(r) == "a" {
+			afterWrite := written
+			if r := exec(cutOff, Read{}); r.Failure == nil && afterWrite && row(r) == "a" {
 				t.Fatal("the replaced primary answered a read of the latest")
 			}
 			time.Sleep(10 * time.Millisecond)
@@ -70,30 +70,30 @@
 	})
 }
 
-// A primary drains while one host, which holds a lease on it, can't be reached, and the primary
-// is parted from the other members just then. The holder must wait until that lease has run
-// out: the host reads from the old primary until then.
+// A primary drains while a host that has a lease on it is unreachable, and at the same time a
+// partition separates the primary from the other members. The coordinator must wait until that
+// lease expires, since the host reads from the old primary until then.
 func TestSwitchoverWaitsForUnreturnedLease(t *testing.T) {
 	withFleet(t, 3, 20, freshness.Latest{}, func(s *fakeSite, f *fakeFleet) {
-		holder := f.coordinatorHost()
-		apart := f.other(holder)
-		exec(apart, Write{})
-		exec(holder, Write{})
+		coord := f.coordinatorHost()
+		cutOff := f.other(coord)
+		exec(cutOff, Write{})
+		exec(coord, Write{})
 		time.Sleep(time.Second)
-		if r := exec(apart, Read{}); r.Failure != nil {
+		if r := exec(cutOff, Read{}); r.Failure != nil {
 			t.Fatalf("the read failed: %v", r.Failure)
 		}
-		f.setFault(f.unreachable, apart.settings.Host, true)
-		f.setFault(f.storeRejects, apart.settings.Host, true)
+		f.setFault(f.unreachable, cutOff.settings.Host, true)
+		f.setFault(f.storeRejects, cutOff.settings.Host, true)
 		s.writeMemberEntry("a", "draining")
 		s.updateMember("a", func(m *fakeMember) { m.partitioned = true })
 		var written bool
 		for range 300 {
 			if !written && s.primaryID() != "a" {
-				written = exec(holder, Write{}).Failure == nil
+				written = exec(coord, Write{}).Failure == nil
 			}
-			late := written
-			if r := exec(apart, Read{}); r.Failure == nil && late && row(r) == "a" {
+			afterWrite := written
+			if r := exec(cutOff, Read{}); r.Failure == nil && afterWrite && row(r) == "a" {
 				t.Fatal("the replaced primary answered a read of the latest")
 			}
 		}
@@ -104,8 +104,8 @@
 	})
 }
 
-// A primary crashes while several hosts hold leases on it. They are asked to give them back,
-// so the callers' gap is the platform's time for a promotion and no lease long.
+// A primary crashes while several hosts have leases on it. The coordinator revokes the leases,
+// so the outage lasts for the platform's promotion time and not until the leases expire.
 func TestLeasesAreReturnedBeforePromotion(t *testing.T) {
 	withFleet(t, 4, 20, freshness.Latest{}, func(s *fakeSite, f *fakeFleet) {
 		for _, h := range f.all() {
@@ -114,15 +114,15 @@
 		time.Sleep(500 * time.Millisecond)
 		s.updateMember("a", func(m *fakeMember) { m.crashed = true })
 		if took := awaitWrite(t, f.other(f.coordinatorHost()), 5*time.Second); took > promoteTime+400*time.Millisecond {
-			t.Errorf("the gap was %s", took)
+			t.Errorf("the outage lasted %s", took)
 		}
 		wantNoLostWrites(t, s)
 	})
 }
 
-// A replica alone has received a caller's write, and starts again under its identifier with
-// an empty log, then the primary crashes. Both replicas answer and are fenced, but neither
-// holds the write: no one may take over until the primary is back.
+// The only replica that has received a caller's write restarts under the same ID with an empty
+// log, and then the primary crashes. Both replicas answer and are fenced, but neither holds the
+// write, so no member may be promoted until the primary is back.
 func TestRestartedMemberHasEmptyLog(t *testing.T) {
 	withHost(t, freshness.Latest{}, func(s *fakeSite, h *Host) {
 		exec(h, Write{})
@@ -142,8 +142,8 @@
 	})
 }
 
-// The store does not tell yet that a replica started again, and it answers from an empty log
-// to the questions of the holder. That alone must be enough.
+// A replica restarts with an empty log before the store shows the restart. Its answers to the
+// coordinator's probes, which show the shorter log, must be enough to prevent a promotion.
 func TestShrunkLogIsDetectedFromStatus(t *testing.T) {
 	withHost(t, freshness.Latest{}, func(s *fakeSite, h *Host) {
 		exec(h, Write{})
@@ -159,15 +159,15 @@
 	})
 }
 
-// The store is away for longer than the duty is certain, so nobody grants leases. All other
-// members say that they follow, and callers go on to read the latest from the primary.
+// A store outage lasts longer than the coordinator role is valid, so no leases are granted. All
+// other members confirm that they follow, so reads of the latest state still run on the primary.
 func TestReplicasConfirmPrimaryDuringStoreOutage(t *testing.T) {
 	withHost(t, freshness.Latest{}, func(s *fakeSite, h *Host) {
 		exec(h, Write{})
 		s.setDown(true)
 		time.Sleep(coordinatorLeaseTTL + time.Second)
 		if h.group(testGroup).hasLease("a", h.now()) {
-			t.Fatal("the host holds a lease")
+			t.Fatal("the host still has a lease")
 		}
 		for range 20 {
 			if r := exec(h, Read{}); r.Failure != nil || row(r) != "a" {
@@ -178,49 +178,49 @@
 		s.updateMember("c", func(m *fakeMember) { m.silent = true })
 		time.Sleep(maxCheckBackoff)
 		if r := exec(h, Read{}); r.Failure == nil {
-			t.Error("a read of the latest was served though a member that may lead is silent")
+			t.Error("a read of the latest was served although a silent member may be the primary")
 		}
 		s.setDown(false)
 	})
 }
 
-// A lease must not outlive what the holder can promise: the duty itself, or a primary of
-// which nothing is heard.
+// A lease must not outlast the coordinator role of the granting host, or be granted on a primary
+// that does not answer.
 func TestLeaseEndsWithCoordinatorRole(t *testing.T) {
 	withHost(t, freshness.Latest{}, func(s *fakeSite, h *Host) {
 		exec(h, Read{})
 		s.setDown(true)
 		time.Sleep(coordinatorLeaseTTL - 200*time.Millisecond)
 		if got := h.GrantLease(LeaseRequest{Group: testGroup, Host: "h2"}); got.Granted > 300*time.Millisecond {
-			t.Errorf("a lease of %s outlives the duty", got.Granted)
+			t.Errorf("a lease of %s outlasts the coordinator role", got.Granted)
 		}
 		time.Sleep(400 * time.Millisecond)
 		if got := h.GrantLease(LeaseRequest{Group: testGroup, Host: "h2"}); got.Granted > 0 {
-			t.Errorf("a lease of %s was granted without the duty", got.Granted)
+			t.Errorf("a lease of %s was granted without the coordinator role", got.Granted)
 		}
 		s.setDown(false)
 	})
 }
 
-// A host has lost the holder of the duty, and with it its lease, when a write is acknowledged
-// to it. The holder has fenced a replica meanwhile: it reads there what a successor must hold,
-// without this write. Its caller must not be told that it is kept.
+// A host has no lease, since it lost contact with the coordinator, when a write is acknowledged
+// to it. Meanwhile the coordinator has fenced a replica and reads from it the position that a
+// successor must have, which lacks this write. Its outcome must be in doubt.
 func TestWriteWithoutLeaseIsConfirmedByReplicas(t *testing.T) {
 	withHost(t, freshness.Latest{}, func(s *fakeSite, h *Host) {
 		exec(h, Write{})
 		s.put(h.coordinatorKey(testGroup), []byte("h2"), 0)
 		time.Sleep(leadership.LeaseDuration + 100*time.Millisecond)
 		if r := exec(h, Write{}); r.Failure != nil {
-			t.Errorf("a write that no one disputes failed: %v", r.Failure)
+			t.Errorf("a write that no replica contradicts failed: %v", r.Failure)
 		}
 		s.updateMember("c", func(m *fakeMember) { m.fenced = 2 })
 		wantCode(t, exec(h, Write{}), InDoubt)
 	})
 }
 
-// A replica vanishes from the store and from the hosts' sight, and is alive: it alone receives
-// what the primary writes. Then the primary goes dark as well. The other replica answers, and
-// must not take over: it lacks what callers were told is kept.
+// A replica is missing from the store and unreachable for the hosts, but it is alive and the only
+// one that receives the primary's writes. Then the primary stops answering as well. The other
+// replica answers but must not be promoted, since it lacks acknowledged writes.
 func TestUnreachableReplicaMayHoldOnlyCopy(t *testing.T) {
 	withFleet(t, 2, 20, freshness.Latest{}, func(s *fakeSite, f *fakeFleet) {
 		h := f.coordinatorHost()
@@ -243,9 +243,9 @@
 	})
 }
 
-// A replica has been fenced, is started again before the other one is, and receives from the
-// primary once more: it has forgotten its fence. The holder must not choose a successor by what
-// the two held.
+// A fenced replica restarts before the other replica is fenced. It has lost its fence and receives
+// from the primary again, so the positions that the two reported are not final, and the coordinator
+// must not choose a successor by them.
 func TestReplicaThatLostFenceIsNotCounted(t *testing.T) {
 	withHost(t, freshness.Latest{}, func(s *fakeSite, h *Host) {
 		exec(h, Write{})
@@ -254,17 +254,18 @@
 		fenced := g.controlAll([]Member{{ID: "b", Group: testGroup}, {ID: "c", Group: testGroup}}, Fence{Term: 2}, controlTimeout)
 		s.updateMember("c", func(m *fakeMember) { m.fenced = 0 })
 		if best, ok := w.chooseSuccessor(nil, w.confirmFences(2, fenced)); ok {
-			t.Errorf("%s was chosen", best)
+			t.Errorf("%s was chosen although a replica lost its fence", best)
 		}
 		g.controlAll([]Member{{ID: "c", Group: testGroup}}, Fence{Term: 2}, controlTimeout)
 		if best, ok := w.chooseSuccessor(nil, w.confirmFences(2, fenced)); !ok || best != "b" {
-			t.Errorf("%s was chosen, %v", best, ok)
+			t.Errorf("successor is %q, %v; want b", best, ok)
 		}
 	})
 }
 
-// A primary is missing in the list, and goes on as a replica of the next one, acknowledges for
-// it and ends. What the deaf replica holds is no longer enough: the floor is from before.
+// A primary goes missing from the store, becomes a replica of the next primary, acknowledges writes
+// for it and ends. The log of a replica that receives nothing is then no longer sufficient, since the
+// floor dates from before. The floor must be invalid as soon as another member is the primary.
 func TestPrimaryThatWentMissingCountsAsDeparted(t *testing.T) {
 	withHost(t, freshness.Latest{}, func(s *fakeSite, h *Host) {
 		exec(h, Write{})
@@ -277,14 +278,14 @@
 		after := g.floorValid()
 		g.mu.Unlock()
 		if !before || after {
-			t.Errorf("the floor was known: %v, then %v", before, after)
+			t.Errorf("the floor was valid: %v, then %v; want true, then false", before, after)
 		}
 	})
 }
 
-// The host holds no lease, and the member that leads now resets its connections, since it has too
-// many. The other one has not heard of the new term. That is no proof for the old primary: only a
-// process that has ended can't lead.
+// The host has no lease, and the new primary resets its connections because it is at its connection
+// limit. The other member does not know the new term yet. This must not confirm the old primary: only
+// a member whose process has ended is known not to be the primary.
 func TestConnectionResetDoesNotProveMemberEnded(t *testing.T) {
 	withHost(t, freshness.Latest{}, func(s *fakeSite, h *Host) {
 		exec(h, Write{})
@@ -292,40 +293,40 @@
 		time.Sleep(leadership.LeaseDuration + 100*time.Millisecond)
 		s.updateMember("b", func(m *fakeMember) { m.resets = true })
 		if r := exec(h, Read{}); r.Failure == nil {
-			t.Error("a read was served beside a member that may lead")
+			t.Error("a read was served although another member may be the primary")
 		}
 		s.updateMember("b", func(m *fakeMember) { m.resets, m.crashed = false, true })
 		time.Sleep(maxCheckBackoff)
 		if r := exec(h, Read{}); r.Failure != nil {
-			t.Errorf("a read failed beside a member that has ended: %v", r.Failure)
+			t.Errorf("a read failed although the only silent member has ended: %v", r.Failure)
 		}
 	})
 }
 
-// The holder grants a lease, and takes all leases back while the grant is still on its way. The
-// host must not use it when it comes: the holder counts it as returned.
+// The coordinator grants a lease and revokes all leases while the grant is still in flight. The host
+// must ignore the late grant, since the coordinator counts the lease as returned.
 func TestLateLeaseGrantAfterRevocationIsIgnored(t *testing.T) {
 	withHost(t, freshness.Latest{}, func(_ *fakeSite, h *Host) {
 		exec(h, Write{})
 		g := h.groups[testGroup]
-		asked := h.now()
+		requestedAt := h.now()
 		granted := h.GrantLease(LeaseRequest{Group: testGroup, Host: "h1"})
 		if granted.Granted == 0 {
 			t.Fatal("no lease was granted")
 		}
 		for _, planned := range []bool{true, false} {
 			h.RevokeLease(testGroup, "a", planned)
-			g.applyLease(asked, granted)
+			g.applyLease(requestedAt, granted)
 			if g.hasLease("a", h.now()) {
-				t.Errorf("the lease holds, planned: %v", planned)
+				t.Errorf("the late lease is valid, planned: %v", planned)
 			}
 		}
 	})
 }
 
-// The store turns the holder away for longer than its duty lasts, and the platform checks tokens,
-// so that it goes on to look after the group. Another holder may have promoted another member: what
-// the primary that it sees answers is no sample of what was acknowledged.
+// The store is unavailable to a coordinator for longer than its role is valid. It continues to monitor
+// the group, because the platform checks fencing tokens. Another coordinator may have promoted another
+// member, so the position of the primary that this one sees must not be used as a sample.
 func TestUncertainCoordinatorTakesNoSamples(t *testing.T) {
 	withHost(t, freshness.MaxAge{Age: time.Second}, func(s *fakeSite, h *Host) {
 		exec(h, Write{})
@@ -333,15 +334,15 @@
 		time.Sleep(coordinatorLeaseTTL + 2*time.Second)
 		g := h.groups[testGroup]
 		if _, at := g.newestSample(); h.now().Sub(at) < time.Second {
-			t.Errorf("a sample of %s ago without a certain duty", h.now().Sub(at))
+			t.Errorf("a sample of %s ago although the coordinator role is uncertain", h.now().Sub(at))
 		}
 		s.setDown(false)
 	})
 }
 
-// A host without a lease has just proven the primary when another member takes over, and the old
-// primary is cut off. A chef's transaction that may write reads there first: the proof from before
-// it must not do, as it does for a write alone, which would hang.
+// A host without a lease has just confirmed the primary when another member is promoted and the old
+// primary is partitioned. A read-write transaction first reads there. The earlier primary check must
+// not suffice for it, as it does for a single write, which would hang on the old primary.
 func TestReadWriteTransactionReadsNoStaleData(t *testing.T) {
 	withHost(t, freshness.Latest{}, func(s *fakeSite, h *Host) {
 		exec(h, Write{})
@@ -352,32 +353,32 @@
 		s.updateMember("a", func(m *fakeMember) { m.partitioned = true })
 		s.makePrimary(s.member("b"))
 		h.groups[testGroup].setPrimaryForTest("a")
-		chef := openSession(t, h)
-		execIn(chef, Begin{})
-		if r := execIn(chef, Read{}); r.Failure == nil && row(r) == "a" {
+		session := openSession(t, h)
+		execIn(session, Begin{})
+		if r := execIn(session, Read{}); r.Failure == nil && row(r) == "a" {
 			t.Error("the replaced primary answered")
 		}
-		chef.Close()
+		session.Close()
 	})
 }
 
-// setPrimaryForTest makes the host believe in a primary, as one does that has not heard of the next.
+// setPrimaryForTest sets the group's primary, as on a host that has not learned of the next primary yet.
 func (g *Group) setPrimaryForTest(id string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.setPrimary(id, "test")
 }
 
-// The store was away, and the members' entries lapse on its return; they are back at once. The
-// primary is dead by then, and a new holder takes the duty, with what the one before recorded. The
-// members say when they were born, so nobody has left: the replica that holds all takes over.
+// After a store outage the members' entries expire and are written again at once. By then the primary
+// has crashed, and a new coordinator acquires the role with its predecessor's record. The members'
+// incarnations show that none of them restarted, so the replica that holds every write is promoted.
 func TestLapsedEntriesLeaveTheFloorValid(t *testing.T) {
-	// Without births they may have started again with nothing.
-	for born, want := range map[int]string{0: "a", 7: "b"} {
-		t.Run(fmt.Sprint("born ", born), func(t *testing.T) {
+	// Members that report no incarnation may have restarted with an empty log.
+	for incarnation, want := range map[int]string{0: "a", 7: "b"} {
+		t.Run(fmt.Sprint("incarnation ", incarnation), func(t *testing.T) {
 			synctest.Test(t, func(*testing.T) {
 				s := newFakeSite("a", "b", "c")
-				s.setIncarnation(born)
+				s.setIncarnation(incarnation)
 				h1, stop1 := startHost(s, "h1", freshness.Latest{})
 				time.Sleep(3 * time.Second)
 				_, stop2 := startHost(s, "h2", freshness.Latest{})
@@ -389,7 +390,7 @@
 				s.lapseEntries("b", "c")
 				time.Sleep(6 * time.Second)
 				if got := s.primaryID(); got != want {
-					t.Errorf("%q leads, want %q", got, want)
+					t.Errorf("the primary is %q, want %q", got, want)
 				}
 				wantNoLostWrites(t, s)
 				stop2()
@@ -399,15 +400,15 @@
 	}
 }
 
-// setIncarnation lets all members say that they were born then.
-func (s *fakeSite) setIncarnation(born int) {
+// setIncarnation sets the incarnation that all members report in their store entries.
+func (s *fakeSite) setIncarnation(incarnation int) {
 	for _, m := range s.members {
-		s.updateMember(m.id, func(m *fakeMember) { m.incarnation = born })
+		s.updateMember(m.id, func(m *fakeMember) { m.incarnation = incarnation })
 		s.writeMemberEntry(m.id, "ready")
 	}
 }
 
-// lapseEntries removes the members' entries for a moment.
+// lapseEntries removes the members' store entries one after the other, each for a moment.
 func (s *fakeSite) lapseEntries(ids ...string) {
 	for _, id := range ids {
 		s.writeMemberEntry(id, "")
--- a/internal/gateway/lease_client.go
+++ b/internal/gateway/lease_client.go
@@ -11,44 +11,45 @@
 )
 
 const (
-	// leaseRenewInterval is the pause between two questions for a lease on a primary: two of
-	// them may get lost before it runs out.
+	// leaseRenewInterval is the time between two requests for a lease on a primary. Two
+	// consecutive requests may be lost before the lease expires.
 	leaseRenewInterval = 300 * time.Millisecond
-	// leaseRetryInterval is the pause after a question that brought no lease.
+	// leaseRetryInterval is the delay after a request that was not granted a lease.
 	leaseRetryInterval = 100 * time.Millisecond
-	// leaseRequestTimeout bounds the question: a few round trips within a region.
+	// leaseRequestTimeout bounds a lease request: a few round trips within a region.
 	leaseRequestTimeout = 150 * time.Millisecond
-	// leaseIdleTimeout is how long after a statement that needed the primary the lease is
-	// kept up. It spares groups without callers.
+	// leaseIdleTimeout is how long the lease is renewed after the last statement that needed the
+	// primary, so that groups without callers cause no lease requests.
 	leaseIdleTimeout = 2 * time.Second
 )
 
-// LeaseRequest asks for a lease on the primary of a group, on behalf of a host.
+// LeaseRequest is a host's request for a lease on the primary of a group.
 type LeaseRequest struct {
 	Group, Host string
-	// Healthy is true if the host's own statements show that the group is well, and SuspectsPrimary if
-	// the primary has failed to answer there since it last did.
+	// Healthy is true if the host's own statements show that the group is healthy. SuspectsPrimary is true
+	// if the primary has failed to answer the host since its last reply.
 	Healthy, SuspectsPrimary bool
-	// SampleOnly asks for a position of the primary alone. A host that does not serve the group
-	// needs no lease, and a change of primary need not wait for it.
+	// SampleOnly requests only a position of the primary, without a lease. A host that does not serve the
+	// group needs no lease, and a change of primary need not wait for that host.
 	SampleOnly bool
 }
 
-// LeaseReply answers a host that asks for a lease on the primary.
+// LeaseReply is the coordinator's reply to a LeaseRequest.
 type LeaseReply struct {
-	// Granted is for how long, or zero. WritesOnly is as in a leadership.Lease.
+	// Granted is the duration of the lease, or zero if none is granted. WritesOnly is as in leadership.Lease.
 	Granted    time.Duration
 	WritesOnly bool
-	// Member is the primary and Term the one in which it leads.
+	// Member is the primary and Term its term.
 	Member string
 	Term   group.Term
-	// Position is one of the primary's log that the holder saw so long ago as Age says,
-	// or zero. What the primary had acknowledged before is included in it.
+	// Position is a position of the primary's log that the coordinator sampled Age ago, or zero. It includes
+	// every write that the primary had acknowledged before the sample.
 	Position group.Position
 	Age      time.Duration
 }
 
-// maintainLease keeps the lease on a group's primary for as long as statements need it.
+// maintainLease acquires and renews the lease on a group's primary while statements need it. It returns when
+// ctx ends.
 func (h *Host) maintainLease(ctx context.Context, g *Group) {
 	for g.awaitLeaseSignal(ctx, nil) {
 		for g.needsLease() {
@@ -66,7 +67,8 @@
 	}
 }
 
-// awaitLeaseSignal waits until a lease is asked for, or due. It returns false when ctx ended.
+// awaitLeaseSignal waits until a statement signals that it needs a lease, or due fires. It returns false if
+// ctx ended.
 func (g *Group) awaitLeaseSignal(ctx context.Context, due <-chan time.Time) bool {
 	select {
 	case <-ctx.Done():
@@ -77,39 +79,41 @@
 	return true
 }
 
-// acquireLease asks the holder of the group's duty for a lease. It returns false if it got none.
+// acquireLease requests a lease from the group's coordinator. It returns false if none was granted.
 func (h *Host) acquireLease(ctx context.Context, g *Group) bool {
-	asked := h.now()
+	requestedAt := h.now()
 	reply, err := h.requestLease(ctx, g.name)
 	if err == nil {
-		g.applySample(asked, reply)
+		g.applySample(requestedAt, reply)
 	}
 	if err != nil || reply.Granted <= 0 {
-		g.dropExpiredLease(asked, err)
+		g.dropExpiredLease(requestedAt, err)
 		return false
 	}
-	g.applyLease(asked, reply)
+	g.applyLease(requestedAt, reply)
 	return true
 }
 
-// applySample takes over where the primary's log stood, and who that is.
-func (g *Group) applySample(asked time.Time, r LeaseReply) {
+// applySample records the primary and the position of its log from a lease reply.
+func (g *Group) applySample(requestedAt time.Time, r LeaseReply) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if r.Position == (group.Position{}) || r.Term < g.primaryTerm || g.members[r.Member] == nil {
 		return
 	}
 	g.primaryTerm = r.Term
-	g.addSample(r.Member, asked.Add(-r.Age), r.Position)
+	g.addSample(r.Member, requestedAt.Add(-r.Age), r.Position)
 }
 
-// errNoCoordinator means that no host is known to hold a duty.
-var errNoCoordinator = errors.New("no host is known to hold the group's duty")
+// errNoCoordinator means that no host is known to be the group's coordinator.
+var errNoCoordinator = errors.New("no host is known to be the group's coordinator")
 
+// requestLease requests a lease from the group's coordinator, which may be this host. It returns
+// errNoCoordinator if none is known or its address is not.
 func (h *Host) requestLease(ctx context.Context, groupName string) (LeaseReply, error) {
 	h.mu.Lock()
 	entry, _ := h.storeView.Item(h.coordinatorKey(groupName))
-	holder, d := string(entry.Value), h.coordinators[groupName]
+	coordinatorID, d := string(entry.Value), h.coordinators[groupName]
 	h.mu.Unlock()
 	if d != nil && d.isHeld() {
 		return d.grantLease(h.settings.Host), nil
@@ -119,7 +123,7 @@
 		r.Healthy, r.SuspectsPrimary = g.healthReport()
 		r.SampleOnly = !g.servesHere()
 	}
-	addr, ok := h.fleet.Address(holder)
+	addr, ok := h.fleet.Address(coordinatorID)
 	if !ok || h.ports.Peers == nil {
 		return LeaseReply{}, errNoCoordinator
 	}
@@ -128,22 +132,22 @@
 	return h.ports.Peers.RequestLease(call, addr, r)
 }
 
-// servesHere reports whether the host serves the group, or does for now.
+// servesHere reports whether the host serves the group, permanently or as a fallback.
 func (g *Group) servesHere() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return !g.plan.ServedByOthers || g.isFallback(g.now()) || g.isIsolated()
 }
 
-// needsLease reports whether the group's primary was needed here lately.
+// needsLease reports whether a statement on this host needed the primary within leaseIdleTimeout.
 func (g *Group) needsLease() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.now().Sub(g.primaryNeededAt) < leaseIdleTimeout
 }
 
-// notePrimaryNeeded records that a statement needs the primary, and asks for a lease at once if
-// there is none.
+// notePrimaryNeeded records that a statement needs the primary, and triggers an immediate lease request if
+// there is no valid lease.
 func (g *Group) notePrimaryNeeded() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -154,7 +158,7 @@
 	g.primaryNeededAt = now
 }
 
-// signalLease makes the host ask for a lease now.
+// signalLease triggers an immediate lease request.
 func (g *Group) signalLease() {
 	select {
 	case g.leaseSignal <- struct{}{}:
@@ -162,65 +166,68 @@
 	}
 }
 
-// applyLease takes over a lease that was asked for at the given time.
-func (g *Group) applyLease(asked time.Time, r LeaseReply) {
+// applyLease records a lease that was requested at the given time. A lease that was requested before the last
+// revocation, or is of an earlier term than the known one, is ignored.
+func (g *Group) applyLease(requestedAt time.Time, r LeaseReply) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	m := g.members[r.Member]
-	if m == nil || m.gone || r.Term < g.primaryTerm || !asked.After(g.leaseRevokedAt) {
+	if m == nil || m.gone || r.Term < g.primaryTerm || !requestedAt.After(g.leaseRevokedAt) {
 		return
 	}
-	had := g.lease.CoversReads(r.Member, asked)
+	hadLease := g.lease.CoversReads(r.Member, requestedAt)
 	if g.lease.WritesOnly && g.lease.Member != r.Member {
-		// What the primary before acknowledged until its heir led may still be on its way.
+		// Writes that the previous primary acknowledged before its successor took over may still be in flight.
 		g.writeLease = g.lease
 	}
 	g.primaryTerm = r.Term
 	g.lease = g.lease.Extend(leadership.Lease{
-		Member: r.Member, Term: r.Term, WritesOnly: r.WritesOnly, From: asked, Until: asked.Add(r.Granted),
+		Member: r.Member, Term: r.Term, WritesOnly: r.WritesOnly, From: requestedAt, Until: requestedAt.Add(r.Granted),
 	})
 	m.beingReplaced, m.refusedTerm = false, min(m.refusedTerm, r.Term-1)
-	if !had && !r.WritesOnly {
+	if !hadLease && !r.WritesOnly {
 		g.log("lease", "member", r.Member, "term", r.Term, "for_ms", r.Granted.Milliseconds())
 	}
 	if !r.WritesOnly {
 		g.noteOutageEnd()
-		// In a planned change the heir may lead already, and the holder not know of it yet.
+		// With a write lease, the switchover target may already be the primary while the coordinator does not
+		// know it yet. Only a read lease therefore identifies the primary.
 		g.setPrimary(r.Member, "leased")
 	}
 	g.dispatch()
 }
 
-// dropExpiredLease writes a line once a lease has run out and none is to be had.
-func (g *Group) dropExpiredLease(asked time.Time, err error) {
+// dropExpiredLease clears and logs the lease if it has expired. It is called after a lease request that was not
+// granted, with that request's time and error.
+func (g *Group) dropExpiredLease(requestedAt time.Time, err error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.lease.Member == "" || asked.Before(g.lease.Until) {
+	if g.lease.Member == "" || requestedAt.Before(g.lease.Until) {
 		return
 	}
-	g.log("lease_ended", "member", g.lease.Member, "term", g.lease.Term, "age_ms", asked.Sub(g.lease.Until).Milliseconds(), "err", err)
+	g.log("lease_ended", "member", g.lease.Member, "term", g.lease.Term, "age_ms", requestedAt.Sub(g.lease.Until).Milliseconds(), "err", err)
 	g.lease = leadership.Lease{}
 }
 
-// leaseCoversWrites reports whether what the member acknowledged in the term by the given time stays, by
-// a lease of either kind.
+// leaseCoversWrites reports whether a read or write lease guarantees that writes acknowledged by the member in
+// the term by the given time are kept.
 func (g *Group) leaseCoversWrites(id string, term group.Term, at time.Time) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.lease.Term == term && g.lease.CoversWrites(id, at) || g.writeLease.Term == term && g.writeLease.CoversWrites(id, at)
 }
 
-// hasLease reports whether the host holds a lease on the member.
+// hasLease reports whether the host has a read lease on the member at the given time.
 func (g *Group) hasLease(id string, at time.Time) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.lease.CoversReads(id, at)
 }
 
-// RevokeLease gives the host's lease on a group's primary back: the holder of the duty is about
-// to replace it. planned is true if the primary goes on to serve until then.
+// RevokeLease revokes the host's lease on a group's primary, which the coordinator is about to replace. In a
+// planned change the primary serves until it is replaced, and the lease is only restricted to writes.
 func (h *Host) RevokeLease(groupName, memberID string, planned bool) {
-	if g := h.existingGroup(groupName); g != nil { // without a Group the host has no lease
+	if g := h.existingGroup(groupName); g != nil { // a host without a Group has no lease
 		g.revokeLease(memberID, planned)
 	}
 }
@@ -229,8 +236,8 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.log("lease_recalled", "member", id, "planned", planned)
-	// A lease that was granted just before may still be on its way here. The holder takes it for
-	// returned with this answer.
+	// A lease that was granted just before may still be in flight. The coordinator counts it as returned
+	// once this call is answered, so applyLease must ignore it.
 	g.leaseRevokedAt = g.now()
 	if planned {
 		g.lease = g.lease.Downgraded()
@@ -243,15 +250,15 @@
 	if m == nil {
 		return
 	}
-	// It goes on to say that it leads for as long as it has not heard of the next primary.
+	// The member reports itself as primary until it learns of its successor.
 	m.beingReplaced = true
 	if g.primaryID == id {
 		g.setPrimary("", "recalled")
 	}
 }
 
-// clearAllReplacements lets every member lead that an earlier holder of the duty set out to replace. What
-// became of that, the new one finds out from the record and the members.
+// clearAllReplacements clears the replacement mark of all members. A new coordinator learns from the record and the
+// members what became of a replacement that an earlier one began.
 func (g *Group) clearAllReplacements() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -260,7 +267,7 @@
 	}
 }
 
-// clearReplacement lets a primary lead on that was to be replaced and could not be.
+// clearReplacement clears the replacement mark of a primary that could not be replaced and stays the primary.
 func (g *Group) clearReplacement(id string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/gateway/lease_grants.go
+++ b/internal/gateway/lease_grants.go
@@ -10,25 +10,25 @@
 	"pearlatch/internal/pause"
 )
 
-// leaseRevokeTimeout is how long a host may take to give a lease back until it is left to run
-// out: a few round trips within a region.
+// leaseRevokeTimeout bounds a request to give a lease back: a few round trips within a region. After it, the
+// coordinator waits until the lease expires.
 const leaseRevokeTimeout = 150 * time.Millisecond
 
-// primaryStatus is what the holder of a duty knows of the primary. It is empty while the primary
-// is being replaced.
+// primaryStatus is what the coordinator knows of the primary. It is empty while the primary is being replaced
+// in a failover.
 type primaryStatus struct {
 	member string
 	term   group.Term
-	// heardAt is when the primary was last asked something that it answered.
+	// heardAt is when the last request that the primary answered was sent.
 	heardAt time.Time
-	// position is what its log held then, or zero.
+	// position is the end of its log at that time, or zero.
 	position group.Position
-	// inSwitchover is true while a planned change of primary is under way.
+	// inSwitchover is true during a planned change of primary.
 	inSwitchover bool
 }
 
-// GrantLease grants a host a lease on the primary of a group, if this one holds the duty
-// and knows the primary.
+// GrantLease grants a host a lease on the primary of a group if this host is the group's coordinator and knows
+// the primary. Otherwise the reply is empty.
 func (h *Host) GrantLease(r LeaseRequest) LeaseReply {
 	h.mu.Lock()
 	d := h.coordinators[r.Group]
@@ -40,7 +40,7 @@
 	return d.answerLeaseRequest(r)
 }
 
-// answerLeaseRequest answers a question for a lease, or for a position alone.
+// answerLeaseRequest answers a request for a lease, or only for a position.
 func (d *coordinator) answerLeaseRequest(r LeaseRequest) LeaseReply {
 	if !r.SampleOnly {
 		return d.grantLease(r.Host)
@@ -54,6 +54,8 @@
 	return LeaseReply{Member: d.primaryStatus.member, Term: d.primaryStatus.term, Position: position, Age: d.host.now().Sub(sampled)}
 }
 
+// grantLease grants the host a lease that ends before the coordinator role may pass to another host. It returns an
+// empty reply if this host is not the coordinator or does not know the primary.
 func (d *coordinator) grantLease(host string) LeaseReply {
 	now := d.host.now()
 	heard, alive := d.group.lastHeard(d.leasedPrimary())
@@ -69,28 +71,28 @@
 	}
 	granted := d.grants.Grant(host, now, leadership.GrantLimits{LastReply: s.heardAt, DutyUntil: d.soleHolderUntil(), InSwitchover: s.inSwitchover})
 	if granted == 0 && now.Sub(d.lastWoken) >= probeInterval {
-		// The primary may not have been asked for long, since nobody needed it.
+		// The primary may not have been probed recently because no statement needed it.
 		d.lastWoken = now
 		d.group.wakeCoordinator()
 	}
 	return LeaseReply{Granted: granted, WritesOnly: s.inSwitchover, Member: s.member, Term: s.term, Position: position, Age: now.Sub(sampled)}
 }
 
-// leasedPrimary returns the member that leases are granted on, or the empty string.
+// leasedPrimary returns the member on which leases are granted, or the empty string.
 func (d *coordinator) leasedPrimary() string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.primaryStatus.member
 }
 
-// setPrimaryStatus records that the primary answered a question that was asked at the given time.
+// setPrimaryStatus replaces what is known of the primary, on which leases are granted.
 func (d *coordinator) setPrimaryStatus(s primaryStatus) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.primaryStatus = s
 }
 
-// notePrimaryAlive records a sign of life of a primary that did not tell its position.
+// notePrimaryAlive records a reply of the primary to a request sent at the given time, without a position.
 func (d *coordinator) notePrimaryAlive(at time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -99,9 +101,9 @@
 	}
 }
 
-// revokeLeases ends all leases on the primary, so that another member can be promoted: it grants
-// no more, asks the hosts to give back what they hold, and waits until the leases of those
-// that don't answer have run out. It returns false if this host may no longer order.
+// revokeLeases ends all leases on the primary, so that another member can be promoted. It stops granting leases,
+// asks the hosts to give back theirs, and waits until the leases of hosts that don't answer have expired. In a
+// planned change, write leases may remain. It returns false if ctx ends or this host may no longer promote.
 func (w *groupMonitor) revokeLeases(ctx context.Context, planned bool) bool {
 	started := w.host.now()
 	id := w.stopLeaseGrants(planned)
@@ -110,15 +112,15 @@
 		wait.Go(func() { w.revokeHostLease(ctx, host, id, planned) })
 	}
 	wait.Wait()
-	for left := w.leaseHolders(planned); len(left) > 0; left = w.leaseHolders(planned) {
-		ends := w.lastGrantEnd().Sub(w.host.now())
-		w.log("leases_awaited", "member", id, "hosts", left, "for_ms", ends.Milliseconds())
-		if !pause.For(ctx, ends) {
+	for holders := w.leaseHolders(planned); len(holders) > 0; holders = w.leaseHolders(planned) {
+		remaining := w.lastGrantEnd().Sub(w.host.now())
+		w.log("leases_awaited", "member", id, "hosts", holders, "for_ms", remaining.Milliseconds())
+		if !pause.For(ctx, remaining) {
 			return false
 		}
 	}
-	// Leases of the holder before may still hold, if it was an earlier process of this host, or lost its
-	// entry early.
+	// Leases that the previous coordinator granted may still be valid if it was an earlier process of this
+	// host, or lost its entry early.
 	if !pause.For(ctx, w.predecessorLeasesEnd().Sub(w.host.now())) {
 		return false
 	}
@@ -126,8 +128,8 @@
 	return w.mayPromote()
 }
 
-// stopLeaseGrants makes sure that no lease on the primary is granted any more, or in a planned
-// change none but for writes. It returns the primary.
+// stopLeaseGrants prevents further grants of leases on the primary. In a planned change only read leases are
+// stopped. It returns the primary.
 func (w *groupMonitor) stopLeaseGrants(planned bool) string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -141,8 +143,8 @@
 	return id
 }
 
-// leaseHolders returns the hosts whose leases a change of primary must wait for: all of them, or
-// in a planned one those that may read.
+// leaseHolders returns the hosts whose leases a change of primary must wait for: all lease holders, or only those
+// with read leases in a planned change.
 func (w *groupMonitor) leaseHolders(planned bool) []string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -152,13 +154,15 @@
 	return w.grants.Outstanding(w.host.now())
 }
 
-// lastGrantEnd returns when the last lease ends.
+// lastGrantEnd returns when the last granted lease ends.
 func (w *groupMonitor) lastGrantEnd() time.Time {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.grants.LastEnd()
 }
 
+// revokeHostLease asks a host to give back its lease, or in a planned change to restrict it to writes, and records
+// that it did. The lease stays outstanding if the host does not answer.
 func (w *groupMonitor) revokeHostLease(ctx context.Context, host, member string, planned bool) {
 	h := w.host
 	if host == h.settings.Host {
--- a/internal/gateway/local_replica_test.go
+++ b/internal/gateway/local_replica_test.go
@@ -7,9 +7,9 @@
 	"pearlatch/core/freshness"
 )
 
-// Thirty hosts stand before members with too few connections for reads near by. Those that don't
-// serve have no use for the primary's position, and must not ask the holder for it: in a large
-// fleet that made 2,000 questions a second.
+// With thirty hosts, the members have too few connections for local reads. Hosts that don't serve the group have no
+// use for the primary's position and must not request it from the coordinator: in a large fleet these requests
+// amounted to 2,000 per second.
 func TestHostsWithoutLocalReadsRequestNoPositions(t *testing.T) {
 	withFleet(t, 30, 20, freshness.MaxAge{Age: time.Second}, func(_ *fakeSite, f *fakeFleet) {
 		_, elsewhere := f.serving()
@@ -18,8 +18,8 @@
 			exec(h, Read{})
 		}
 		time.Sleep(2 * time.Second)
-		if n := f.leaseRequests.Load() - before; n > 40 { // of the few that serve
-			t.Errorf("%d questions for leases or positions in two seconds", n)
+		if n := f.leaseRequests.Load() - before; n > 40 { // those of the few serving hosts
+			t.Errorf("%d requests for leases or positions in two seconds", n)
 		}
 	})
 }
--- a/internal/gateway/primary.go
+++ b/internal/gateway/primary.go
@@ -12,47 +12,48 @@
 )
 
 const (
-	// probeTimeout bounds a status question. Members answer within a few
-	// statements' time unless they are out of reach.
+	// probeTimeout bounds a status probe. Members answer within the time of a few
+	// statements unless they are unreachable.
 	probeTimeout = 400 * time.Millisecond
-	// searchInterval is the pause between two rounds of asking who leads.
+	// searchInterval is the delay between two probe rounds of a search for the primary.
 	searchInterval = 60 * time.Millisecond
-	// maxSearchRounds bounds one search: after that the next statement that needs
-	// the primary starts another.
+	// maxSearchRounds bounds one search. After it, the next statement that needs
+	// the primary starts another search.
 	maxSearchRounds = 40
 )
 
-// controlConn is a connection to a member for orders, opened when it is needed.
+// controlConn is a connection to a member for control commands, opened on first use.
 type controlConn struct {
-	// sem holds a token while nobody uses the connection. Unlike a mutex, the wait
-	// for it ends with the caller's time.
+	// sem holds a token while the connection is not in use. Unlike the wait for a mutex,
+	// the wait for the token ends with the caller's timeout.
 	sem  chan struct{}
 	conn Conn
-	// lastUsed is when the last order ended.
+	// lastUsed is when the last control command ended.
 	lastUsed time.Time
 }
 
-// controlConnIdleTimeout is how long a connection for orders is kept unused. The holder of a duty
-// asks every probeInterval; all other hosts ask only while nobody is known to lead, and
-// their connections would take those that serve callers.
+// controlConnIdleTimeout is how long an idle control connection is kept. A coordinator probes members every
+// probeInterval. All other hosts probe them only while no primary is known, and their control connections would
+// occupy connections that serve callers.
 const controlConnIdleTimeout = 1500 * time.Millisecond
 
-// setCoordinated says whether this host holds the group's duty. It then keeps its connections for orders:
-// where callers' connections fill the members up, it could not open them again for a fence.
-func (g *Group) setCoordinated(holds bool) {
+// setCoordinated sets whether this host is the group's coordinator, which keeps its control connections open:
+// when callers' connections exhaust the members' limits, it could not reopen them to send a fence.
+func (g *Group) setCoordinated(coordinated bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.coordinated = holds
+	g.coordinated = coordinated
 }
 
-// isCoordinated reports what hold was last told.
+// isCoordinated reports whether this host is the group's coordinator, as last set by setCoordinated.
 func (g *Group) isCoordinated() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.coordinated
 }
 
-// closeIdleControlConns closes connections for orders that were not used for long.
+// closeIdleControlConns closes control connections that were idle for controlConnIdleTimeout, unless this host is
+// the group's coordinator.
 func (g *Group) closeIdleControlConns() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -77,17 +78,19 @@
 	}
 }
 
-// control gives an order to the member over its control connection.
-func (g *Group) control(m Member, o ControlCommand, timeout time.Duration) (Status, error) {
-	if _, question := o.(Probe); question && g.probesViaPool(m.ID) {
+// control sends a control command to the member and records the status that it answers with. Probes may use a
+// pooled connection; all other commands use the control connection. A command that is refused because the member
+// is busy is retried up to maxBusyRetries times.
+func (g *Group) control(m Member, cmd ControlCommand, timeout time.Duration) (Status, error) {
+	if _, isProbe := cmd.(Probe); isProbe && g.probesViaPool(m.ID) {
 		return g.probeViaPool(m, timeout)
 	}
 	var s Status
 	err := g.withControlConn(m, timeout, func(c Conn) (err error) {
-		s, err = c.Control(timeout, o)
+		s, err = c.Control(timeout, cmd)
 		for i := 0; i < maxBusyRetries && isBusyFailure(err); i++ {
 			time.Sleep(busyRetryInterval)
-			s, err = c.Control(timeout, o)
+			s, err = c.Control(timeout, cmd)
 		}
 		return err
 	})
@@ -97,10 +100,10 @@
 	return s, err
 }
 
-// probesViaPool reports whether questions to the member go over callers' connections: always, but at the
-// holder of the duty, which keeps connections of its own for fences, and where there are none.
-// Where every host serves, questions on connections of their own filled the members up after a
-// restart of all: callers' connections were refused, 7 statements in 1,000 for want of one.
+// probesViaPool reports whether probes of the member use pooled connections. The coordinator uses its control
+// connections instead, which it keeps for fences anyway, as does a host that may not pool connections to the member.
+// If every host serves the group, control connections for probes exhausted the members' limits after a restart of
+// all hosts: members refused connections for callers, and 7 statements in 1,000 failed for lack of one.
 func (g *Group) probesViaPool(id string) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -108,8 +111,8 @@
 	return m != nil && !g.coordinated && g.pool.MaxConns(m.poolMember) > 0
 }
 
-// probeViaPool asks the member for its status on one of callers' connections, as soon as one is idle. If
-// there is none at all it opens one.
+// probeViaPool probes the member on a pooled connection, as soon as one is idle. If the pool has no connection to
+// the member it opens one.
 func (g *Group) probeViaPool(m Member, timeout time.Duration) (Status, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
@@ -137,11 +140,12 @@
 	return s, err
 }
 
-// idleConnPollInterval is the pause before a connection is looked for again: a fraction of a statement's time.
+// idleConnPollInterval is the delay between two attempts to take an idle connection: a fraction of the time of a
+// statement.
 const idleConnPollInterval = 4 * time.Millisecond
 
-// borrowConn takes an idle connection to the member, or opens one if there is none at all. It returns
-// nil while all are in use.
+// borrowConn takes an idle pooled connection to the member, or opens one if there is none. It returns nil without
+// an error while all connections are in use.
 func (g *Group) borrowConn(ctx context.Context, target Member) (*pooledConn, error) {
 	g.mu.Lock()
 	m := g.members[target.ID]
@@ -164,11 +168,11 @@
 	return g.conns[g.pool.TakeAnyIdle(m.poolMember)], nil
 }
 
-// hostAccount stands for the host itself, whose own questions need no account.
+// hostAccount is the account name for the host's own connections, which need no account.
 const hostAccount = ""
 
-// withControlConn does something on the member's control connection, which is closed when that
-// fails for another reason than the member's refusal.
+// withControlConn calls do with the member's control connection, and waits for at most the timeout until the
+// connection is free. It closes the connection if do fails, unless the error is the member's own answer.
 func (g *Group) withControlConn(m Member, timeout time.Duration, do func(Conn) error) error {
 	g.mu.Lock()
 	c := g.controlConns[m.ID]
@@ -206,7 +210,7 @@
 	return err
 }
 
-// recordStatus records what the member answered to an order.
+// recordStatus records the status that the member answered to a control command.
 func (g *Group) recordStatus(id string, s Status) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -216,8 +220,8 @@
 	}
 	m.statusAt, m.silentSince = g.now(), time.Time{}
 	if s.Term == m.receivedTerm && s.Received.Compare(m.received) < 0 && id != g.primaryID {
-		// A log shrinks in a promotion only, which brings a new term. This member was started
-		// again and holds nothing of before: what it had acknowledged has left with it.
+		// A log only shrinks in a promotion, which begins a new term. This member was restarted
+		// with an empty log and lost the writes that it had acknowledged.
 		g.log("member_lost_its_log", "member", id, "held", m.received, "holds", s.Received)
 		g.noteDeparture(m.statusAt)
 	}
@@ -227,17 +231,16 @@
 	m.received, m.receivedTerm = s.Received, s.Term
 }
 
-// maxBusyRetries is how often an order is given again to a member whose queue is
-// full.
+// maxBusyRetries is how often a control command is retried on a member whose queue is full.
 const maxBusyRetries = 8
 
-// isBusyFailure reports whether a member answered that it has no room.
+// isBusyFailure reports whether a member answered that its queue is full.
 func isBusyFailure(err error) bool {
 	var f *Failure
 	return errors.As(err, &f) && f.Code == Busy
 }
 
-// isMemberFailure reports whether the member itself answered with a refusal.
+// isMemberFailure reports whether the error is a failure that the member itself answered with.
 func isMemberFailure(err error) bool {
 	var f *Failure
 	return errors.As(err, &f)
@@ -250,31 +253,32 @@
 	c.conn = nil
 }
 
-// controlResult is a member's answer to an order, with the time it was asked.
+// controlResult is a member's answer to a control command.
 type controlResult struct {
 	member Member
+	// asked is when the command was sent.
 	asked  time.Time
 	status Status
 	err    error
-	// relayedBy is the host that got the answer, if it was another one.
+	// relayedBy is the host that received the answer, or empty if it was this one.
 	relayedBy string
 }
 
-// controlAll gives an order to the members at once and returns their answers.
-func (g *Group) controlAll(members []Member, o ControlCommand, timeout time.Duration) []controlResult {
+// controlAll sends a control command to the members in parallel and returns their answers in the same order.
+func (g *Group) controlAll(members []Member, cmd ControlCommand, timeout time.Duration) []controlResult {
 	out := make([]controlResult, len(members))
 	var wait sync.WaitGroup
 	for i, m := range members {
 		wait.Go(func() {
 			out[i] = controlResult{member: m, asked: g.now()}
-			out[i].status, out[i].err = g.control(m, o, timeout)
+			out[i].status, out[i].err = g.control(m, cmd, timeout)
 		})
 	}
 	wait.Wait()
 	return out
 }
 
-// listMembers returns the members, also those that the platform lost sight of.
+// listMembers returns the members, including missing ones that are not gone yet.
 func (g *Group) listMembers() []Member {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -287,7 +291,7 @@
 	return out
 }
 
-// lookupMember returns a member, also one that the platform lost sight of.
+// lookupMember returns a member, which may be missing but not gone.
 func (g *Group) lookupMember(id string) (Member, bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -298,12 +302,13 @@
 	return m.Member, true
 }
 
-// ensurePrimary makes sure that somebody finds out who leads.
+// ensurePrimary starts a search for the primary if it is unknown or suspect, no search is running, and this host
+// serves the group.
 func (g *Group) ensurePrimary() {
 	g.mu.Lock()
 	known := g.primaryID != "" && !g.now().Before(g.primarySuspectUntil())
-	idle := g.plan.ServedByOthers && !g.isIsolated() && !g.isFallback(g.now()) // those that serve the group find out
-	if known || idle || g.searching || len(g.sortedMembers) == 0 {
+	servedByOthers := g.plan.ServedByOthers && !g.isIsolated() && !g.isFallback(g.now()) // the serving hosts search
+	if known || servedByOthers || g.searching || len(g.sortedMembers) == 0 {
 		g.mu.Unlock()
 		return
 	}
@@ -312,7 +317,7 @@
 	go g.searchPrimary()
 }
 
-// primarySuspectUntil returns until when the primary is suspect.
+// primarySuspectUntil returns until when the primary is suspect, or the zero time. g.mu must be held.
 func (g *Group) primarySuspectUntil() time.Time {
 	if m := g.members[g.primaryID]; m != nil {
 		return m.suspectUntil
@@ -320,7 +325,7 @@
 	return time.Time{}
 }
 
-// searchPrimary asks the members who leads until one does.
+// searchPrimary probes the members until one is found to be the primary, for at most maxSearchRounds.
 func (g *Group) searchPrimary() {
 	defer func() {
 		g.mu.Lock()
@@ -335,9 +340,9 @@
 	}
 }
 
-// primaryRefuted reports whether the member has refused a write in the term in which it says
-// that it leads, or is being replaced. A primary that was replaced while it was cut off goes on to say so; to
-// believe it again and again would keep callers from the new one.
+// primaryRefuted reports whether the member is being replaced, or has refused a write in the term in which it
+// claims to be the primary. A primary that was replaced while partitioned keeps claiming the role. Accepting that
+// claim again and again would keep callers from the new primary.
 func (g *Group) primaryRefuted(a controlResult) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -349,8 +354,8 @@
 	return m.beingReplaced || a.status.Term <= m.refusedTerm
 }
 
-// adoptPrimary takes over what the answers say of who leads. It returns false when none
-// of the members leads.
+// adoptPrimary sets the primary to the member that claims the role in the highest term among the answers. It
+// returns false if no member validly claims it, or only in a term older than the known one.
 func (g *Group) adoptPrimary(answers []controlResult) bool {
 	best := -1
 	for i, a := range answers {
@@ -383,8 +388,8 @@
 	return true
 }
 
-// wasPrimarySince reports whether the member is known to have led at or after the given time. Its
-// log then holds everything that was acknowledged before.
+// wasPrimarySince reports whether the member is known to have been the primary at or after the given time. Its log
+// then holds every write acknowledged before that time.
 func (g *Group) wasPrimarySince(id string, since time.Time) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -392,7 +397,8 @@
 		g.passedCheck.primary == id && !g.passedCheck.started.Before(since)
 }
 
-// highestTerm returns the highest term among the answers in which a member led.
+// highestTerm returns the highest term reported by the answers, as the member's own or the one of the last
+// position that it received.
 func highestTerm(answers []controlResult) group.Term {
 	var t group.Term
 	for _, a := range answers {
--- a/internal/gateway/primary_check.go
+++ b/internal/gateway/primary_check.go
@@ -8,28 +8,27 @@
 	"pearlatch/core/leadership"
 )
 
-// primaryCheck is a question to all members who leads. Statements that need the answer at the same
-// time share it.
+// primaryCheck asks the members whether the primary still leads. Statements that need the result at the same time
+// share one check.
 type primaryCheck struct {
 	started time.Time
-	// done is closed when the others are set.
+	// done is closed once the fields below are final.
 	done    chan struct{}
 	members []string
 	answers []leadership.ProbeResult
 	primary string
-	// term is the one in which the primary was believed to lead, or zero.
+	// term is the term of the primary as far as it is known, or zero.
 	term group.Term
-	// passed means that the primary led in that term.
+	// passed is true if the members confirmed the primary in that term.
 	passed bool
 }
 
-// primaryCheckTimeout bounds that question. Members answer within a few statements' time, unless
-// they are out of reach.
+// primaryCheckTimeout bounds a primary check. Members answer within the time of a few statements unless they are
+// unreachable.
 const primaryCheckTimeout = 150 * time.Millisecond
 
-// verifyPrimary makes sure that the member leads: that it held at or after the given time
-// everything that had been acknowledged. A lease says so by itself. Without one the other
-// members are asked.
+// verifyPrimary reports whether the member is certainly the primary: its log held, at or after the given time, every
+// write acknowledged before. A read lease is sufficient. Without one the other members are asked.
 func (g *Group) verifyPrimary(ctx context.Context, id string, since time.Time) bool {
 	if g.isKnownPrimary(id, since) {
 		return true
@@ -49,10 +48,10 @@
 	return false
 }
 
-// confirmWrite reports whether a write that the member has acknowledged in the term is certainly
-// kept. While this host holds a lease, nobody has set out to replace the member.
-// Without one the other members are asked: a primary on the wrong side of a partition, with a
-// replica that nobody could fence, acknowledges writes that the next primary lacks.
+// confirmWrite reports whether a write that the member has acknowledged in the term is certainly kept. While this
+// host has a lease, no replacement of the member has begun. Without a lease the other members are asked: a primary on
+// the wrong side of a partition, with a replica that could not be fenced, acknowledges writes that the next primary
+// lacks.
 func (g *Group) confirmWrite(id string, term group.Term) bool {
 	now := g.now()
 	ctx, cancel := context.WithTimeout(context.Background(), 2*primaryCheckTimeout)
@@ -72,12 +71,12 @@
 	return false
 }
 
-// isKnownPrimary reports whether no question is needed for that.
+// isKnownPrimary reports whether the member is known to be the primary since the given time without a new check.
 func (g *Group) isKnownPrimary(id string, since time.Time) bool {
 	return g.hasLease(id, g.now()) || g.wasPrimarySince(id, since)
 }
 
-// wait waits for the answers and returns false when ctx ended.
+// wait waits until the check is done. It returns false if ctx ended first.
 func (p *primaryCheck) wait(ctx context.Context) bool {
 	select {
 	case <-p.done:
@@ -87,7 +86,7 @@
 	}
 }
 
-// sharedCheck returns the question that is under way, or a new one.
+// sharedCheck returns the check in progress, which may be of another member, or starts one of the given member.
 func (g *Group) sharedCheck(id string) *primaryCheck {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -98,7 +97,7 @@
 	return g.check
 }
 
-// primaryTermOf returns the term in which the member leads, as far as is known, or zero.
+// primaryTermOf returns the known term of the member as primary, or zero. g.mu must be held.
 func (g *Group) primaryTermOf(id string) group.Term {
 	if g.primaryID != id {
 		return 0
@@ -106,42 +105,41 @@
 	return g.primaryTerm
 }
 
-// unrefuted reports whether some of the others answered, and none disproved. A packet may have
-// got lost, and the next question do.
+// unrefuted reports whether at least one other member answered and none contradicted that the primary leads. A lost
+// packet may then have failed the check, and the next check may pass.
 func (p *primaryCheck) unrefuted() bool {
-	some := false
+	anyAnswered := false
 	for _, a := range p.answers {
 		if a.Leads || a.Answered && a.Term > p.term {
 			return false
 		}
-		some = some || a.Answered
+		anyAnswered = anyAnswered || a.Answered
 	}
-	return some
+	return anyAnswered
 }
 
-// checkWithBackoff returns the question that is under way, or a new one. While the last one failed
-// a moment ago that one stands, so that statements in a crowd ask members no more than need
-// be.
+// checkWithBackoff returns the last failed check of the member until the backoff after it has passed, and a shared
+// check from then on. This bounds the load that many concurrent statements put on the members.
 func (g *Group) checkWithBackoff(id string) *primaryCheck {
 	g.mu.Lock()
-	failed, again := g.failedCheck, !g.now().Before(g.nextCheckAt)
+	failed, due := g.failedCheck, !g.now().Before(g.nextCheckAt)
 	g.mu.Unlock()
-	if failed != nil && failed.primary == id && !again {
+	if failed != nil && failed.primary == id && !due {
 		return failed
 	}
 	return g.sharedCheck(id)
 }
 
-// runCheck asks the members who leads. A host that knows the primary's term need not ask it.
+// runCheck probes the members and finishes the check. The primary itself is only probed if its term is unknown.
 func (g *Group) runCheck(p *primaryCheck) {
-	var asked []Member
+	var probed []Member
 	for _, m := range g.listMembers() {
 		p.members = append(p.members, m.ID)
 		if m.ID != p.primary || p.term == 0 {
-			asked = append(asked, m)
+			probed = append(probed, m)
 		}
 	}
-	answers := g.controlAll(asked, Probe{}, primaryCheckTimeout)
+	answers := g.controlAll(probed, Probe{}, primaryCheckTimeout)
 	for _, a := range answers {
 		if a.member.ID == p.primary && a.err == nil && a.status.IsPrimary {
 			p.term = a.status.Term
@@ -156,9 +154,8 @@
 	close(p.done)
 }
 
-// finishCheck takes over the outcome of a question. It reports whether that differs from
-// the last one.
-func (g *Group) finishCheck(p *primaryCheck) (news bool) {
+// finishCheck records the outcome of a check. It reports whether that differs from the previous outcome.
+func (g *Group) finishCheck(p *primaryCheck) (changed bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.check = nil
@@ -178,14 +175,14 @@
 	return p.passed == failing
 }
 
-// minCheckBackoff and maxCheckBackoff bound the pause after a question that proved nothing, which
-// doubles: from a round trip within a region to half of the time in which a lost primary is
-// found out.
+// minCheckBackoff and maxCheckBackoff bound the exponential backoff after a failed check, from a round trip within a
+// region to half of the time in which a lost primary is detected.
 const (
 	minCheckBackoff = 10 * time.Millisecond
 	maxCheckBackoff = 320 * time.Millisecond
 )
 
+// toProbeResults converts the answers for package leadership.
 func toProbeResults(in []controlResult) []leadership.ProbeResult {
 	out := make([]leadership.ProbeResult, len(in))
 	for i, a := range in {
--- a/internal/gateway/quota.go
+++ b/internal/gateway/quota.go
@@ -11,25 +11,26 @@
 	"pearlatch/internal/quotas"
 )
 
-// Quotas keeps the host's accounts within their quotas.
+// Quotas returns the keeper that enforces the quotas of client accounts on this host.
 func (h *Host) Quotas() *quotas.Keeper { return h.quotas }
 
-// quotaFleet is what the keeper of quotas knows of other hosts. A shard is a group: whoever holds the duty of the
-// group's promotions is the granter of the accounts that fall to it.
+// quotaFleet gives the quota keeper access to other hosts. A shard of accounts is a group: the group's coordinator is
+// the granter of the accounts assigned to the group.
 type quotaFleet struct{ h *Host }
 
 var _ quotas.Fleet = quotaFleet{}
 
-// Granter implements quotas.Fleet. A holder whose entry has lapsed goes on until there is another one.
+// Granter implements quotas.Fleet. A coordinator whose store entry has expired remains the granter until there is
+// another one.
 func (f quotaFleet) Granter(shard string) (host string, token int64, ok bool) {
 	f.h.mu.Lock()
 	defer f.h.mu.Unlock()
 	key := f.h.coordinatorKey(shard)
-	if i, known := f.h.storeView.Item(key); known {
-		f.h.coordinatorEntries[shard] = i
+	if entry, known := f.h.storeView.Item(key); known {
+		f.h.coordinatorEntries[shard] = entry
 	}
-	i, ok := f.h.coordinatorEntries[shard]
-	return string(i.Value), int64(i.Revision), ok
+	entry, ok := f.h.coordinatorEntries[shard]
+	return string(entry.Value), int64(entry.Revision), ok
 }
 
 // Ask implements quotas.Fleet.
@@ -53,7 +54,7 @@
 // Ended implements quotas.Fleet.
 func (f quotaFleet) Ended(err error) bool { return connRefused(err) }
 
-// Enter implements quotas.Fleet. It writes down all hosts that are listed, since others will ask as well.
+// Enter implements quotas.Fleet. It records all listed hosts, since the others will request quotas as well.
 func (f quotaFleet) Enter(ctx context.Context, shard, host string) ([]string, error) {
 	f.h.mu.Lock()
 	d := f.h.coordinators[shard]
@@ -64,7 +65,8 @@
 	return d.recordGrantees(ctx, host)
 }
 
-// recordGrantees writes into the record that the host, and all that are listed, may hold portions of quotas.
+// recordGrantees stores in the record that the given host and all listed hosts may hold portions of quotas. It
+// returns all hosts that may.
 func (d *coordinator) recordGrantees(ctx context.Context, host string) ([]string, error) {
 	r, ok := d.currentRecord()
 	if !ok {
@@ -77,7 +79,8 @@
 	return r.Grantees, nil
 }
 
-// quotaGranters returns the hosts that may take themselves for the granter of the group's accounts, this one among them.
+// quotaGranters returns the hosts that may regard themselves as the granter of the group's accounts, including this
+// one.
 func (d *coordinator) quotaGranters(last leadership.Record) []string {
 	before, granting := d.host.quotas.Before(d.group.name)
 	if !granting {
@@ -86,22 +89,24 @@
 	return leadership.Union(before, d.host.settings.Host)
 }
 
+// withoutID returns a copy of ids without id.
 func withoutID(ids []string, id string) []string {
 	return slices.DeleteFunc(slices.Clone(ids), func(each string) bool { return each == id })
 }
 
-// startQuotaGranting makes this host the granter of the group's accounts once it knows whom to ask, and if it is it
-// already, makes sure that a successor knows of all as well.
+// startQuotaGranting makes this host the granter of the group's accounts once it knows which hosts may hold portions
+// or be granters, and if it is the granter already, makes sure that a successor knows of them as well.
 func (d *coordinator) startQuotaGranting(grantees, granters []string) {
 	d.mu.Lock()
-	first, token, held := !d.recordInherited, d.token, d.renewedAt
+	first, token, renewedAt := !d.recordInherited, d.token, d.renewedAt
 	d.mu.Unlock()
 	if first {
-		d.host.quotas.Took(d.group.name, int64(token), held, grantees, granters)
+		d.host.quotas.Took(d.group.name, int64(token), renewedAt, grantees, granters)
 	}
 }
 
-// takeQuota lets an operation of the account begin, or refuses it.
+// takeQuota charges an operation to the account's quota, and may wait for the granter until the given time. It
+// returns an OverQuota failure if the quota is exhausted.
 func (h *Host) takeQuota(ctx context.Context, a *account.Account, until time.Time) *Failure {
 	ok, after := h.quotas.Begin(ctx, a, until)
 	if ok {
--- a/internal/gateway/serving.go
+++ b/internal/gateway/serving.go
@@ -8,8 +8,8 @@
 	"pearlatch/core/serving"
 )
 
-// shouldForward reports whether a statement is to run on another host. While none of those
-// that serve the group is in reach, one statement in a while tries them again.
+// shouldForward reports whether a statement is to run on another host. If this host is one of those that replace
+// unreachable serving hosts, it starts to serve the group as a fallback.
 func (h *Host) shouldForward(g *Group) bool {
 	if g.servedElsewhere() && h.serversFor(g).fallback {
 		g.startFallback()
@@ -25,6 +25,8 @@
 	return g.plan.ServedByOthers
 }
 
+// shouldForward reports whether a statement is to run on one of the serving hosts. While none of them is reachable,
+// one statement every isolatedRetryInterval tries them again.
 func (g *Group) shouldForward() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -39,24 +41,23 @@
 	return true
 }
 
-// fallbackTTL is how long a host goes on to serve in place of others after the last statement
-// that came to it for that.
+// fallbackTTL is how long a host remains a fallback after the last statement that it served as one.
 const fallbackTTL = 2 * time.Second
 
-// servingHosts are the hosts that this one turns to for a group that others serve.
+// servingHosts are the hosts to which this one forwards statements of a group that others serve.
 type servingHosts struct {
-	// servers are those that serve the group, in the order in which this host turns to them. In
-	// place of those that failed lately the next ones of the ranking serve.
+	// servers are the hosts that serve the group, in the order in which this host tries them. The
+	// next ranked hosts replace those that failed recently.
 	servers []membership.Host
-	// fallback is true when this host is one of the next ones: it serves the group in place of
-	// others that it can't reach. Where one host serves for all, its loss left the others
-	// with a connection each until its entry had lapsed, up to 18 s: worth of those seconds 0.64,
-	// and 0.9 with a deputy.
+	// fallback is true if this host is one of those next ranked hosts, and serves the group in
+	// place of hosts that it can't reach. Without fallbacks, the loss of a single serving host left
+	// every other host with one connection until the lost host's entry expired, up to 18 s. The worth
+	// of those seconds was 0.64, against 0.9 with a fallback.
 	fallback bool
 }
 
-// serversFor returns the hosts to turn to for a group. They are worked out once for each change of the
-// list of hosts and of those that answer, since each statement that is passed on needs them.
+// serversFor returns the hosts to which statements of a group are forwarded. The result is cached until the list of
+// hosts or the set of those that answer changes, since every forwarded statement needs it.
 func (h *Host) serversFor(g *Group) servingHosts {
 	version := h.fleet.Version()
 	g.mu.Lock()
@@ -77,7 +78,7 @@
 	})
 }
 
-// startFallback records that the host serves the group in place of others.
+// startFallback makes this host a fallback for the group for fallbackTTL, if others serve the group.
 func (g *Group) startFallback() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -91,13 +92,13 @@
 	g.fallbackUntil = now.Add(fallbackTTL)
 }
 
-// isFallback reports whether the host serves the group in place of others. The group's lock is held.
+// isFallback reports whether the host serves the group as a fallback. g.mu must be held.
 func (g *Group) isFallback(now time.Time) bool {
 	return g.plan.ServedByOthers && now.Before(g.fallbackUntil)
 }
 
-// alternativeHosts returns the hosts that may reach the primary while this one serves the group and does not
-// reach it: others that serve, which have connections, and where all hosts serve those near by.
+// alternativeHosts returns the hosts that may reach the primary while this one serves the group and can't reach it:
+// the other serving hosts, which have connections, or all other hosts if every host serves its own callers.
 func (h *Host) alternativeHosts(g *Group) []membership.Host {
 	if h.ports.Peers == nil {
 		return nil
@@ -114,19 +115,20 @@
 	return slices.DeleteFunc(slices.Clone(plan.Ranked), func(o membership.Host) bool { return o.ID == h.settings.Host })
 }
 
-// primaryReachTimeout is how long the primary may be silent, or unknown, until this host looks
-// for others that reach it. Statements take up to 50 ms.
+// primaryReachTimeout is how long the primary may be silent or unknown until this host reroutes operations to
+// alternative hosts. Statements take up to 50 ms.
 const primaryReachTimeout = 150 * time.Millisecond
 
-// primaryUnreachable reports whether this host has been without the primary for a while.
+// primaryUnreachable reports whether the primary has been silent or unknown on this host for longer than
+// primaryReachTimeout.
 func (g *Group) primaryUnreachable() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.primaryUnreachableLocked()
 }
 
-// primaryUnreachableLocked is primaryUnreachable with the group's lock held. While the primary is being
-// replaced no other host reaches one either.
+// primaryUnreachableLocked is primaryUnreachable for callers that hold g.mu. It returns false while the primary is
+// being replaced, since no other host can reach a primary then.
 func (g *Group) primaryUnreachableLocked() bool {
 	if g.primaryID == "" && g.primaryBeingReplaced() {
 		return false
@@ -138,30 +140,28 @@
 	return !since.IsZero() && g.now().Sub(since) > primaryReachTimeout
 }
 
-// primaryBeingReplaced reports whether the holder of the duty has set out to replace the primary. The
-// group's lock is held.
+// primaryBeingReplaced reports whether the coordinator has begun to replace the primary. g.mu must be held.
 func (g *Group) primaryBeingReplaced() bool {
 	return slices.ContainsFunc(g.sortedMembers, func(m *member) bool { return m.beingReplaced })
 }
 
-// isolationTimeout is how long the hosts that serve a group must have been out of reach until
-// a host opens a connection of its own. All of them are gone for that long when
-// everything starts again, and the members' connections are theirs then.
+// isolationTimeout is how long all hosts that serve a group must have been unreachable until another host opens its
+// own connection. When all hosts restart, the serving hosts are unreachable for about that long, and the members'
+// connections must be left to them.
 const isolationTimeout = 400 * time.Millisecond
 
-// isolatedRetryInterval is the pause between two statements of such a host that try the hosts that
-// serve the group again.
+// isolatedRetryInterval is the time between two statements of an isolated host that try the serving hosts again.
 const isolatedRetryInterval = 500 * time.Millisecond
 
-// noteServerReached records that a host that serves the group took a statement.
+// noteServerReached records that a host that serves the group accepted a statement.
 func (g *Group) noteServerReached() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.serversLostSince = time.Time{}
 }
 
-// noteServerUnreached records that one of them did not, and reports whether this host is to serve
-// the group itself meanwhile.
+// noteServerUnreached records that a host that serves the group could not be reached, and reports whether this host
+// must serve the group itself in the meantime.
 func (g *Group) noteServerUnreached() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -171,13 +171,13 @@
 	return g.isIsolated()
 }
 
-// isIsolated reports whether the host serves a group that it should not, since none of the
-// hosts that should is in reach. The group's lock is held.
+// isIsolated reports whether this host serves the group because none of the serving hosts is reachable. g.mu must be
+// held.
 func (g *Group) isIsolated() bool {
 	return !g.serversLostSince.IsZero() && g.now().Sub(g.serversLostSince) > isolationTimeout
 }
 
-// servingPlan says who serves a group. h.mu is held.
+// servingPlan returns which hosts serve a group. h.mu must be held.
 func (h *Host) servingPlan(name string) serving.Plan {
 	if h.ports.Peers == nil {
 		return serving.Plan{}
@@ -185,5 +185,5 @@
 	return h.fleet.Plan(name, h.config.Groups[name].Connections-reservedControlConns)
 }
 
-// hasDedicatedServers reports whether a few hosts serve the group for all. The group's lock is held.
+// hasDedicatedServers reports whether a few hosts serve the group for all callers. g.mu must be held.
 func (g *Group) hasDedicatedServers() bool { return g.plan.ServerCount > 0 }
--- a/internal/gateway/state.go
+++ b/internal/gateway/state.go
@@ -9,49 +9,50 @@
 	"pearlatch/core/kv"
 )
 
-// HostState is what a host believes, with the ages of its beliefs.
+// HostState is a snapshot of what a host knows, with the age of that knowledge.
 type HostState struct {
 	Host, Zone string
-	// Ready is true while callers are welcome, Stopping after the order to stop.
+	// Ready is true while the host accepts callers, Stopping once it has been told to stop.
 	Ready, Stopping bool
 	Sessions        int64
-	// ConfigVersion is zero before the first configuration.
+	// ConfigVersion is the version of the configuration, or zero before the first one.
 	ConfigVersion int64
-	// StoreRevision is that of the newest change seen.
+	// StoreRevision is the store's revision of the newest change seen.
 	StoreRevision kv.Revision
 	Groups        []GroupState
 }
 
-// GroupState is what a host believes of a group.
+// GroupState is what a host knows of a group.
 type GroupState struct {
 	Name string
-	// Primary is empty while nobody is known to lead.
+	// Primary is the ID of the primary, or empty while none is known, and Term the highest known term of a primary.
 	Primary string
 	Term    group.Term
 	// Waiting is how many statements wait for a connection.
 	Waiting int
-	// SampleAge is how long ago the primary was last proven to lead, or negative.
+	// SampleAge is the age of the newest sample that confirmed the primary, or negative if there is none.
 	SampleAge time.Duration
 	// Share is the host's share of each member's connections.
 	Share   int
 	Members []MemberState
 }
 
-// MemberState is what a host believes of a member.
+// MemberState is what a host knows of a member.
 type MemberState struct {
 	ID, Zone                  string
 	Leaving, Missing, Suspect bool
-	// Applied is the position that the member was last seen to have applied.
+	// Applied is the last position that the member is known to have applied.
 	Applied group.Position
-	// LastReplyAge is how long ago the member answered a statement, or negative.
+	// LastReplyAge is how long ago the member last answered a statement, or negative if it never did.
 	LastReplyAge                      time.Duration
 	Connections, InUse, Running, Idle int
-	// Window is how many statements of this host may run there at once.
+	// Window is how many statements of this host may run on the member concurrently.
 	Window  int
 	Latency time.Duration
 }
 
-// Snapshot returns what the host believes now.
+// Snapshot returns the current state of the host and its groups, sorted by name. It may be called from several
+// goroutines.
 func (h *Host) Snapshot() HostState {
 	h.mu.Lock()
 	out := HostState{
@@ -89,7 +90,7 @@
 	return out
 }
 
-// logFields returns what a line says about the decision on a statement of the group.
+// logFields returns the fields that describe the group in log lines about the handling of a statement.
 func (g *Group) logFields() []any {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -106,7 +107,7 @@
 	}
 }
 
-// elapsedSince returns how long ago at was, or a negative duration when it never was.
+// elapsedSince returns the time from at to now, or a negative duration if at is zero.
 func elapsedSince(now, at time.Time) time.Duration {
 	if at.IsZero() {
 		return -1
