--- a/internal/gateway/leadership_test.go
+++ b/internal/gateway/leadership_test.go
@@ -372,7 +372,7 @@
 // After a store outage the members' entries expire and are written again at once. By then the primary
 // has crashed, and a new coordinator acquires the role with its predecessor's record. The members'
 // incarnations show that none of them restarted, so the replica that holds every write is promoted.
-func TestLapsedEntriesLeaveTheFloorValid(t *testing.T) {
+func TestExpiredEntriesLeaveFloorValid(t *testing.T) {
 	// Members that report no incarnation may have restarted with an empty log.
 	for incarnation, want := range map[int]string{0: "a", 7: "b"} {
 		t.Run(fmt.Sprint("incarnation ", incarnation), func(t *testing.T) {
@@ -387,7 +387,7 @@
 				time.Sleep(2 * time.Second)
 				s.updateMember("a", func(m *fakeMember) { m.crashed = true })
 				stop1()
-				s.lapseEntries("b", "c")
+				s.expireEntries("b", "c")
 				time.Sleep(6 * time.Second)
 				if got := s.primaryID(); got != want {
 					t.Errorf("the primary is %q, want %q", got, want)
@@ -408,8 +408,8 @@
 	}
 }
 
-// lapseEntries removes the members' store entries one after the other, each for a moment.
-func (s *fakeSite) lapseEntries(ids ...string) {
+// expireEntries removes the members' store entries one after the other, each for a moment.
+func (s *fakeSite) expireEntries(ids ...string) {
 	for _, id := range ids {
 		s.writeMemberEntry(id, "")
 		time.Sleep(50 * time.Millisecond)
--- a/internal/gateway/primary.go
+++ b/internal/gateway/primary.go
@@ -256,8 +256,8 @@
 // controlResult is a member's answer to a control command.
 type controlResult struct {
 	member Member
-	// asked is when the command was sent.
-	asked  time.Time
+	// sentAt is when the command was sent.
+	sentAt time.Time
 	status Status
 	err    error
 	// relayedBy is the host that received the answer, or empty if it was this one.
@@ -270,7 +270,7 @@
 	var wait sync.WaitGroup
 	for i, m := range members {
 		wait.Go(func() {
-			out[i] = controlResult{member: m, asked: g.now()}
+			out[i] = controlResult{member: m, sentAt: g.now()}
 			out[i].status, out[i].err = g.control(m, cmd, timeout)
 		})
 	}
