--- a/internal/gateway/fakesite_test.go
+++ b/internal/gateway/fakesite_test.go
@@ -85,8 +85,8 @@
 	promotionDelay time.Duration
 	// ignoresTokens is true for a platform that does not check fencing tokens.
 	ignoresTokens      bool
-	acknowledgedWrites []group.Position // acknowledged writes
-	droppedWrites      []group.Position // acknowledged writes that a promoted member did not hold
+	acknowledgedWrites []group.Position // positions of acknowledged writes
+	droppedWrites      []group.Position // those of them that a promoted member did not hold
 	// ranFor maps a statement's ID to the account of the connection on which it ran.
 	ranFor map[string]string
 }
--- a/internal/gateway/leadership_test.go
+++ b/internal/gateway/leadership_test.go
@@ -184,8 +184,8 @@
 	})
 }
 
-// A lease must not outlast the coordinator role of the granting host, or be granted on a primary
-// that does not answer.
+// A lease must not outlast its two preconditions: the coordinator role of the granting host, and a
+// primary that answers it.
 func TestLeaseEndsWithCoordinatorRole(t *testing.T) {
 	withHost(t, freshness.Latest{}, func(s *fakeSite, h *Host) {
 		exec(h, Read{})
@@ -204,7 +204,8 @@
 
 // A host has no lease, since it lost contact with the coordinator, when a write is acknowledged
 // to it. Meanwhile the coordinator has fenced a replica and reads from it the position that a
-// successor must have, which lacks this write. Its outcome must be in doubt.
+// successor must have, which lacks this write. The write must fail with
+// an outcome in doubt.
 func TestWriteWithoutLeaseIsConfirmedByReplicas(t *testing.T) {
 	withHost(t, freshness.Latest{}, func(s *fakeSite, h *Host) {
 		exec(h, Write{})
--- a/internal/gateway/primary.go
+++ b/internal/gateway/primary.go
@@ -102,7 +102,7 @@
 
 // probesViaPool reports whether probes of the member use pooled connections. The coordinator uses its control
 // connections instead, which it keeps for fences anyway, as does a host that may not pool connections to the member.
-// If every host serves the group, control connections for probes exhausted the members' limits after a restart of
+// Where every host served the group, control connections for probes exhausted the members' limits after a restart of
 // all hosts: members refused connections for callers, and 7 statements in 1,000 failed for lack of one.
 func (g *Group) probesViaPool(id string) bool {
 	g.mu.Lock()
