--- a/internal/gateway/restore_test.go
+++ b/internal/gateway/restore_test.go
@@ -190,7 +190,7 @@
 // primary acknowledge writes with the other replica, they would be lost. The cause: only the store's record was read
 // ("record_inherited", "ordered":"" right after a "promotion_open").
 func TestOpenPromotionSurvivesStoreRestore(t *testing.T) {
-	testOpenPromotion(t, func(s *fakeSite, b storeBackup) {
+	testPendingPromotion(t, func(s *fakeSite, b storeBackup) {
 		delete(b.items, "own/duty/"+testGroup)
 		s.restore(b)
 	})
