--- a/internal/gateway/leadership_test.go
+++ b/internal/gateway/leadership_test.go
@@ -58,7 +58,7 @@
 				written = exec(coord, Write{}).Failure == nil
 			}
 			afterWrite := written
-			if r := exec(cutOff, Read{}); r.Failure == nil && afterWrite && row(r) == "a" {
+			if r := exec(cutOff, Read{}); r.Failure == nil && afterWrite && joinedRows(r) == "a" {
 				t.Fatal("the replaced primary answered a read of the latest")
 			}
 			time.Sleep(10 * time.Millisecond)
@@ -93,7 +93,7 @@
 				written = exec(coord, Write{}).Failure == nil
 			}
 			afterWrite := written
-			if r := exec(cutOff, Read{}); r.Failure == nil && afterWrite && row(r) == "a" {
+			if r := exec(cutOff, Read{}); r.Failure == nil && afterWrite && joinedRows(r) == "a" {
 				t.Fatal("the replaced primary answered a read of the latest")
 			}
 		}
@@ -170,7 +170,7 @@
 			t.Fatal("the host still has a lease")
 		}
 		for range 20 {
-			if r := exec(h, Read{}); r.Failure != nil || row(r) != "a" {
+			if r := exec(h, Read{}); r.Failure != nil || joinedRows(r) != "a" {
 				t.Errorf("the read was answered with %v", r)
 			}
 			time.Sleep(50 * time.Millisecond)
@@ -356,7 +356,7 @@
 		h.groups[testGroup].setPrimaryForTest("a")
 		session := openSession(t, h)
 		execIn(session, Begin{})
-		if r := execIn(session, Read{}); r.Failure == nil && row(r) == "a" {
+		if r := execIn(session, Read{}); r.Failure == nil && joinedRows(r) == "a" {
 			t.Error("the replaced primary answered")
 		}
 		session.Close()
--- a/internal/gateway/serving_test.go
+++ b/internal/gateway/serving_test.go
@@ -25,7 +25,7 @@
 			if r := exec(h, Write{}); r.Failure != nil {
 				t.Errorf("a write at %s: %v", h.settings.Host, r.Failure)
 			}
-			if r := exec(h, Read{}); row(r) != "a" {
+			if r := exec(h, Read{}); joinedRows(r) != "a" {
 				t.Errorf("a read at %s: %v", h.settings.Host, r.Failure)
 			}
 		}
@@ -48,7 +48,7 @@
 		if chef.lastWrite == (group.Position{}) {
 			t.Error("the session has no mark after its write")
 		}
-		if got := row(execIn(chef, Read{})); got != "a" {
+		if got := joinedRows(execIn(chef, Read{})); got != "a" {
 			t.Errorf("the read after the write ran on %q", got)
 		}
 	})
@@ -63,7 +63,7 @@
 		execIn(caller, Set{"v", "7"})
 		execIn(caller, Prepare{"s", PreparedStatement{Writes: true, Text: "boards"}})
 		execIn(caller, Begin{})
-		if got := row(execIn(caller, Read{})); got != "a v=7" {
+		if got := joinedRows(execIn(caller, Read{})); got != "a v=7" {
 			t.Errorf("a read in the transaction gave %q", got)
 		}
 		execIn(caller, Execute{Name: "s"})
@@ -252,14 +252,14 @@
 		if declined := guest.Accept(r); declined != nil {
 			t.Fatalf("%+v", declined)
 		}
-		if reply := guest.Run(context.Background(), r); reply.Reply.Failure != nil || !guest.Open() {
+		if reply := guest.Run(context.Background(), r); reply.Reply.Failure != nil || !guest.HasOpenTransaction() {
 			t.Fatalf("%+v", reply)
 		}
 		if rest := guest.IdleTimeout(); rest < defaultTransactionIdleTimeout {
 			t.Errorf("a guest may rest for %s only", rest)
 		}
 		guest.Expire()
-		if guest.Open() || here[0].ForwardedCount() != 0 {
+		if guest.HasOpenTransaction() || here[0].ForwardedCount() != 0 {
 			t.Error("the transaction is open still")
 		}
 	})
@@ -447,8 +447,8 @@
 		time.Sleep(700 * time.Millisecond)
 		before := f.forwardedTotal()
 		for range 20 {
-			if r := exec(h, Read{}); r.Failure != nil || row(r) != own {
-				t.Errorf("the read was answered with %v by %s, want %s", r.Failure, row(r), own)
+			if r := exec(h, Read{}); r.Failure != nil || joinedRows(r) != own {
+				t.Errorf("the read was answered with %v by %s, want %s", r.Failure, joinedRows(r), own)
 			}
 		}
 		if n := f.forwardedTotal() - before; n > 0 {
@@ -456,8 +456,8 @@
 		}
 		s.updateMember(own, func(m *fakeMember) { m.silent = true })
 		for range 5 {
-			if r := exec(h, Read{}); r.Failure != nil || row(r) == own {
-				t.Errorf("the read was answered with %v by %s", r.Failure, row(r))
+			if r := exec(h, Read{}); r.Failure != nil || joinedRows(r) == own {
+				t.Errorf("the read was answered with %v by %s", r.Failure, joinedRows(r))
 			}
 		}
 	})
