--- a/internal/gateway/lease_client.go
+++ b/internal/gateway/lease_client.go
@@ -172,7 +172,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	m := g.members[r.Member]
-	if m == nil || m.gone || r.Term < g.primaryTerm || !requestedAt.After(g.leaseRevokedAt) {
+	if m == nil || m.dropped || r.Term < g.primaryTerm || !requestedAt.After(g.leaseRevokedAt) {
 		return
 	}
 	hadLease := g.lease.CoversReads(r.Member, requestedAt)
