--- a/internal/gateway/group_monitor.go
+++ b/internal/gateway/group_monitor.go
@@ -206,7 +206,7 @@
 	w.updateRecord(ctx)
 	stuck := w.writesStuck(primary, replicas)
 	if countFailed(replicas) == 0 && !w.overloadDetector.Overloaded() && w.unreceivedPosition == (group.Position{}) {
-		w.lastHealthyProbe = primary.asked
+		w.lastHealthyProbe = primary.sentAt
 	}
 	switch {
 	case w.primary.Leaving || w.group.primaryMissingFor() > missingMemberGrace:
@@ -222,10 +222,10 @@
 // recordPrimaryAnswer records the primary's answer as the basis for granting leases, and its position
 // as a sample. It ignores the answer if another host may have been the coordinator at the time.
 func (w *groupMonitor) recordPrimaryAnswer(primary controlResult) {
-	if !w.wasSoleHolder(primary.asked) {
+	if !w.wasSoleHolder(primary.sentAt) {
 		return // another coordinator may have promoted another member in the meantime
 	}
-	s := primaryStatus{member: primary.member.ID, term: primary.status.Term, heardAt: primary.asked, position: primary.status.Received}
+	s := primaryStatus{member: primary.member.ID, term: primary.status.Term, heardAt: primary.sentAt, position: primary.status.Received}
 	w.setPrimaryStatus(s)
 	w.group.samplePrimary(s)
 }
--- a/internal/gateway/operation.go
+++ b/internal/gateway/operation.go
@@ -35,7 +35,7 @@
 	}
 	g := target.group
 	op := operation{group: g, route: target.route, writes: writes, need: pool.Request{Account: target.account.Name, Priority: target.route.Priority, ArrivedAt: arrived}}
-	if s.origin == nil && s.host.forwards(g) {
+	if s.origin == nil && s.host.shouldForward(g) {
 		op.servedElsewhere = true
 		return op, nil
 	}
