--- a/internal/gateway/config.go
+++ b/internal/gateway/config.go
@@ -17,8 +17,8 @@
 	Groups map[string]GroupConfig
 	// Accounts are the client accounts, or nil where callers need none.
 	Accounts *account.Directory
-	// TransactionIdle is how long a transaction may rest between statements.
-	TransactionIdle time.Duration
+	// TransactionIdleTimeout is how long a transaction may rest between statements.
+	TransactionIdleTimeout time.Duration
 }
 
 // Route leads callers of a database to a group.
--- a/internal/gateway/forwarded_session.go
+++ b/internal/gateway/forwarded_session.go
@@ -163,7 +163,7 @@
 
 // IdleTimeout is how long the next request may take to come while a transaction is open.
 func (g *ForwardedSession) IdleTimeout() time.Duration {
-	return g.host.TransactionIdle() + forwardedIdleMargin
+	return g.host.TransactionIdleTimeout() + forwardedIdleMargin
 }
 
 // forwardedIdleMargin lets the caller's own host end a resting transaction first.
--- a/internal/gateway/host.go
+++ b/internal/gateway/host.go
@@ -46,8 +46,8 @@
 	Peer netip.AddrPort
 	// Seeds are addresses of other hosts, some of which may be gone.
 	Seeds []netip.AddrPort
-	// Strength is what the host can do, in cores of a processor. Zero means that it is not known, and counts as one.
-	Strength float64
+	// Cores is what the host can do, in cores of a processor. Zero means that it is not known, and counts as one.
+	Cores float64
 }
 
 // Ports are a host's ways to the outside.
@@ -151,7 +151,7 @@
 	}
 	h.storeView = follow.NewKnowledge(h.isLaterValue, now)
 	h.coordinatorLease.host = h
-	h.fleet = fleet.New(membership.Host{ID: s.Host, Zone: s.Zone, Peer: s.Peer, Cores: s.Strength})
+	h.fleet = fleet.New(membership.Host{ID: s.Host, Zone: s.Zone, Peer: s.Peer, Cores: s.Cores})
 	h.feeder = follow.NewFeeder(h.storeView, h.fleet, h.stopping.Load)
 	h.follower = follow.New(follow.Settings{Self: s.Peer, Seeds: s.Seeds, Hosts: h.hostsPrefix()}, follow.Ports{
 		Store: p.Store, Peers: p.Peers, Apply: h.applyChanges, Log: h.log,
@@ -223,14 +223,14 @@
 // Ended returns a channel that is closed once Run has returned.
 func (h *Host) Ended() <-chan struct{} { return h.ended }
 
-// TransactionIdle returns how long a transaction may rest between statements.
-func (h *Host) TransactionIdle() time.Duration {
+// TransactionIdleTimeout returns how long a transaction may rest between statements.
+func (h *Host) TransactionIdleTimeout() time.Duration {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.config == nil || h.config.TransactionIdle <= 0 {
+	if h.config == nil || h.config.TransactionIdleTimeout <= 0 {
 		return defaultTransactionIdleTimeout
 	}
-	return h.config.TransactionIdle
+	return h.config.TransactionIdleTimeout
 }
 
 // defaultTransactionIdleTimeout holds while no configuration says otherwise.
@@ -350,9 +350,9 @@
 	h.metrics.count(fmt.Sprintf("callers_refused_total{code=%q}", f.Code), 1)
 }
 
-// logReturned writes the line of another host's statement that this one did not run, since
+// logDeclined writes the line of another host's statement that this one did not run, since
 // it can't reach the primary.
-func (h *Host) logReturned(s *Session, r Request, arrived time.Time) {
+func (h *Host) logDeclined(s *Session, r Request, arrived time.Time) {
 	fields := []any{"request", r.ID, "database", s.database, "for", s.origin.from, "group", s.origin.group.name,
 		"took_ms", h.now().Sub(arrived).Milliseconds()}
 	h.log("sent_back", append(fields, s.origin.group.logFields()...)...)
--- a/internal/gateway/session.go
+++ b/internal/gateway/session.go
@@ -150,7 +150,7 @@
 	outcome := "served"
 	switch {
 	case s.origin != nil && s.origin.returned:
-		s.host.logReturned(s, r, arrived)
+		s.host.logDeclined(s, r, arrived)
 		outcome = PrimaryUnreachable.String()
 	case reply.Failure != nil:
 		outcome = reply.Failure.Code.String()
--- a/internal/gateway/transaction.go
+++ b/internal/gateway/transaction.go
@@ -79,7 +79,7 @@
 
 // Expire rolls back a transaction that rested for too long.
 func (s *Session) Expire() {
-	s.host.log("transaction_expired", "request", s.lastRequestID, "database", s.database, "bound_ms", s.host.TransactionIdle().Milliseconds())
+	s.host.log("transaction_expired", "request", s.lastRequestID, "database", s.database, "bound_ms", s.host.TransactionIdleTimeout().Milliseconds())
 	s.failTransaction(Reply{})
 }
 
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -135,7 +135,7 @@
 // config returns the configuration, with the extra route or without.
 func (r *run) config(extra bool) gateway.Config {
 	c := gateway.Config{
-		TransactionIdle: 3 * time.Second, Routes: map[string]gateway.Route{}, Groups: map[string]gateway.GroupConfig{},
+		TransactionIdleTimeout: 3 * time.Second, Routes: map[string]gateway.Route{}, Groups: map[string]gateway.GroupConfig{},
 	}
 	for _, g := range r.site.Groups() {
 		c.Groups[g.Name()] = gateway.GroupConfig{Connections: r.options.Site.Connections, SyncReplicas: 1}
--- a/io/peer/stubsite_test.go
+++ b/io/peer/stubsite_test.go
@@ -87,8 +87,8 @@
 		Routes: map[string]gateway.Route{stubDatabase: {
 			Group: stubGroup, Class: freshness.OwnWrites{}, Timeout: 5 * time.Second, LatencyTarget: 5 * time.Second,
 		}},
-		Groups:          map[string]gateway.GroupConfig{stubGroup: {Connections: 200, SyncReplicas: 1}},
-		TransactionIdle: time.Minute,
+		Groups:                 map[string]gateway.GroupConfig{stubGroup: {Connections: 200, SyncReplicas: 1}},
+		TransactionIdleTimeout: time.Minute,
 	}, nil
 }
 
