--- a/internal/gateway/config.go
+++ b/internal/gateway/config.go
@@ -9,43 +9,44 @@
 
 // Config is the operators' configuration.
 type Config struct {
-	// Version only rises.
+	// Version increases with each configuration.
 	Version int64
-	// Routes holds routes by the database that callers name.
+	// Routes holds the routes by the database name that callers give.
 	Routes map[string]Route
-	// Groups holds database groups by name.
+	// Groups holds the database groups by name.
 	Groups map[string]GroupConfig
-	// Accounts are the client accounts, or nil where callers need none.
+	// Accounts holds the client accounts. It is nil if callers need none.
 	Accounts *account.Directory
-	// TransactionIdleTimeout is how long a transaction may rest between statements.
+	// TransactionIdleTimeout is how long a transaction may be idle between statements.
 	TransactionIdleTimeout time.Duration
 }
 
-// Route leads callers of a database to a group.
+// Route maps a database to a group and holds the settings of the database's callers.
 type Route struct {
 	Name  string
 	Group string
-	// Class is the freshness of reads.
+	// Class is the freshness class of reads.
 	Class freshness.Class
-	// Timeout bounds a statement.
+	// Timeout is the timeout of a statement.
 	Timeout time.Duration
-	// LatencyTarget is the latency objective of a whole operation.
+	// LatencyTarget is the target latency of an operation as a whole.
 	LatencyTarget time.Duration
-	// Priority is 0 for the most important.
+	// Priority is 0 for the most important route and larger for less important ones.
 	Priority int
-	// Public routes ask callers for no account.
+	// Public is true if callers need no account.
 	Public bool
 }
 
 // GroupConfig describes a database group.
 type GroupConfig struct {
-	// Connections is the most connections that a member takes from all hosts.
+	// Connections is the maximum number of connections that a member accepts from all hosts together.
 	Connections int
-	// SyncReplicas is how many replicas hold a write before it is acknowledged.
+	// SyncReplicas is the number of replicas that must have a write before it is acknowledged.
 	SyncReplicas int
 }
 
-// maxStalenessByGroup returns, by group, the shortest age that one of its routes accepts.
+// maxStalenessByGroup returns, by group, the smallest maximum age among the group's routes. Groups without one are
+// absent.
 func (c *Config) maxStalenessByGroup() map[string]time.Duration {
 	out := map[string]time.Duration{}
 	for _, r := range c.Routes {
@@ -57,7 +58,7 @@
 	return out
 }
 
-// hasGroup reports whether there is such a group.
+// hasGroup reports whether the configuration has the group.
 func (c *Config) hasGroup(group string) bool {
 	_, ok := c.Groups[group]
 	return ok
--- a/internal/gateway/fakefleet_test.go
+++ b/internal/gateway/fakefleet_test.go
@@ -16,29 +16,29 @@
 	"pearlatch/internal/quotas"
 )
 
-// fakeFleet connects hosts of one site.
+// fakeFleet runs hosts that share one site and simulates faults between them.
 type fakeFleet struct {
 	site *fakeSite
 	mu   sync.Mutex
-	// hosts by their addresses for other hosts.
+	// hosts holds the hosts by their addresses for other hosts, and stops the functions that end them by name.
 	hosts map[netip.AddrPort]*Host
 	stops map[string]func()
-	// unreachable hosts answer nobody; those of storeRejects get no answer of the store.
+	// unreachable holds the hosts that neither reach nor answer other hosts, storeRejects those that the store does not answer.
 	unreachable, storeRejects map[string]bool
-	// losesReplies names hosts whose lanes lose the answer of each request, losesRequests those that lose the request.
+	// losesReplies holds the hosts whose streams lose the reply of each request, losesRequests those whose streams lose the
+	// request.
 	losesReplies, losesRequests map[string]bool
-	// severed holds the ways that are cut, as "host member".
+	// severed holds the interrupted connections from hosts to members, as "host member".
 	severed     map[string]bool
-	forwardedTo map[string]int // requests by the host that took them
-	// leaseRequests counts those for leases and positions.
+	forwardedTo map[string]int // number of requests by the host that accepted them
+	// leaseRequests is the number of requests for leases and log positions.
 	leaseRequests atomic.Int64
 	seeds         []netip.AddrPort
-	// storeReads counts the calls with which hosts look for news in the store, by host.
+	// storeReads counts the lists and watches of the store, by host.
 	storeReads map[string]int
 }
 
-// newFakeFleet starts hosts in two availability zones before members that take the
-// given number of connections.
+// newFakeFleet starts n hosts in three availability zones. The configuration gives members the number of connections.
 func newFakeFleet(s *fakeSite, n, connections int, class freshness.Class) *fakeFleet {
 	f := &fakeFleet{
 		site: s, hosts: map[netip.AddrPort]*Host{}, stops: map[string]func(){}, unreachable: map[string]bool{},
@@ -52,6 +52,7 @@
 	return f
 }
 
+// start starts the i-th host.
 func (f *fakeFleet) start(i int, class freshness.Class) {
 	name, addr := fmt.Sprintf("h%d", i), addrOf(i)
 	settings := Settings{
@@ -76,18 +77,19 @@
 	}
 }
 
-// addrOf returns the address of the i-th host for others.
+// addrOf returns the i-th host's address for other hosts.
 func addrOf(i int) netip.AddrPort {
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, byte(i >> 8), byte(i)}), 1)
 }
 
-// setFault changes one of the fleet's faults.
+// setFault adds a host to one of the fleet's faults or removes it.
 func (f *fakeFleet) setFault(fault map[string]bool, host string, on bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	fault[host] = on
 }
 
+// hasFault reports whether the fault affects the host.
 func (f *fakeFleet) hasFault(fault map[string]bool, host string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -105,20 +107,19 @@
 	return out
 }
 
-// serving returns the hosts that serve the group and those that don't, by their own
-// belief.
-func (f *fakeFleet) serving() (here, elsewhere []*Host) {
+// serving returns the hosts that serve the group and those that do not, each according to its own state.
+func (f *fakeFleet) serving() (serving, others []*Host) {
 	for _, h := range f.all() {
 		if h.group(testGroup).forwards() {
-			elsewhere = append(elsewhere, h)
+			others = append(others, h)
 		} else {
-			here = append(here, h)
+			serving = append(serving, h)
 		}
 	}
-	return here, elsewhere
+	return serving, others
 }
 
-// withFleet runs a test with hosts before members with few connections, once the hosts
+// withFleet runs a test with the given number of hosts and of connections per member. It waits 4 s first, so that the hosts
 // know each other.
 func withFleet(t *testing.T, hosts, connections int, class freshness.Class, test func(s *fakeSite, f *fakeFleet)) {
 	t.Helper()
@@ -126,7 +127,7 @@
 		s := newFakeSite("a", "b", "c")
 		s.maxConns = connections
 		f := newFakeFleet(s, hosts, connections, class)
-		defer time.Sleep(20 * time.Second) // timers of orders and watches end
+		defer time.Sleep(20 * time.Second) // until timers of orders and watches have expired
 		defer func() {
 			for _, stop := range f.stops {
 				stop()
@@ -137,7 +138,7 @@
 	})
 }
 
-// hostDialer opens one host's connections to members.
+// hostDialer opens one host's connections to members. It simulates the severed ones.
 type hostDialer struct {
 	fleet *fakeFleet
 	host  string
@@ -157,13 +158,14 @@
 	return c, nil
 }
 
-// hostStore is the store as one host reaches it.
+// hostStore is the store as accessed by one host.
 type hostStore struct {
 	*fakeSite
 	fleet *fakeFleet
 	host  string
 }
 
+// reach blocks and returns an error if the store does not answer the host.
 func (s hostStore) reach(ctx context.Context) error {
 	if s.fleet.hasFault(s.fleet.storeRejects, s.host) {
 		<-ctx.Done()
@@ -172,7 +174,7 @@
 	return nil
 }
 
-// countRead counts a look for news.
+// countRead counts a list or a watch.
 func (s hostStore) countRead() {
 	s.fleet.mu.Lock()
 	defer s.fleet.mu.Unlock()
@@ -192,11 +194,11 @@
 	if err := s.reach(ctx); err != nil {
 		return kv.Snapshot{}, err
 	}
-	news, err := s.fakeSite.Watch(ctx, prefix, after, wait)
+	out, err := s.fakeSite.Watch(ctx, prefix, after, wait)
 	if err == nil {
-		err = s.reach(ctx) // it may have been turned away meanwhile
+		err = s.reach(ctx) // the fault may have begun during the watch
 	}
-	return news, err
+	return out, err
 }
 
 func (s hostStore) Commit(ctx context.Context, t kv.Transaction) (kv.Revision, error) {
@@ -220,13 +222,13 @@
 	return s.fakeSite.Renew(ctx, lease)
 }
 
-// fakePeers carries what one host sends to others.
+// fakePeers delivers one host's requests to other hosts.
 type fakePeers struct {
 	fleet *fakeFleet
 	host  string
 }
 
-// reach returns the host at the address, unless it is dark for this one.
+// reach returns the host at the address. It blocks until ctx ends and returns an error if either host is unreachable.
 func (p *fakePeers) reach(ctx context.Context, to netip.AddrPort) (*Host, error) {
 	p.fleet.mu.Lock()
 	h := p.fleet.hosts[to]
@@ -297,28 +299,29 @@
 	return h.Quotas().Tell(r), nil
 }
 
+// fakeStream delivers the requests of one session to another host.
 type fakeStream struct {
 	peers   *fakePeers
 	to      netip.AddrPort
 	session *ForwardedSession
 }
 
-func (l *fakeStream) Do(ctx context.Context, r *PeerRequest) (*PeerReply, error) {
-	h, err := l.peers.reach(ctx, l.to)
+func (s *fakeStream) Do(ctx context.Context, r *PeerRequest) (*PeerReply, error) {
+	h, err := s.peers.reach(ctx, s.to)
 	if err != nil {
 		return nil, err
 	}
-	name, f := h.settings.Host, l.peers.fleet
+	name, f := h.settings.Host, s.peers.fleet
 	if f.hasFault(f.losesRequests, name) {
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
-	answer := make(chan *PeerReply, 1)
+	replies := make(chan *PeerReply, 1)
 	copied := *r
-	if declined := l.session.Accept(&copied); declined != nil {
+	if declined := s.session.Accept(&copied); declined != nil {
 		return declined, nil
 	}
-	go func() { answer <- l.session.Run(context.Background(), &copied) }()
+	go func() { replies <- s.session.Run(context.Background(), &copied) }()
 	f.mu.Lock()
 	f.forwardedTo[name]++
 	f.mu.Unlock()
@@ -327,7 +330,7 @@
 		return nil, ctx.Err()
 	}
 	select {
-	case reply := <-answer:
+	case reply := <-replies:
 		if f.hasFault(f.unreachable, name) {
 			<-ctx.Done()
 			return nil, ctx.Err()
@@ -338,9 +341,9 @@
 	}
 }
 
-func (l *fakeStream) Close() { l.session.Close() }
+func (s *fakeStream) Close() { s.session.Close() }
 
-func (l *fakeStream) ReplaceIfSilent(time.Duration) {}
+func (s *fakeStream) ReplaceIfSilent(time.Duration) {}
 
 func (p *fakePeers) Feed(ctx context.Context, to netip.AddrPort, after kv.Revision) (follow.Feed, error) {
 	h, err := p.reach(ctx, to)
@@ -365,38 +368,39 @@
 	return f, nil
 }
 
+// fakeFeed receives the updates that another host sends.
 type fakeFeed struct {
 	news   chan follow.News
 	done   chan error
 	cancel func()
 }
 
-func (f *fakeFeed) Next(atMost time.Duration) (follow.News, error) {
-	late := time.NewTimer(atMost)
-	defer late.Stop()
+func (f *fakeFeed) Next(timeout time.Duration) (follow.News, error) {
+	timer := time.NewTimer(timeout)
+	defer timer.Stop()
 	select {
 	case n := <-f.news:
 		return n, nil
 	case err := <-f.done:
 		return follow.News{}, err
-	case <-late.C:
+	case <-timer.C:
 		return follow.News{}, context.DeadlineExceeded
 	}
 }
 
 func (f *fakeFeed) Close() { f.cancel() }
 
-// wantNoForwardedWork checks that no request or transaction of another host is open anywhere.
+// wantNoForwardedWork checks that no host has an open request or transaction of another host.
 func (f *fakeFleet) wantNoForwardedWork(t *testing.T) {
 	t.Helper()
 	for _, h := range f.all() {
 		if h.ForwardedCount() != 0 {
-			t.Errorf("%s has %d guests", h.settings.Host, h.ForwardedCount())
+			t.Errorf("%s has %d forwarded requests or transactions", h.settings.Host, h.ForwardedCount())
 		}
 	}
 }
 
-// coordinatorOf returns the host's part in the promotions of a group.
+// coordinatorOf returns the host's coordinator of a group, or nil.
 func (h *Host) coordinatorOf(group string) *coordinator {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/gateway/fakestore_test.go
+++ b/internal/gateway/fakestore_test.go
@@ -14,7 +14,7 @@
 	"pearlatch/internal/pause"
 )
 
-// writeMemberEntry writes a member's entry. An empty state removes it.
+// writeMemberEntry writes a member's entry. An empty state removes the entry.
 func (s *fakeSite) writeMemberEntry(id, state string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -29,12 +29,14 @@
 	s.putLocked("members/"+id, s.member(id).entry(state, role), 0)
 }
 
+// put writes a key under a lease, or under none if lease is zero, and returns the new revision.
 func (s *fakeSite) put(key string, value []byte, lease int64) kv.Revision {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.putLocked(key, value, lease)
 }
 
+// putLocked is put with s.mu held.
 func (s *fakeSite) putLocked(key string, value []byte, lease int64) kv.Revision {
 	s.revision++
 	created := s.revision.Number()
@@ -47,18 +49,20 @@
 	return s.revision
 }
 
+// removeLocked removes a key. s.mu must be held.
 func (s *fakeSite) removeLocked(key string) {
 	s.revision++
 	s.items[key] = kv.Item{Key: key, Revision: s.revision, Removed: true}
 	s.wake()
 }
 
+// wake wakes all watches. s.mu must be held.
 func (s *fakeSite) wake() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// expire removes what leases that ended held.
+// expire removes expired leases and their keys. s.mu must be held.
 func (s *fakeSite) expire() {
 	now := time.Now()
 	for lease, until := range s.leases {
@@ -74,16 +78,16 @@
 	}
 }
 
-// storeBackup is a copy of what the store holds.
+// storeBackup is a backup of the store's content.
 type storeBackup struct {
 	items    map[string]kv.Item
 	revision kv.Revision
-	// leases holds how long each lease still runs.
+	// leases holds the remaining time of each lease.
 	leases   map[int64]time.Duration
 	keyLease map[string]int64
 }
 
-// backup returns a copy of what the store holds now.
+// backup returns a backup of the store's current content.
 func (s *fakeSite) backup() storeBackup {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -94,8 +98,8 @@
 	return b
 }
 
-// restore brings the store back from a copy: what was written since is gone, and its revisions are given
-// out again.
+// restore restores the store from a backup in a new epoch. Later changes are lost, and their revision numbers are assigned
+// again.
 func (s *fakeSite) restore(b storeBackup) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -112,15 +116,16 @@
 	s.wake()
 }
 
-// errStoreDown is what calls to a store end with that answers nothing.
+// errStoreDown is the error of calls to a store that does not answer or rejects them.
 var errStoreDown = errors.New("the store does not answer")
 
+// reach simulates the faults of the path to the store: a delay, an outage without answers, or a refusal of all calls.
 func (s *fakeSite) reach(ctx context.Context) error {
 	s.mu.Lock()
-	down, refusing, slow := s.storeDown, s.storeRefusing, s.storeDelay
+	down, refusing, delay := s.storeDown, s.storeRefusing, s.storeDelay
 	s.expire()
 	s.mu.Unlock()
-	if slow > 0 && !pause.For(ctx, slow) {
+	if delay > 0 && !pause.For(ctx, delay) {
 		return ctx.Err()
 	}
 	if down && !refusing {
@@ -176,7 +181,7 @@
 		}
 		select {
 		case <-changed:
-		case <-time.After(100 * time.Millisecond): // leases
+		case <-time.After(100 * time.Millisecond): // checks for expired leases
 		case <-until.C:
 			return out, nil
 		case <-ctx.Done():
@@ -208,7 +213,7 @@
 	}
 	before := s.revision
 	for _, w := range t.Writes {
-		s.revision = before // one transaction, one revision
+		s.revision = before // all changes of a transaction have the same revision
 		s.putLocked(w.Key, w.Value, w.Lease)
 	}
 	for _, key := range t.Deletes {
@@ -257,14 +262,14 @@
 	return nil
 }
 
-// setDown makes the store answer nobody, or all again.
+// setDown makes the store stop answering, or answer again.
 func (s *fakeSite) setDown(down bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.storeDown = down
 }
 
-// setRefusing makes the store refuse all calls at once.
+// setRefusing makes the store reject all calls immediately, or accept them again.
 func (s *fakeSite) setRefusing(refusing bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/gateway/host.go
+++ b/internal/gateway/host.go
@@ -24,64 +24,64 @@
 	"pearlatch/internal/quotas"
 )
 
-// Settings are what a host needs to know at its start.
+// Settings are the startup settings of a host.
 type Settings struct {
 	// Host is the host's identifier, unique among live hosts.
 	Host string
 	// Zone is the availability zone that the host runs in.
 	Zone string
-	// MemberDrain is how long a leaving member still serves.
+	// MemberDrain is how long a leaving member continues to serve.
 	MemberDrain time.Duration
-	// ShutdownGrace is how long a host has between the order to stop and its end.
+	// ShutdownGrace is the time between the order to stop and the end of the process.
 	ShutdownGrace time.Duration
-	// PromotionTokens is true when the platform refuses promotions with an
-	// older fencing token.
+	// PromotionTokens is true if the platform rejects promotions with an older fencing token.
 	PromotionTokens bool
-	// MinLeaseTTL is the shortest lease that the store grants.
+	// MinLeaseTTL is the shortest TTL of a lease that the store grants.
 	MinLeaseTTL time.Duration
-	// Quotas say how far an account may exceed its quota while hosts disagree.
+	// Quotas limits how far an account may exceed its quota while hosts disagree.
 	Quotas quota.Tolerance
-	// Peer is the host's address for other hosts. Without one the host serves its own
-	// callers alone.
+	// Peer is the host's address for other hosts. Without one, the host serves only its own callers.
 	Peer netip.AddrPort
-	// Seeds are addresses of other hosts, some of which may be gone.
+	// Seeds are addresses of other hosts. Some of these hosts may no longer exist.
 	Seeds []netip.AddrPort
-	// Cores is what the host can do, in cores of a processor. Zero means that it is not known, and counts as one.
+	// Cores is the host's capacity in processor cores. Zero means unknown and counts as one core.
 	Cores float64
 }
 
-// Ports are a host's ways to the outside.
+// Ports are the interfaces through which a host reaches other systems.
 type Ports struct {
 	Dialer   Dialer
 	Store    Store
 	Promoter Promoter
 	// Peers is nil for a host without an address for other hosts.
 	Peers Peers
-	// Decode reads what the platform wrote into the store.
+	// Decode decodes the values that the platform writes to the store.
 	Decode Decoder
 	Keys   Keys
-	// Metrics counts what the host does. Nil counts nothing.
+	// Metrics receives the host's metrics. If it is nil, none are recorded.
 	Metrics metrics.Registry
 }
 
-// Decoder reads the values of the platform's keys.
+// Decoder decodes the values of the platform's keys.
 type Decoder interface {
+	// Config decodes the operators' configuration.
 	Config(value []byte) (*Config, error)
-	// Member returns the member that the key and the value describe.
+	// Member decodes a member's entry from its key and value.
 	Member(key string, value []byte) (Member, error)
 }
 
-// Keys names keys of the store.
+// Keys holds the names and prefixes of the store's keys.
 type Keys struct {
-	// Config holds the operators' configuration.
+	// Config is the key of the operators' configuration.
 	Config string
-	// MembersPrefix precedes the members' entries.
+	// MembersPrefix is the prefix of the keys of members' entries.
 	MembersPrefix string
-	// OwnPrefix precedes what pearlatch keeps itself.
+	// OwnPrefix is the prefix of the keys that pearlatch writes.
 	OwnPrefix string
 }
 
-// Host is a running host. Use NewHost, then Run.
+// Host serves callers on one machine. Create it with NewHost and start it with Run. Its methods may be called from several
+// goroutines.
 type Host struct {
 	settings Settings
 	ports    Ports
@@ -91,56 +91,56 @@
 
 	mu     sync.Mutex
 	config *Config
-	// maxStaleness holds the shortest age that a route of a group accepts, by group.
+	// maxStaleness holds, by group, the smallest maximum age among the group's routes.
 	maxStaleness map[string]time.Duration
-	// groups holds the Groups that something depends on, and groupCreated gets a token when one comes into being.
+	// groups holds the groups in use. groupCreated receives a value when one is created.
 	groups       map[string]*Group
 	groupCreated chan struct{}
-	// storeView is what the host knows of the store, kept up to date by follower and passed on by feeder.
+	// storeView is the host's view of the store. follower updates it, and feeder sends the changes to other hosts.
 	storeView *follow.Knowledge
 	follower  *follow.Follower
 	feeder    *follow.Feeder
-	// knownRevision is the revision of storeView, for groups.
+	// knownRevision is the revision of storeView, which groups read without h.mu.
 	knownRevision atomic.Int64
-	// configRevision is that of the configuration's item that was read last.
+	// configRevision is the revision of the configuration item that was last read.
 	configRevision kv.Revision
 	members        memberTable
-	// coordinators holds this host's part in the promotions of each group, by group.
+	// coordinators holds the coordinators of the groups in use, by group. A coordinator may or may not hold the role.
 	coordinators map[string]*coordinator
-	// coordinatorLease is the lease of those that this host holds.
+	// coordinatorLease is the store lease under all roles of this host.
 	coordinatorLease coordinatorLease
-	// formerRecords holds, by group, the newest record known from before the store last came back from an older copy.
+	// formerRecords holds, by group, the newest record known from before the last restore of the store.
 	formerRecords map[string]leadership.StoredRecord
 
 	quotas *quotas.Keeper
-	// coordinatorEntries holds the last entry seen of each duty.
+	// coordinatorEntries holds the last known entry of each group's coordinator role.
 	coordinatorEntries map[string]kv.Item
 
-	// processID names this run of the host: what it knew is lost with it. It began at started.
+	// processID identifies this run of the host, whose state in memory ends with it. started is when the run began.
 	processID string
 	started   time.Time
 	fleet     *fleet.Hosts
-	// recentRequests holds the requests of other hosts that came lately.
+	// recentRequests holds the recent requests of other hosts.
 	recentRequests recall.Log[*PeerReply]
 	// requestSerial numbers the requests to other hosts.
 	requestSerial atomic.Uint64
-	// forwardedCount counts the requests and transactions of other hosts that are open here.
+	// forwardedCount is the number of open requests and transactions of other hosts.
 	forwardedCount atomic.Int64
 
-	// storeRead is closed with the first news, and configured with the first configuration.
+	// storeRead is closed on the first update from the store, configured on the first configuration.
 	storeRead, configured chan struct{}
-	// reconfigured is closed and replaced with each configuration.
+	// reconfigured is closed and replaced on each new configuration.
 	reconfigured chan struct{}
 
 	sessions atomic.Int64
 	stopping atomic.Bool
 	// stopped is closed by Stop, ended when Run returns.
 	stopped, ended chan struct{}
-	synced         atomic.Bool
+	// synced is true once a configuration has been applied.
+	synced atomic.Bool
 }
 
-// NewHost returns a host that does not run yet. now reads a clock that goes on
-// while the machine is suspended.
+// NewHost returns a host that is not running yet. now reads a clock that continues while the machine is suspended.
 func NewHost(s Settings, p Ports, logger log.Logger, now func() time.Time) *Host {
 	m := hostMetrics{p.Metrics}
 	p.Store = instrumentedStore{store: p.Store, metrics: m, now: now}
@@ -161,7 +161,7 @@
 	return h
 }
 
-// Run keeps the host's beliefs up to date until ctx ends.
+// Run keeps the host's state up to date until ctx ends. It must be called once.
 func (h *Host) Run(ctx context.Context) {
 	defer close(h.ended)
 	var wait sync.WaitGroup
@@ -174,8 +174,7 @@
 	wait.Wait()
 }
 
-// Reload takes over settings that may change while the host runs: how long leaving
-// members serve.
+// Reload applies the setting that may change while the host runs: MemberDrain.
 func (h *Host) Reload(s Settings) {
 	h.mu.Lock()
 	h.settings.MemberDrain = s.MemberDrain
@@ -187,13 +186,13 @@
 	}
 }
 
-// Ready reports whether callers may be sent here.
+// Ready reports whether the host accepts callers: it has a configuration and is not stopping.
 func (h *Host) Ready() bool { return h.synced.Load() && !h.stopping.Load() }
 
 // Stopping reports whether the host has been told to stop.
 func (h *Host) Stopping() bool { return h.stopping.Load() }
 
-// Stop makes the host take no new callers, and tells other hosts.
+// Stop makes the host reject new callers and announce to other hosts that it is leaving.
 func (h *Host) Stop() {
 	if h.stopping.Swap(true) {
 		return
@@ -205,15 +204,15 @@
 // Sessions returns the number of open sessions.
 func (h *Host) Sessions() int64 { return h.sessions.Load() }
 
-// AwaitConfig waits for the first configuration, at most for the given time.
-func (h *Host) AwaitConfig(atMost time.Duration) {
+// AwaitConfig waits for the first configuration until the timeout expires.
+func (h *Host) AwaitConfig(timeout time.Duration) {
 	select {
 	case <-h.configured:
-	case <-time.After(atMost):
+	case <-time.After(timeout):
 	}
 }
 
-// Reconfigured returns a channel that is closed with the next configuration.
+// Reconfigured returns a channel that is closed on the next configuration.
 func (h *Host) Reconfigured() <-chan struct{} {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -223,7 +222,7 @@
 // Ended returns a channel that is closed once Run has returned.
 func (h *Host) Ended() <-chan struct{} { return h.ended }
 
-// TransactionIdleTimeout returns how long a transaction may rest between statements.
+// TransactionIdleTimeout returns how long a transaction may be idle between statements.
 func (h *Host) TransactionIdleTimeout() time.Duration {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -233,17 +232,17 @@
 	return h.config.TransactionIdleTimeout
 }
 
-// defaultTransactionIdleTimeout holds while no configuration says otherwise.
+// defaultTransactionIdleTimeout applies while the configuration sets no timeout.
 const defaultTransactionIdleTimeout = 3 * time.Second
 
-// routeTarget is where a caller's statements go, and for whom.
+// routeTarget is the route and group of a caller's statements and the account they run for.
 type routeTarget struct {
 	route   Route
 	group   *Group
 	account *account.Account
 }
 
-// route finds the route of a database, its group, and the account for which the caller acts.
+// route returns the route of a database, its group and the caller's account. It creates the group if necessary.
 func (h *Host) route(database string, c account.Caller) (routeTarget, *Failure) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -254,7 +253,7 @@
 	return routeTarget{r, h.ensureGroup(r.Group), a}, nil
 }
 
-// routeAndAccount finds the route of a database and the account for which the caller acts. h.mu is held.
+// routeAndAccount returns the route of a database and the caller's account. h.mu must be held.
 func (h *Host) routeAndAccount(database string, c account.Caller) (Route, *account.Account, *Failure) {
 	if h.config == nil {
 		return Route{}, nil, &Failure{Busy, "no configuration yet, " + retryAfter(0)}
@@ -270,7 +269,7 @@
 	return r, a, nil
 }
 
-// authorize returns why the caller may not use the database, or nil.
+// authorize returns a failure if the caller may not use the database.
 func (h *Host) authorize(database string, c account.Caller) *Failure {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -278,9 +277,10 @@
 	return err
 }
 
-// trimInterval is the pause between two looks at unused connections.
+// trimInterval is the interval between checks for unused connections.
 const trimInterval = 250 * time.Millisecond
 
+// trimIdleConns closes unused connections to members and drops the store view's cached list once it is old, until ctx ends.
 func (h *Host) trimIdleConns(ctx context.Context) {
 	for pause.For(ctx, trimInterval) {
 		for _, g := range h.allGroups() {
@@ -291,7 +291,7 @@
 	}
 }
 
-// contextUntil returns a context that ends with its parent, and once done is closed.
+// contextUntil returns a context that ends when parent ends or done is closed.
 func contextUntil(parent context.Context, done <-chan struct{}) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancel(parent)
 	go func() {
@@ -308,7 +308,7 @@
 	_ = h.logger.Log(append([]any{"event", event}, fields...)...)
 }
 
-// RefreshMetrics brings the gauges up to date.
+// RefreshMetrics updates the gauges.
 func (h *Host) RefreshMetrics() {
 	s := h.Snapshot()
 	h.metrics.set("sessions", s.Sessions)
@@ -325,18 +325,18 @@
 	}
 }
 
-// logFailure writes the line of a statement that failed, with what decided it: the
-// configuration's version, the primary as believed, how long ago it was proven to lead,
-// and how many statements waited for a connection of the group.
+// logFailure logs a failed statement with the state that explains the failure: the configuration's version, the assumed
+// primary, the time since it was last confirmed as primary, and the number of statements that wait for a connection of
+// the group.
 func (h *Host) logFailure(s *Session, r Request, arrived time.Time, f *Failure) {
 	fields := []any{
 		"request", r.ID, "database", s.database, "code", f.Code, "detail", f.Detail,
 		"took_ms", h.now().Sub(arrived).Milliseconds(), "state", s.state,
 	}
 	fields = append(fields, "config_version", h.configVersion())
-	if at, unknown := s.route(); unknown == nil {
-		fields = append(fields, "account", at.account.Name, "group", at.group.name)
-		fields = append(fields, at.group.logFields()...)
+	if target, err := s.route(); err == nil {
+		fields = append(fields, "account", target.account.Name, "group", target.group.name)
+		fields = append(fields, target.group.logFields()...)
 	}
 	if s.origin != nil {
 		fields = append(fields, "for", s.origin.from)
@@ -344,21 +344,20 @@
 	h.log("statement_failed", fields...)
 }
 
-// logRefused writes the line of a caller that gets no session, with how old the news is that decided it.
+// logRefused logs and counts a caller that gets no session, with the age of the store view on which the decision is based.
 func (h *Host) logRefused(database string, f *Failure) {
 	h.log("caller_refused", "database", database, "code", f.Code, "config_version", h.configVersion(), "news_age_ms", h.storeView.Age().Milliseconds())
 	h.metrics.count(fmt.Sprintf("callers_refused_total{code=%q}", f.Code), 1)
 }
 
-// logDeclined writes the line of another host's statement that this one did not run, since
-// it can't reach the primary.
+// logDeclined logs a forwarded statement that this host did not run because it cannot reach the primary.
 func (h *Host) logDeclined(s *Session, r Request, arrived time.Time) {
 	fields := []any{"request", r.ID, "database", s.database, "for", s.origin.from, "group", s.origin.group.name,
 		"took_ms", h.now().Sub(arrived).Milliseconds()}
 	h.log("sent_back", append(fields, s.origin.group.logFields()...)...)
 }
 
-// configVersion returns the version of the configuration in force.
+// configVersion returns the version of the current configuration, or zero if there is none.
 func (h *Host) configVersion() int64 {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -368,8 +367,8 @@
 	return h.config.Version
 }
 
-// logAttempt writes the line of a statement whose offer to a member failed.
-func (h *Host) logAttempt(s *Session, r Request, w *operation, member, outcome string, err error) {
-	h.log("offer", "request", r.ID, "database", s.database, "group", w.group.name, "member", member,
-		"outcome", outcome, "writes", w.writes, "after", w.need.MinPosition, "err", err)
+// logAttempt logs a failed attempt to run a statement on a member.
+func (h *Host) logAttempt(s *Session, r Request, op *operation, member, outcome string, err error) {
+	h.log("offer", "request", r.ID, "database", s.database, "group", op.group.name, "member", member,
+		"outcome", outcome, "writes", op.writes, "after", op.need.MinPosition, "err", err)
 }
--- a/internal/gateway/host_entry.go
+++ b/internal/gateway/host_entry.go
@@ -16,24 +16,24 @@
 func (h *Host) hostsPrefix() string { return h.ports.Keys.OwnPrefix + "hosts/" }
 
 const (
-	// hostEntryTTL is the life of a host's entry: the lease outlives a pause of the
-	// store, and a dead host's share is given to others after it. Until then others find out by
-	// themselves that it does not answer.
+	// hostEntryTTL is the TTL of the lease of a host's entry. It outlives a short outage of the store. A dead
+	// host's share of the connections goes to other hosts only after it; until then they detect that the host does
+	// not answer by themselves.
 	hostEntryTTL = 16 * time.Second
-	// hostEntryRenewInterval is the pause between renewals: two may get lost. Renewals are most of what a
-	// fleet asks of the store while nothing happens.
+	// hostEntryRenewInterval is the interval between renewals. The entry survives two lost renewals. Renewals are most of
+	// the load that an idle fleet puts on the store.
 	hostEntryRenewInterval = 5 * time.Second
-	// storeTimeout bounds calls about leases.
+	// storeTimeout is the timeout of store calls that concern leases and entries.
 	storeTimeout = time.Second
 )
 
-// maintainHostEntry keeps the host's entry in the store until the host is told to stop: others
-// then turn elsewhere, and what is open here can end.
+// maintainHostEntry keeps the host's entry in the store until Stop is called or ctx ends. Then it marks the entry as
+// leaving: other hosts send no new requests, and open ones can finish.
 func (h *Host) maintainHostEntry(ctx context.Context) {
 	ctx, cancel := contextUntil(ctx, h.stopped)
 	defer cancel()
 	select {
-	case <-h.storeRead: // an entry of an earlier process is known, and the store answers
+	case <-h.storeRead: // the store answers, and an entry of an earlier process is known
 	case <-ctx.Done():
 	}
 	var lease int64
@@ -42,7 +42,7 @@
 		if lease == 0 {
 			lease, written = h.createHostEntry(ctx, h.self())
 		} else if epoch, err := h.renewStoreLease(ctx, lease); errors.Is(err, ErrNoLease) || err == nil && epoch != written {
-			// A store that came back from an older copy may hold the lease and not the entry.
+			// A restored store may have the lease but not the entry, so both are created again.
 			lease = 0
 			continue
 		}
@@ -57,12 +57,11 @@
 	h.announceLeaving(lease)
 }
 
-// self describes this host to others.
+// self returns this host as other hosts see it.
 func (h *Host) self() membership.Host { return h.fleet.Self() }
 
-// announceLeaving tells other hosts that this one stops. The entry is left to lapse: if it were
-// removed at once, hosts that read the list only then would take this one for a host
-// whose entry has lapsed, and that may serve still.
+// announceLeaving marks the host's entry as leaving. The entry is not removed but expires with its lease: hosts that first
+// read the list after a removal would assume that this host's entry had expired and that it may still be serving.
 func (h *Host) announceLeaving(lease int64) {
 	if lease == 0 {
 		return
@@ -76,7 +75,7 @@
 	}
 }
 
-// readKey reads a key of the store. One that does not exist has the revision zero.
+// readKey returns the item of a key from the store. The item of a missing key has revision zero.
 func (h *Host) readKey(ctx context.Context, key string) (kv.Item, error) {
 	call, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
@@ -92,13 +91,15 @@
 	return kv.Item{Key: key}, nil
 }
 
+// renewStoreLease renews a lease and returns the epoch in which the lease exists. The error is ErrNoLease if the lease has
+// ended.
 func (h *Host) renewStoreLease(ctx context.Context, lease int64) (kv.Epoch, error) {
 	call, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
 	return h.ports.Store.Renew(call, lease)
 }
 
-// endStoreLease gives a lease back at the end, so that others need not wait for it.
+// endStoreLease ends a lease, so that other hosts need not wait for its expiry. A zero lease is ignored.
 func (h *Host) endStoreLease(lease int64) {
 	if lease == 0 {
 		return
@@ -110,7 +111,8 @@
 	}
 }
 
-// createHostEntry writes the host's entry under a new lease and returns that, or zero, and the epoch in which the entry stands.
+// createHostEntry writes the host's entry under a new lease. It returns the lease, or zero on failure, and the epoch in
+// which the entry was written.
 func (h *Host) createHostEntry(ctx context.Context, self membership.Host) (lease int64, written kv.Epoch) {
 	call, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
@@ -128,7 +130,8 @@
 	return lease, at.Epoch()
 }
 
-// writeHostEntry writes the host's entry and returns its revision.
+// writeHostEntry writes the host's entry under a lease and returns the entry's revision. It fails if the stored entry has
+// changed since the host last read it.
 func (h *Host) writeHostEntry(ctx context.Context, self membership.Host, lease int64) (kv.Revision, error) {
 	key := h.hostsPrefix() + self.ID
 	h.mu.Lock()
--- a/internal/gateway/instrumented_store.go
+++ b/internal/gateway/instrumented_store.go
@@ -10,7 +10,7 @@
 	"pearlatch/internal/follow"
 )
 
-// instrumentedStore counts and times the calls to a store.
+// instrumentedStore records the count, result and duration of the calls to a store.
 type instrumentedStore struct {
 	store   Store
 	metrics hostMetrics
@@ -19,7 +19,7 @@
 
 var _ Store = instrumentedStore{}
 
-// observe records a call that began at started and ended with err.
+// observe records a call that started at the given time and returned err.
 func (s instrumentedStore) observe(kind string, started time.Time, err error) {
 	result := "ok"
 	switch {
--- a/internal/gateway/metrics.go
+++ b/internal/gateway/metrics.go
@@ -7,14 +7,14 @@
 	"github.com/rcrowley/go-metrics"
 )
 
-// hostMetrics counts and times what a host does. Names carry labels in braces, as
-// Prometheus writes them, since the registry has none.
+// hostMetrics records a host's metrics. The registry has no labels, so names include them in braces, in the format of
+// Prometheus. With a nil registry nothing is recorded.
 type hostMetrics struct{ registry metrics.Registry }
 
-// histogramSize is how many samples a histogram keeps: enough for its 99th percentile,
-// and two kilobytes.
+// histogramSize is the number of samples in a histogram: enough for the 99th percentile, at two kilobytes each histogram.
 const histogramSize = 256
 
+// count adds n to a counter.
 func (m hostMetrics) count(name string, n int64) {
 	if m.registry != nil {
 		metrics.GetOrRegisterCounter(name, m.registry).Inc(n)
@@ -39,59 +39,59 @@
 	}
 }
 
-// statement counts a caller's statement and times it.
+// statement records the outcome and duration of a caller's statement.
 func (m hostMetrics) statement(route, outcome string, took time.Duration) {
 	m.count(fmt.Sprintf("statements_total{route=%q,outcome=%q}", route, outcome), 1)
 	m.observe(fmt.Sprintf("statement_microseconds{route=%q}", route), took)
 }
 
-// connWait times a statement's wait for a connection.
+// connWait records how long a statement waited for a connection.
 func (m hostMetrics) connWait(group string, took time.Duration) {
 	m.observe(fmt.Sprintf("connection_wait_microseconds{group=%q}", group), took)
 }
 
-// memberCall times a member's answer.
-func (m hostMetrics) memberCall(group, member string, leads bool, took time.Duration) {
+// memberCall records a statement that a member answered and how long the answer took.
+func (m hostMetrics) memberCall(group, member string, isPrimary bool, took time.Duration) {
 	role := "replica"
-	if leads {
+	if isPrimary {
 		role = "primary"
 	}
 	m.observe(fmt.Sprintf("member_microseconds{group=%q,role=%q}", group, role), took)
 	m.count(fmt.Sprintf("member_statements_total{group=%q,member=%q}", group, member), 1)
 }
 
-// forwardedStatement counts a statement that was run for another host.
+// forwardedStatement counts a statement that this host ran for another host.
 func (m hostMetrics) forwardedStatement(group, outcome string) {
 	m.count(fmt.Sprintf("guest_statements_total{group=%q,outcome=%q}", group, outcome), 1)
 }
 
-// localRead counts a read that was tried on the replica of the host's own availability zone.
+// localRead counts a read that was attempted on the local replica.
 func (m hostMetrics) localRead(group, outcome string) {
 	m.count(fmt.Sprintf("near_reads_total{group=%q,outcome=%q}", group, outcome), 1)
 }
 
-// forward counts a statement that was passed on to another host.
+// forward counts a statement that was forwarded to another host.
 func (m hostMetrics) forward(group, outcome string) {
 	m.count(fmt.Sprintf("forwards_total{group=%q,outcome=%q}", group, outcome), 1)
 }
 
-// retry counts an offer that is made again.
+// retry counts a repeated attempt.
 func (m hostMetrics) retry(group, reason string) {
 	m.count(fmt.Sprintf("offers_again_total{group=%q,reason=%q}", group, reason), 1)
 }
 
-// promotion counts the end of a promotion and times it.
+// promotion records the outcome and duration of a promotion.
 func (m hostMetrics) promotion(group, outcome string, took time.Duration) {
 	m.count(fmt.Sprintf("promotions_total{group=%q,outcome=%q}", group, outcome), 1)
 	m.observe(fmt.Sprintf("promotion_microseconds{group=%q}", group), took)
 }
 
-// leaseRevocation times how long it took until no host held a lease on a primary any more.
+// leaseRevocation records how long it took until no host held a lease on a primary.
 func (m hostMetrics) leaseRevocation(group string, took time.Duration) {
 	m.observe(fmt.Sprintf("lease_recall_microseconds{group=%q}", group), took)
 }
 
-// storeCall counts a call to the store and times it.
+// storeCall records the result and duration of a call to the store.
 func (m hostMetrics) storeCall(kind, result string, took time.Duration) {
 	m.count(fmt.Sprintf("store_calls_total{kind=%q,result=%q}", kind, result), 1)
 	m.observe(fmt.Sprintf("store_call_microseconds{kind=%q}", kind), took)
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -12,77 +12,76 @@
 	"pearlatch/internal/quotas"
 )
 
-// Peers speaks to other hosts of the fleet.
+// Peers sends requests to other hosts of the fleet. Its methods may be called from several goroutines.
 type Peers interface {
-	// OpenStream returns a way to the host at the address on which the work of one session
-	// runs at a time.
+	// OpenStream opens a stream to the host at the address. A stream serves one session at a time.
 	OpenStream(ctx context.Context, to netip.AddrPort) (Stream, error)
-	// QueryOutcome asks what became of a request that was sent to the host.
+	// QueryOutcome asks the host for the outcome of a request that was sent to it. from and serial identify the request as in
+	// PeerRequest.
 	QueryOutcome(ctx context.Context, to netip.AddrPort, from string, serial uint64) (RequestOutcome, error)
-	// Probe lets the host ask a member for its status.
+	// Probe makes the host ask a member for its status.
 	Probe(ctx context.Context, to netip.AddrPort, groupName, memberID string) (Status, error)
 	// RequestLease asks the host for a lease on the primary of a group.
 	RequestLease(ctx context.Context, to netip.AddrPort, r LeaseRequest) (LeaseReply, error)
-	// RevokeLease asks the host to give such a lease back. Without an error it has.
+	// RevokeLease asks the host to give up its lease on the primary of a group. The lease has ended if the error is nil.
+	// planned is true for a switchover.
 	RevokeLease(ctx context.Context, to netip.AddrPort, groupName, memberID string, planned bool) error
-	// RequestQuota asks the host for tokens of accounts' quotas, and TellQuota what it holds of them.
+	// RequestQuota asks the host for tokens of accounts' quotas, and TellQuota asks which tokens it holds and makes
+	// it follow the sender as granter.
 	RequestQuota(ctx context.Context, to netip.AddrPort, r quotas.Request) (quotas.Reply, error)
 	TellQuota(ctx context.Context, to netip.AddrPort, r quotas.TellRequest) (quotas.TellReply, error)
 	follow.Peers
 }
 
-// Stream carries requests to another host, one after the other.
+// Stream sends requests to another host, one at a time.
 type Stream interface {
-	// Do sends a request and waits for its answer. ErrNotSent means that the other
-	// host has certainly not got it.
+	// Do sends a request and waits for the reply. ErrNotSent means that the other host has not received the request.
 	Do(ctx context.Context, r *PeerRequest) (*PeerReply, error)
-	// Close ends the lane before its transaction has ended. The other host rolls that
-	// back.
+	// Close closes the stream. The other host rolls back a transaction that is still open on it.
 	Close()
-	// ReplaceIfSilent says that the other host lives, and knows nothing of a request that was
-	// sent so long ago. A connection that has been silent since is replaced.
+	// ReplaceIfSilent replaces the underlying connection if nothing has arrived on it for the given time. It is called when the
+	// other host is alive but does not know a request that was sent that long ago.
 	ReplaceIfSilent(age time.Duration)
 }
 
-// ErrNotSent means that a request did not leave this host.
+// ErrNotSent means that a request was not sent to the other host.
 var ErrNotSent = errors.New("the request was not sent")
 
-// PeerRequest is a caller's statement that a host passes on to one that serves the
-// group. It carries all that the statement depends on of the caller's session.
+// PeerRequest is a caller's statement that a host forwards to one that serves the group. It includes all state of the
+// caller's session that the statement depends on.
 type PeerRequest struct {
-	// From names the sending process and Serial the request there, for QueryOutcome.
+	// From identifies the sending process, and Serial the request within that process. QueryOutcome takes both.
 	From   string
 	Serial uint64
-	// To names the process that the sender means, or is empty when it knows none.
+	// To identifies the process that the request is for. It is empty if the sender does not know the process.
 	To string
-	// Group runs the statement, by the sender's configuration and Route.
+	// Group is the group that runs the statement, and Route its route, both by the sender's configuration.
 	Group    string
 	Database string
 	Route    Route
-	// Account is the caller's, whose key the sender has looked at, or empty where callers have none. The
-	// key itself stays with the sender.
+	// Account is the caller's account, whose key the sender has verified. It is empty if callers have no accounts. The key
+	// itself is not sent.
 	Account string
-	// Age is how long ago the caller's request arrived, and BeginAge how long ago
-	// its transaction was begun.
+	// Age is the time since the caller's request arrived, and BeginAge the time since its transaction began.
 	Age, BeginAge time.Duration
 	// LastWrite is the position of the session's last write.
 	LastWrite group.Position
-	Values    map[string]string
-	// Prepared is what an Execute runs, or nil.
+	// Values holds the session's values by name.
+	Values map[string]string
+	// Prepared is the statement that an Execute runs, or nil.
 	Prepared *PreparedStatement
-	// Begin is set for the first statement of a transaction, and Continues is true for
-	// all further ones.
+	// Begin is set for the first statement of a transaction. Continues is true for all later ones.
 	Begin     *Begin
 	Continues bool
-	// WaitForPrimary asks the host to wait for the primary, though it may be out of its reach:
-	// others have declined for the same reason.
+	// WaitForPrimary asks the host to wait for the primary even if it cannot reach it, since other hosts have already declined
+	// for this reason.
 	WaitForPrimary bool
-	// Request holds a Read, Write, Execute, Commit or Rollback.
+	// Request contains a Read, Write, Execute, Commit or Rollback.
 	Request Request
 }
 
-// isRetrySafe reports whether the request may run twice: a read outside a transaction. Nobody
-// need find out what became of it before it is sent elsewhere.
+// isRetrySafe reports whether the request may run twice, as a read outside a transaction may. Such a request can be sent to
+// another host before its outcome is known.
 func (r *PeerRequest) isRetrySafe() bool {
 	if r.Begin != nil || r.Continues || r.Prepared != nil && r.Prepared.Writes {
 		return false
@@ -96,54 +95,52 @@
 
 // PeerReply answers a PeerRequest.
 type PeerReply struct {
-	// Process names the answering process.
+	// Process identifies the replying process.
 	Process string
-	// Declined says why the host did not take the request, or is Accepted. A request
-	// that was declined has not run, and other hosts may run it.
+	// Declined is the reason why the host declined the request, or Accepted. A declined request has not run, and other hosts
+	// may run it.
 	Declined DeclineReason
 	Reply    Reply
-	// LastWrite is the position of the session's last write now.
+	// LastWrite is the position of the session's last write after the request.
 	LastWrite group.Position
 }
 
-// DeclineReason says why a host does not take a request of another one.
+// DeclineReason is the reason why a host declines a forwarded request.
 type DeclineReason uint8
 
-// The reasons.
+// Decline reasons.
 const (
-	// Accepted means that the host took the request.
+	// Accepted means that the request was not declined.
 	Accepted DeclineReason = iota
-	// HostStopping means that the host is about to end.
+	// HostStopping means that the host is shutting down.
 	HostStopping // HostStops
-	// GroupUnknown means that the host has not heard of the group yet.
+	// GroupUnknown means that the host does not know the group yet.
 	GroupUnknown
-	// OtherProcess means that the request is for an earlier process of the host.
+	// OtherProcess means that the request is for another process, usually an earlier one of the host.
 	OtherProcess
-	// NoTransaction means that the transaction of which the request is a part has ended
-	// on the host.
+	// NoTransaction means that the request belongs to a transaction that has ended on the host.
 	NoTransaction
-	// ReportedUnknown means that the sender was told that the request has not run.
+	// ReportedUnknown means that the host has answered the sender's query with OutcomeUnknown, so the request must not run.
 	ReportedUnknown // RecalledBefore
-	// PrimaryUnreachable means that the host can't reach the primary that the request needs.
+	// PrimaryUnreachable means that the host cannot reach the primary, which the request needs.
 	PrimaryUnreachable // PrimaryUnreached
-	// AccountMissing means that the sender named no account, though callers need one: it may not know of
-	// accounts yet.
+	// AccountMissing means that the request has no account although callers need one. The sender may not know yet that they
+	// do.
 	AccountMissing
 )
 
-// RequestOutcome says what became of a request. Its implementations are OutcomeRunning,
+// RequestOutcome is the outcome of a request as far as the receiving host knows it. Its implementations are OutcomeRunning,
 // OutcomeDone and OutcomeUnknown.
 type RequestOutcome interface{ isRequestOutcome() }
 
 type (
-	// OutcomeRunning means that the request is being worked on.
+	// OutcomeRunning means that the request is still running.
 	OutcomeRunning struct{}
-	// OutcomeDone holds the answer.
+	// OutcomeDone holds the reply to a request that has finished.
 	OutcomeDone struct{ Reply *PeerReply }
-	// OutcomeUnknown means that the process does not know the request, and refuses it
-	// from now on.
+	// OutcomeUnknown means that the process does not know the request and declines it if it arrives later.
 	OutcomeUnknown struct {
-		// Process names the process that was asked.
+		// Process identifies the process that answered the query.
 		Process string
 	}
 )
--- a/internal/gateway/ports.go
+++ b/internal/gateway/ports.go
@@ -10,43 +10,41 @@
 	"pearlatch/internal/follow"
 )
 
-// Member identifies a member of a group and what the platform says of it.
+// Member identifies a member of a group, with its state as the platform reports it.
 type Member struct {
-	// ID is the instance. A member may start again under it, see Incarnation.
+	// ID identifies the instance. It stays the same when the member restarts; see Incarnation.
 	ID    string
 	Group string
 	Addr  netip.AddrPort
 	Zone  string
-	// Incarnation is when this run of the member began, as it says itself, or zero. It tells
-	// runs apart and is no time of ours.
+	// Incarnation is the start time of this run of the member as the member reports it, or zero. It distinguishes runs and must
+	// not be compared with the host's clock.
 	Incarnation int64
-	// Sequence counts what this run of the member has written of itself, or is zero where it does not say.
+	// Sequence is the number of entries that this run of the member has written, or zero if the member does not report it.
 	Sequence int64
-	// Slots is how many statements the member runs at once.
+	// Slots is the number of statements that the member runs concurrently.
 	Slots int
-	// Leaving members get no new work.
+	// Leaving is true if the member must get no new work.
 	Leaving bool
-	// IsPrimary is true while the member says that it is the primary.
+	// IsPrimary is true while the member reports that it is the primary.
 	IsPrimary bool
 }
 
-// Dialer opens connections to members.
+// Dialer opens connections to members. Dial may be called from several goroutines.
 type Dialer interface {
-	// Dial connects to the member and makes sure that it is the instance named.
-	// A member that refuses answers with a *Failure. account is whose statements the connection is for,
-	// or empty for the host's own questions, and where callers have no accounts.
+	// Dial connects to the member and verifies that it is the instance with the given ID. The error is a *Failure if the member
+	// refuses the connection. account is the account whose statements the connection is for. It is empty for the host's own
+	// requests and if callers have no accounts.
 	Dial(ctx context.Context, m Member, account string) (Conn, error)
 }
 
 // Conn is a connection to a member. It is used by one goroutine at a time.
 type Conn interface {
-	// Do sends the commands in one piece and returns a reply to each, up to and
-	// including the first that failed to arrive.
+	// Do sends the commands together and returns a reply to each, up to and including the first that failed to arrive.
 	Do(timeout time.Duration, commands ...Command) ([]Reply, error)
-	// Control runs an order to the member itself.
+	// Control sends a control command and returns the member's status.
 	Control(timeout time.Duration, o ControlCommand) (Status, error)
-	// Alive reports whether the other side has not closed the connection, as far
-	// as has arrived by now.
+	// Alive reports whether the connection is open, as far as is known: it is false once the member's close has arrived.
 	Alive() bool
 	Close() error
 }
@@ -56,12 +54,12 @@
 type Command interface{ isCommand() }
 
 type (
-	// Forward passes a caller's statement on.
+	// Forward runs a caller's statement.
 	Forward struct {
 		Request Request
-		// After is the position that the member must hold, or zero.
+		// After is the position that the member must have, or zero.
 		After group.Position
-		// Name is the connection's name of a prepared statement, for Execute.
+		// Name is the name of the prepared statement on the connection, for Execute.
 		Name string
 	}
 	// OpenTransaction begins a transaction.
@@ -71,14 +69,14 @@
 	}
 	// Abort rolls a transaction back.
 	Abort struct{}
-	// Assign lays a session value on the connection.
+	// Assign sets a session value on the connection.
 	Assign struct{ Name, Value string }
-	// Define prepares a statement under a name of the connection.
+	// Define prepares a statement under a name on the connection.
 	Define struct {
 		Name     string
 		Prepared PreparedStatement
 	}
-	// Reset clears the values and prepared statements of the connection.
+	// Reset clears the session values and prepared statements of the connection.
 	Reset struct{}
 )
 
@@ -89,19 +87,19 @@
 func (Define) isCommand()          {}
 func (Reset) isCommand()           {}
 
-// ControlCommand is an order to a member itself. Its implementations are Probe, Fence,
-// Release and Demote.
+// ControlCommand is an order to a member, as opposed to a statement. Its implementations are Probe, Fence, Release and
+// Demote.
 type ControlCommand interface{ isControlCommand() }
 
 type (
-	// Probe asks for the status.
+	// Probe requests the status.
 	Probe struct{}
-	// Fence stops a replica from receiving until it is released, another member
-	// is promoted or it restarts. The term must exceed the newest one.
+	// Fence stops a replica from receiving the log until the fence is released, another member is promoted or the replica
+	// restarts. The term must exceed the newest term that the member knows.
 	Fence struct{ Term group.Term }
 	// Release ends a fence.
 	Release struct{}
-	// Demote makes a primary of a lower term a replica.
+	// Demote turns a primary of a lower term into a replica.
 	Demote struct{ Term group.Term }
 )
 
@@ -110,45 +108,45 @@
 func (Release) isControlCommand() {}
 func (Demote) isControlCommand()  {}
 
-// Status is a member's answer to a ControlCommand.
+// Status is a member's reply to a ControlCommand.
 type Status struct {
 	IsPrimary bool
 	// Received is the end of the member's log.
 	Received group.Position
 	// Term is the newest term that the member knows.
 	Term group.Term
-	// Fenced is the term of the fence that it holds.
+	// Fenced is the term of the fence that is in effect on the member.
 	Fenced group.Term
-	// Lag is how far behind the member says it is.
+	// Lag is the replication lag that the member reports.
 	Lag time.Duration
-	// Running is how many statements it runs.
+	// Running is the number of statements that are running.
 	Running int
-	// Connections is how many connections it has from all hosts.
+	// Connections is the number of connections from all hosts.
 	Connections int
 }
 
-// Store is the platform's store. It may come back from an older copy, see package kv. An error may come
-// after a write has taken effect.
+// Store is the platform's key-value store. It may be restored from an older backup; see package kv. A write may have taken
+// effect even if the call returns an error. The methods may be called from several goroutines.
 type Store interface {
 	follow.Store
-	// Commit carries a transaction out and returns its revision. ErrConflict means that a key has not the revision that
-	// is expected. If the new revision is of another epoch, the number may have stood for another content.
+	// Commit executes a transaction and returns its revision. ErrConflict means that a key does not have the expected revision.
+	// Preconditions compare only revision numbers: if the returned revision is of another epoch than the expected one, the
+	// number may have belonged to another value.
 	Commit(ctx context.Context, t kv.Transaction) (kv.Revision, error)
-	// Grant opens a lease; Renew and End take its number. ErrNoLease means that
-	// it has ended. Renew returns the epoch in which the lease stands: in another one than the keys were
-	// written in, they may be gone.
+	// Grant creates a lease and returns its number, which Renew and End take. ErrNoLease means that the lease has ended. Renew
+	// returns the epoch in which the lease exists. If the lease's keys were written in another epoch, they may be gone.
 	Grant(ctx context.Context, ttl time.Duration) (int64, error)
 	Renew(ctx context.Context, lease int64) (kv.Epoch, error)
 	End(ctx context.Context, lease int64) error
 }
 
-// Promoter orders promotions.
+// Promoter requests promotions from the platform.
 type Promoter interface {
-	// Promote makes a member the primary of its group. ErrFenced means that a
-	// higher token was used. Any other error leaves open whether the order is
-	// carried out, also seconds later.
+	// Promote makes a member the primary of its group. holder is the host that requests it, and token its fencing token.
+	// ErrFenced means that a higher token was used before. After any other error the promotion may or may not take place, even
+	// seconds later.
 	Promote(ctx context.Context, holder string, token int64, groupName, memberID string) error
-	// RaiseToken makes the platform refuse orders with older tokens for the group, and changes nothing
-	// else. It is used where the platform checks tokens.
+	// RaiseToken makes the platform reject promotions of the group with older tokens and has no other effect. It is used if the
+	// platform checks tokens.
 	RaiseToken(ctx context.Context, holder string, token int64, groupName string) error
 }
--- a/internal/gateway/propagation_test.go
+++ b/internal/gateway/propagation_test.go
@@ -8,10 +8,10 @@
 	"pearlatch/internal/follow"
 )
 
-// watchWait is how long a watch of the store lasts that brings nothing.
+// watchWait is how long a watch of the store lasts if nothing changes.
 const watchWait = time.Second
 
-// storeReaders returns the hosts that ask the store themselves.
+// storeReaders returns the hosts that read changes directly from the store.
 func (f *fakeFleet) storeReaders() []*Host {
 	var out []*Host
 	for _, h := range f.all() {
@@ -22,7 +22,8 @@
 	return out
 }
 
-// mutualSources returns two watching hosts that turn to each other when the store fails them.
+// mutualSources returns two store readers that are each other's second update source, which they use when the store does not
+// answer them.
 func (f *fakeFleet) mutualSources() []*Host {
 	second := func(h *Host) follow.Source { return h.follower.Sources()[1] }
 	for _, a := range f.storeReaders() {
@@ -35,12 +36,12 @@
 	return nil
 }
 
-// newConfig writes the next version of the configuration.
+// newConfig writes a version of the configuration.
 func (f *fakeFleet) newConfig(version, connections byte) {
 	f.site.put("config", []byte{version, connections}, 0)
 }
 
-// hostsBehind returns the hosts that have not the version in force.
+// hostsBehind returns the hosts whose current configuration is not the version.
 func (f *fakeFleet) hostsBehind(version int64) []string {
 	var out []string
 	for _, h := range f.all() {
@@ -51,7 +52,7 @@
 	return out
 }
 
-// wantConfigInForce checks that all hosts have the version in force.
+// wantConfigInForce checks that all hosts have applied the version of the configuration.
 func (f *fakeFleet) wantConfigInForce(t *testing.T, version int64) {
 	t.Helper()
 	if late := f.hostsBehind(version); len(late) > 0 {
@@ -59,8 +60,8 @@
 	}
 }
 
-// One host of each availability zone watches the store, and all others learn from it. A
-// change of the configuration must be in force everywhere at once.
+// One host in each availability zone watches the store, and the other hosts of the zone receive updates from it. All hosts
+// must apply a new configuration within 20 ms.
 func TestChangesReachAllHosts(t *testing.T) {
 	withFleet(t, 30, 20, freshness.Latest{}, func(_ *fakeSite, f *fakeFleet) {
 		if n := len(f.storeReaders()); n != 3 {
@@ -72,9 +73,9 @@
 	})
 }
 
-// The store turns two of the three hosts away that watch it, without a word. Each of them
-// then follows another host. If they follow one another, what they pass on to each other
-// must not seem fresh for ever: a new configuration must be in force within 3 s.
+// The store stops answering two of the three hosts that watch it, so each of them uses another host as its update source. If
+// they use each other, the updates that they exchange must not keep their view looking current: a new configuration must be
+// in force within 3 s.
 func TestHostsRejectedByStoreDoNotFollowEachOther(t *testing.T) {
 	withFleet(t, 30, 20, freshness.Latest{}, func(_ *fakeSite, f *fakeFleet) {
 		for _, h := range f.mutualSources() {
@@ -84,21 +85,21 @@
 		f.newConfig(2, 20)
 		time.Sleep(2900 * time.Millisecond)
 		f.wantConfigInForce(t, 2)
-		// And later ones come without a delay.
+		// Later versions arrive without this delay.
 		f.newConfig(3, 20)
 		time.Sleep(500 * time.Millisecond)
 		f.wantConfigInForce(t, 3)
 	})
 }
 
-// The host from which a zone learns dies, or goes dark. The others must notice and learn
-// from another one.
+// The host from which a zone receives its updates becomes unreachable. The other hosts must detect this and switch to
+// another update source.
 func TestLostFeedIsReplaced(t *testing.T) {
 	withFleet(t, 30, 20, freshness.Latest{}, func(_ *fakeSite, f *fakeFleet) {
 		gone := f.storeReaders()[0]
 		f.setFault(f.unreachable, gone.settings.Host, true)
 		f.setFault(f.storeRejects, gone.settings.Host, true)
-		time.Sleep(watchWait + 100*time.Millisecond) // a watch that began before has ended
+		time.Sleep(watchWait + 100*time.Millisecond) // watches that started before the fault have ended
 		f.newConfig(2, 20)
 		time.Sleep(1500 * time.Millisecond)
 		late := f.hostsBehind(2)
@@ -108,8 +109,8 @@
 	})
 }
 
-// All watching hosts reach the store again after an outage in which members left and the
-// configuration changed. What was removed meanwhile must be gone everywhere.
+// The store readers reach the store again after an outage during which a member left and the configuration changed. The
+// member's entry must be removed from the view of every host.
 func TestRemovalsArePropagatedAfterOutage(t *testing.T) {
 	withFleet(t, 12, 20, freshness.Latest{}, func(s *fakeSite, f *fakeFleet) {
 		s.setDown(true)
@@ -132,14 +133,14 @@
 	})
 }
 
-// The store refuses all calls for six seconds. The hosts that ask it go on to do so; all others wait for
-// these, or a large fleet spends the outage on looking for news that nobody has. When the store is
-// back, a change must be in force everywhere at once.
+// The store rejects all calls for six seconds. Only the store readers keep calling it. The other hosts wait for them: in a
+// large fleet, their calls would load the store during the outage without finding updates. After the outage, a change must
+// be in force on all hosts within the store readers' maximum pause.
 func TestHostsWaitOutStoreOutage(t *testing.T) {
 	withFleet(t, 30, 20, freshness.Latest{}, func(s *fakeSite, f *fakeFleet) {
-		asks := map[string]bool{}
+		isReader := map[string]bool{}
 		for _, h := range f.storeReaders() {
-			asks[h.settings.Host] = true
+			isReader[h.settings.Host] = true
 		}
 		s.setRefusing(true)
 		f.mu.Lock()
@@ -148,8 +149,8 @@
 		time.Sleep(6 * time.Second)
 		f.mu.Lock()
 		for host, n := range f.storeReads {
-			if !asks[host] && n > 7 {
-				t.Errorf("%s looked for news %d times", host, n)
+			if !isReader[host] && n > 7 {
+				t.Errorf("%s called the store for updates %d times", host, n)
 			}
 		}
 		f.mu.Unlock()
--- a/internal/gateway/restore_test.go
+++ b/internal/gateway/restore_test.go
@@ -13,13 +13,13 @@
 	"pearlatch/core/leadership"
 )
 
-// restoreStoreAfter makes the store come back after an outage from a copy that lacks the changes made meanwhile by
-// change. What the operator and the members wrote last is written again.
-func restoreStoreAfter(s *fakeSite, away time.Duration, change func()) {
+// restoreStoreAfter takes a backup, runs change, and restores the store from the backup after an outage of the given length.
+// Then it writes the configuration and the members' entries again, as the operator and the members do.
+func restoreStoreAfter(s *fakeSite, outage time.Duration, change func()) {
 	b := s.backup()
 	change()
 	s.setDown(true)
-	time.Sleep(away)
+	time.Sleep(outage)
 	s.mu.Lock()
 	config := s.items["config"].Value
 	s.mu.Unlock()
@@ -31,21 +31,20 @@
 	}
 }
 
-// bumpRevision makes the store's revision rise.
+// bumpRevision increases the store's revision by the given number.
 func (s *fakeSite) bumpRevision(times int) {
 	for i := range times {
 		s.put("other", fmt.Append(nil, i), 0)
 	}
 }
 
-// Callers were served by a route that a version had dropped whose acknowledgement was 3.5 s old. The store had
-// been away for three seconds and had come back from an older copy, so that its revisions began again at a
-// smaller one than the hosts knew. They took its lists for old ones for six seconds ("source_failing", "revision 39,
-// and 65 is known: the source is behind"), until its revision had passed the one that they knew, and after that passed
-// over the configuration, which had been written at a smaller revision than the one before ("item_passed_over", "config",
-// "revision":39, "known":65). The cause: a revision was compared with one of before the return, though the store gives
-// the same numbers out again. All that is acknowledged after the store's return must be in force within 3 s,
-// whether its revision has passed the old one by then or not.
+// Guards against comparing a revision with one from before a restore, although a restored store assigns the same numbers
+// again. After an outage of three seconds, the store was restored from a backup and its revisions continued below the one
+// that the hosts knew. For six seconds the hosts rejected its lists as stale ("source_failing", "revision 39, and 65 is
+// known: the source is behind"). Once its revision had passed the known one, they ignored the new configuration, which had a
+// smaller revision than the one before ("item_passed_over", "config", "revision":39, "known":65). Callers were served by a
+// route that a configuration acknowledged 3.5 s earlier had removed. All that the store acknowledges after a restore must be
+// in force within 3 s, whether or not its revision has passed the old one by then.
 func TestConfigurationIsInForceAfterTheStoreWasRestored(t *testing.T) {
 	for name, later := range map[string]int{"smaller revisions": 0, "revisions that have passed the old one": 40} {
 		t.Run(name, func(t *testing.T) {
@@ -66,9 +65,9 @@
 	}
 }
 
-// The store turns two of the three hosts away that watch it, before it comes back from a copy and after. They, and those
-// that learn from them, hear of the return from other hosts alone, which knew the same numbers in another epoch. What is
-// acknowledged next must be in force everywhere within 3 s.
+// The store does not answer two of the three hosts that watch it, before its restore and after. These hosts, and those that
+// receive updates from them, learn of the restore only from other hosts, which knew the same revision numbers in another
+// epoch. The next acknowledged configuration must be in force on all hosts within 3 s.
 func TestHostsRejectedByStoreLearnOfRestore(t *testing.T) {
 	withFleet(t, 12, 20, freshness.Latest{}, func(s *fakeSite, f *fakeFleet) {
 		for _, h := range f.mutualSources() {
@@ -86,16 +85,17 @@
 	})
 }
 
-// The duty changed hands shortly before the store went away, and the store came back from a copy that has the holder
-// before. Revisions began again at a smaller one, and with them the fencing tokens: the platform had seen a higher
-// one and refused all orders. When the primary goes dark then, another member must lead within a few seconds.
+// The coordinator role changes hands shortly before an outage of the store, and the store is restored from a backup that has
+// the previous coordinator. The fencing tokens are revisions, so they continue below the highest token that the platform has
+// seen, and the platform rejected all promotions. If the primary then becomes unreachable, it must be replaced within six
+// seconds.
 func TestPrimaryIsReplacedAfterTheStoreWasRestored(t *testing.T) {
 	withFleet(t, 4, 20, freshness.Latest{}, func(s *fakeSite, f *fakeFleet) {
 		exec(f.all()[0], Write{})
 		restoreStoreAfter(s, 2*time.Second, func() {
 			s.bumpRevision(100)
 			s.removeCoordinatorEntry(f.coordinatorHost())
-			time.Sleep(2 * time.Second) // another host, or the same one again, has raised its token
+			time.Sleep(2 * time.Second) // a host, perhaps the same one, acquires the role and raises its token
 		})
 		time.Sleep(4 * time.Second)
 		s.updateMember("a", func(m *fakeMember) { m.silent = true })
@@ -107,11 +107,11 @@
 	})
 }
 
-// A host took the duty right before the store went away, and the store came back from a copy that has its lease and
-// not its entry. Its renewals succeed, while any other host may take the duty and replace the primary. It must not
-// take the renewed lease for the duty, or callers would read old data under the leases that it grants. The cause: an
-// answer to a renewal was taken for the entry's, whichever copy of the store gave it (no "duty_lost" followed on the
-// renewal, while the store had no entry).
+// A host acquires the coordinator role right before a backup of the store, which contains its lease but not its entry. After
+// a restore its renewals succeed, while any other host may acquire the role and replace the primary. A renewed lease must
+// not count as holding the role, or callers would read old data under the leases that the host grants. The fault was that a
+// successful renewal was taken as proof of the entry in any epoch of the store (no "duty_lost" followed the renewal,
+// although the store had no entry).
 func TestLeaseInRestoredStoreDoesNotGrantRole(t *testing.T) {
 	withFleet(t, 3, 20, freshness.Latest{}, func(s *fakeSite, f *fakeFleet) {
 		holder := f.coordinatorHost()
@@ -121,23 +121,24 @@
 		s.restore(b)
 		renewLeaseNow(holder, d)
 		if d.wasSoleHolder(time.Now()) {
-			t.Error("the host counts on a duty that is gone")
+			t.Error("the host relies on a coordinator role whose entry is gone")
 		}
 		time.Sleep(leadership.RenewalInterval + coordinatorPollInterval + 50*time.Millisecond)
 		d.mu.Lock()
 		token := d.token
 		d.mu.Unlock()
 		if entry := s.revisionOf(holder.coordinatorKey(testGroup)); d.wasSoleHolder(time.Now()) && entry != token {
-			t.Errorf("the host counts on a duty that it took at %v, the entry is of %v", token, entry)
+			t.Errorf("the host relies on a role that it acquired at revision %v, but the entry has revision %v", token, entry)
 		}
 	})
 }
 
-// A holder hands the duty back, and the store is copied. The next holder takes the duty, is cut off with the primary,
-// and the store comes back from the copy: there the duty was handed back, and nobody has it. Whoever takes it then and
-// promotes another member must wait as after any other holder that may not know of its end: a host that the one before
-// reaches alone would read old data under its leases. The cause: what the copy said of the last holder was believed,
-// whoever had held the duty since ("a lease on the old primary holds for 580ms more").
+// A coordinator hands its role back, and the store is backed up. A second host acquires the role and is partitioned off with
+// the primary. Then the store is restored from the backup, in which the role was handed back and is free. The next
+// coordinator must wait for the second one's leases before it promotes another member, as after any coordinator that may not
+// know that it has lost the role: a host that reaches only the second one would read old data under its leases. The fault
+// was that the backup's last coordinator was taken as the last one, although another had held the role since ("a lease on
+// the old primary holds for 580ms more").
 func TestHandBackInRestoredCopyIsIgnored(t *testing.T) {
 	withFleet(t, 4, 20, freshness.Latest{}, func(s *fakeSite, f *fakeFleet) {
 		for _, h := range f.all() {
@@ -148,23 +149,23 @@
 		b := s.backup()
 		for until := time.Now().Add(5 * time.Second); !b.items[first.coordinatorKey(testGroup)].Removed; b = s.backup() {
 			if time.Now().After(until) {
-				t.Fatal("the duty was not handed back")
+				t.Fatal("the coordinator role was not handed back")
 			}
 			time.Sleep(time.Millisecond)
 		}
 		time.Sleep(1500 * time.Millisecond)
 		second := f.coordinatorHost()
 		if second == nil || second == first {
-			t.Fatal("nobody else took the duty")
+			t.Fatal("no other host acquired the coordinator role")
 		}
 		wantLeasesWaitedOut(t, s, f, second, func() { s.restore(b) })
 	})
 }
 
-// A host holds the duty when the store is copied. Its process ends, another host takes the duty and is cut off with the
-// primary, and the store comes back from the copy: there the duty is the first host's, whose new process takes it up
-// again. It may not take that for a duty which nobody had since: it must outwait the leases of the one in between, which
-// held for 774 ms more when another member led.
+// A host holds the coordinator role when the store is backed up. Its process ends, and a second host acquires the role and
+// is partitioned off with the primary. Then the store is restored from the backup, in which the first host holds the role,
+// and its new process takes the role up again. It must not assume that nobody else has held the role, and must wait for the
+// second host's leases. Without the wait, these were still valid for 774 ms when another member became primary.
 func TestRoleInRestoredCopyIsNotReclaimed(t *testing.T) {
 	withFleet(t, 4, 20, freshness.Latest{}, func(s *fakeSite, f *fakeFleet) {
 		for _, h := range f.all() {
@@ -178,17 +179,17 @@
 		time.Sleep(2 * time.Second)
 		second := f.coordinatorHost()
 		if second == nil || second.settings.Host == first.settings.Host {
-			t.Fatal("nobody else took the duty")
+			t.Fatal("no other host acquired the coordinator role")
 		}
 		wantLeasesWaitedOut(t, s, f, second, func() { s.restore(b) })
 	})
 }
 
-// The platform checks no tokens, leaves an order unanswered and carries it out six seconds later. The holder dies right
-// after it, the store comes back from a copy that lacks the record of the order, and the old primary answers again. The
-// next holder has seen the record before the store went away, and must still know of the order: if it let the old
-// primary acknowledge writes with the other replica, they would be lost. The cause: only the store's record was read
-// ("record_inherited", "ordered":"" right after a "promotion_open").
+// The platform does not check tokens, does not answer a promotion request and carries it out six seconds later. The
+// coordinator dies right after the request, the store is restored from a backup without the record of the request, and the
+// old primary answers again. The next coordinator saw the record before the restore and must still take the pending
+// promotion into account: if it let the old primary acknowledge writes with the other replica, these would be lost. The
+// fault was that it read only the store's record ("record_inherited", "ordered":"" right after a "promotion_open").
 func TestOpenPromotionSurvivesStoreRestore(t *testing.T) {
 	testOpenPromotion(t, func(s *fakeSite, b storeBackup) {
 		delete(b.items, "own/duty/"+testGroup)
@@ -196,10 +197,10 @@
 	})
 }
 
-// The operator takes a key away, and the store comes back from a copy in which the key still stands. The operator has not
-// written again when a host starts that the store turns away: it learns from another one. That one must pass on the
-// configuration that is in force, or callers get in with the key that was taken away. The cause: what the store showed
-// was passed on, whatever was in force ("passes on version 1", with version 2 in force).
+// The operator revokes a key, and the store is restored from a backup that still has the key. Before the operator writes the
+// configuration again, a host that the store does not answer starts and receives its updates from another host. That host
+// must send the configuration in force, or callers are admitted with the revoked key. The fault was that hosts sent the
+// store's configuration instead ("passes on version 1", with version 2 in force).
 func TestRestoredOldConfigIsNotPropagated(t *testing.T) {
 	withFleet(t, 3, 20, freshness.Latest{}, func(s *fakeSite, f *fakeFleet) {
 		b := s.backup()
@@ -208,29 +209,29 @@
 		s.restore(b)
 		time.Sleep(1500 * time.Millisecond)
 		for _, h := range f.all() {
-			news, _, err := h.storeView.After(0)
-			if err != nil || !news.Full {
-				t.Fatalf("%+v, %v", news, err)
+			update, _, err := h.storeView.After(0)
+			if err != nil || !update.Full {
+				t.Fatalf("%+v, %v", update, err)
 			}
-			for _, i := range news.Items {
+			for _, i := range update.Items {
 				if i.Key == "config" && i.Value[0] != 2 {
-					t.Errorf("%s passes on version %d", h.settings.Host, i.Value[0])
+					t.Errorf("%s sends version %d", h.settings.Host, i.Value[0])
 				}
 			}
 		}
 	})
 }
 
-// A replica says that it is about to leave, and the store comes back from a copy that does not know of it. Until the
-// member writes again, hosts would send it new work, of which some would meet its end. And a member that was promoted
-// after the copy was made still leads. The cause: an entry of the copy was taken for news of the member, though it
-// counts fewer writes of its own than the one known.
+// A replica announces that it is leaving, and the store is restored from a backup without the announcement. Until the member
+// writes its entry again, hosts must not send it new work, some of which would be running when the member ends. A member
+// that was promoted after the backup must still count as the primary. The fault was that the backup's entry was taken as the
+// newer one, although its sequence number is smaller than the known one's.
 func TestRestoredMembersKeepKnownState(t *testing.T) {
 	withFleet(t, 3, 20, freshness.Latest{}, func(s *fakeSite, f *fakeFleet) {
 		b := s.backup()
 		s.updateMember("a", func(m *fakeMember) { m.crashed = true })
 		time.Sleep(3 * time.Second)
-		leader := s.primaryID()
+		primary := s.primaryID()
 		s.updateMember("a", func(m *fakeMember) { m.crashed, m.isPrimary = false, false })
 		s.writeMemberEntry("a", "draining")
 		time.Sleep(time.Second)
@@ -244,18 +245,18 @@
 				}
 			}
 			g.mu.Lock()
-			if m := g.members[leader]; leader == "a" || m == nil || !m.IsPrimary {
-				t.Errorf("%s believes that %s does not lead", h.settings.Host, leader)
+			if m := g.members[primary]; primary == "a" || m == nil || !m.IsPrimary {
+				t.Errorf("%s does not take %s for the primary", h.settings.Host, primary)
 			}
 			g.mu.Unlock()
 		}
 	})
 }
 
-// Hosts have written their entries after the store was copied, under leases of before. The store comes back, the leases
-// stand, and the entries are gone: hosts that start then would share the members' connections as if they were alone, and
-// pass nothing on to the others. Each host must write its entry again with its next renewal. The cause: a renewal that
-// succeeded was taken for the entry's, whichever copy of the store answered.
+// The store is restored from a backup that has the hosts' leases but not their entries. Hosts that start then would take all
+// of the members' connections as if they were alone and would send no updates to the others. Each host must write its entry
+// again at its next renewal. The fault was that a successful renewal was taken as proof of the entry in any epoch of the
+// store.
 func TestHostsRewriteEntriesAfterRestore(t *testing.T) {
 	withFleet(t, 5, 20, freshness.Latest{}, func(s *fakeSite, f *fakeFleet) {
 		b := s.backup()
@@ -270,9 +271,9 @@
 	})
 }
 
-// The record of who may hold portions of quotas is lost with the store's return. Whoever takes the duty then must name all
-// hosts, before it hands anything out, since any of them may have held the duty and got portions of which the record that
-// is left says nothing: they would be spent beside those that it hands out.
+// A restore of the store loses the record of the hosts that may hold portions of quotas. The next coordinator must list all
+// hosts in the record before it grants portions: any host may have been coordinator or have received portions that the
+// remaining record does not show, and these would be spent in addition to the new ones.
 func TestAllHostsMayHoldPortionsAfterTheStoreWasRestored(t *testing.T) {
 	withFleet(t, 4, 20, freshness.Latest{}, func(s *fakeSite, f *fakeFleet) {
 		holder := f.coordinatorHost()
@@ -294,28 +295,30 @@
 	})
 }
 
-// A holder has taken all leases back and fenced the replicas when the store comes back from a copy: it loses the duty, and
-// takes it up again at once. What it goes on to order would be under the new duty, without having waited for the leases of
-// a holder that the store forgot: a host that reaches that one alone would read old data.
+// A coordinator has revoked all leases and fenced the replicas when the store is restored from a backup. It loses the role
+// and acquires it again at once. A promotion that it started before must not be requested under the newly acquired role,
+// since it has not waited for the leases of a coordinator that the restore removed from the store: a host that reaches only
+// that one would read old data.
 func TestPromotionUnderLostRoleIsNotRequested(t *testing.T) {
 	withHost(t, freshness.Latest{}, func(s *fakeSite, h *Host) {
 		exec(h, Write{})
 		d := h.coordinatorOf(testGroup)
-		w := &groupMonitor{coordinator: d, roundAcquiredAt: d.acquiredTime()}
+		m := &groupMonitor{coordinator: d, roundAcquiredAt: d.acquiredTime()}
 		s.restore(s.backup())
 		time.Sleep(time.Second)
-		if !d.isHeld() || d.acquiredTime().Equal(w.roundAcquiredAt) {
-			t.Fatal("the duty was not taken up again")
+		if !d.isHeld() || d.acquiredTime().Equal(m.roundAcquiredAt) {
+			t.Fatal("the role was not acquired again")
 		}
-		w.promote(context.Background(), "b", successorChoice{})
+		m.promote(context.Background(), "b", successorChoice{})
 		if orders := s.promotionOrders(); len(orders) > 0 {
-			t.Errorf("%v was ordered", orders)
+			t.Errorf("promotions %v were requested", orders)
 		}
 	})
 }
 
-// After the store's return every host must know of it within the 3 s in which a configuration must be in force, also in a
-// fleet in which most learn from others, and somebody must hold the duty again. The times are logged.
+// After a restore of the store, every host must know the new epoch within 3 s, the limit for a configuration to be in force,
+// also in a fleet in which most hosts receive updates from others. A host must acquire the coordinator role in the new
+// epoch. The times are logged.
 func TestRestoreIsDetectedSoon(t *testing.T) {
 	for _, hosts := range []int{3, 12, 75} {
 		t.Run(fmt.Sprint(hosts, " hosts"), func(t *testing.T) {
@@ -339,13 +342,13 @@
 				if known > 3*time.Second {
 					t.Errorf("known everywhere after %s", known)
 				}
-				t.Logf("%d hosts: known everywhere after %s, the duty held after %s", hosts, known, held)
+				t.Logf("%d hosts: known everywhere after %s, the coordinator role held after %s", hosts, known, held)
 			})
 		})
 	}
 }
 
-// inEpoch reports whether all hosts know of the store's epoch.
+// inEpoch reports whether the store views of all hosts are in the epoch.
 func (f *fakeFleet) inEpoch(e kv.Epoch) bool {
 	for _, h := range f.all() {
 		h.mu.Lock()
@@ -358,13 +361,13 @@
 	return true
 }
 
-// waitFor waits until the condition holds, and returns for how long.
-func waitFor(t *testing.T, holds func() bool) time.Duration {
+// waitFor waits until the condition is true and returns the time waited. It fails the test after 10 s.
+func waitFor(t *testing.T, condition func() bool) time.Duration {
 	t.Helper()
 	started := time.Now()
-	for !holds() {
+	for !condition() {
 		if time.Since(started) > 10*time.Second {
-			t.Fatal("it does not come to hold")
+			t.Fatal("the condition did not become true within 10 s")
 		}
 		time.Sleep(time.Millisecond)
 	}
--- a/internal/gateway/serving_test.go
+++ b/internal/gateway/serving_test.go
@@ -12,14 +12,14 @@
 	"pearlatch/core/group"
 )
 
-// Thirty hosts stand before members that take twenty connections. If each opened one to
-// every member, a third of them would be refused again and again. A few hosts serve, and
-// the callers of all others are answered through these.
+// Thirty hosts use members that accept twenty connections. If each host opened a connection to every member, a third of the
+// connections would be rejected repeatedly. Instead a few hosts serve the group, and all others forward their callers'
+// statements to these.
 func TestFewHostsServeForAll(t *testing.T) {
 	withFleet(t, 30, 20, freshness.Latest{}, func(s *fakeSite, f *fakeFleet) {
-		here, elsewhere := f.serving()
-		if len(here) != 2 {
-			t.Fatalf("%d of %d hosts serve", len(here), len(here)+len(elsewhere))
+		serving, others := f.serving()
+		if len(serving) != 2 {
+			t.Fatalf("%d of %d hosts serve", len(serving), len(serving)+len(others))
 		}
 		for _, h := range f.all() {
 			if r := exec(h, Write{}); r.Failure != nil {
@@ -35,31 +35,31 @@
 	})
 }
 
-// A chef saves a recipe and looks it up, both through another host. The replicas have not
-// applied the save: the mark of the session must travel with the read.
+// A session writes and then reads, both through another host, while the replicas have not applied the write. The session's
+// mark must be sent with the read, so that it runs on the primary.
 func TestForwardedReadSeesOwnWrite(t *testing.T) {
 	withFleet(t, 30, 20, freshness.OwnWrites{}, func(s *fakeSite, f *fakeFleet) {
 		for _, id := range []string{"b", "c"} {
 			s.updateMember(id, func(m *fakeMember) { m.lagging = true })
 		}
-		_, elsewhere := f.serving()
-		chef := openSession(t, elsewhere[0])
-		execIn(chef, Write{})
-		if chef.lastWrite == (group.Position{}) {
+		_, others := f.serving()
+		session := openSession(t, others[0])
+		execIn(session, Write{})
+		if session.lastWrite == (group.Position{}) {
 			t.Error("the session has no mark after its write")
 		}
-		if got := row(execIn(chef, Read{})); got != "a" {
+		if got := row(execIn(session, Read{})); got != "a" {
 			t.Errorf("the read after the write ran on %q", got)
 		}
 	})
 }
 
-// A transaction with a session value and a prepared statement runs through another host:
-// on one connection, with the caller's own values, and nothing stays open after its end.
+// A transaction with a session value and a prepared statement runs through another host. It must use one connection and the
+// caller's values, and nothing may stay open after its end.
 func TestTransactionThroughAnotherHost(t *testing.T) {
 	withFleet(t, 30, 20, freshness.Latest{}, func(_ *fakeSite, f *fakeFleet) {
-		_, elsewhere := f.serving()
-		caller := openSession(t, elsewhere[0])
+		_, others := f.serving()
+		caller := openSession(t, others[0])
 		execIn(caller, Set{"v", "7"})
 		execIn(caller, Prepare{"s", PreparedStatement{Writes: true, Text: "boards"}})
 		execIn(caller, Begin{})
@@ -79,12 +79,12 @@
 	})
 }
 
-// A failed statement breaks a transaction that runs elsewhere: further statements are
-// refused until the caller ends it, and the connection is free at once.
+// A statement fails in a transaction that runs on another host. Further statements must be rejected until the caller ends
+// the transaction, and the connection must be released immediately.
 func TestFailedTransactionThroughAnotherHost(t *testing.T) {
 	withFleet(t, 30, 20, freshness.Latest{}, func(_ *fakeSite, f *fakeFleet) {
-		_, elsewhere := f.serving()
-		caller := openSession(t, elsewhere[0])
+		_, others := f.serving()
+		caller := openSession(t, others[0])
 		execIn(caller, Begin{})
 		execIn(caller, Read{})
 		wantCode(t, execIn(caller, Execute{Name: "nothing"}), UnknownStatement)
@@ -97,13 +97,13 @@
 	})
 }
 
-// The host that serves the group goes dark. Callers of others must not wait until their
-// time is over: the next host that serves takes their statements.
+// A host that serves the group becomes unreachable. Callers of other hosts must not wait until their statements time out:
+// the next serving host must run them.
 func TestUnreachableServerIsAbandonedAtOnce(t *testing.T) {
 	withFleet(t, 30, 20, freshness.Latest{}, func(_ *fakeSite, f *fakeFleet) {
-		here, elsewhere := f.serving()
-		f.setFault(f.unreachable, here[0].settings.Host, true)
-		for _, h := range elsewhere {
+		serving, others := f.serving()
+		f.setFault(f.unreachable, serving[0].settings.Host, true)
+		for _, h := range others {
 			started := time.Now()
 			if r := exec(h, Read{}); r.Failure != nil {
 				t.Errorf("at %s: %v", h.settings.Host, r.Failure)
@@ -115,14 +115,14 @@
 	})
 }
 
-// A lane to the serving host goes silent with a write on it. The write never arrived: it
-// is sent again elsewhere, and the lost one must not run when it arrives after all.
+// A stream to a serving host loses a write. The write must be retried on another host, and the first one must not run if it
+// arrives later.
 func TestUndeliveredWriteIsRetried(t *testing.T) {
 	withFleet(t, 30, 20, freshness.Latest{}, func(s *fakeSite, f *fakeFleet) {
-		here, elsewhere := f.serving()
-		h := elsewhere[0]
+		serving, others := f.serving()
+		h := others[0]
 		for range 3 {
-			exec(h, Read{}) // the processes of both hosts are known
+			exec(h, Read{}) // until the processes of both hosts are known
 			time.Sleep(10 * time.Millisecond)
 		}
 		first := h.serversFor(h.group(testGroup)).servers[0]
@@ -130,7 +130,7 @@
 		if r := exec(h, Write{}); r.Failure != nil {
 			t.Errorf("the write: %v", r.Failure)
 		}
-		for _, server := range here {
+		for _, server := range serving {
 			if server.settings.Host != first.ID {
 				continue
 			}
@@ -145,16 +145,16 @@
 	})
 }
 
-// A lane goes silent after a write has run: its answer is lost between the two hosts. The
-// caller must get it all the same, and the write must run once.
+// A stream loses the reply of a write that has run. The caller must still receive the reply, and the write must run only
+// once.
 func TestLostPeerReplyIsQueried(t *testing.T) {
 	withFleet(t, 30, 20, freshness.Latest{}, func(s *fakeSite, f *fakeFleet) {
-		here, elsewhere := f.serving()
-		for _, server := range here {
+		serving, others := f.serving()
+		for _, server := range serving {
 			f.setFault(f.losesReplies, server.settings.Host, true)
 		}
 		ran := len(s.ran("a"))
-		if r := exec(elsewhere[0], Write{}); r.Failure != nil || r.Signature == "" {
+		if r := exec(others[0], Write{}); r.Failure != nil || r.Signature == "" {
 			t.Errorf("the write: %+v", r)
 		}
 		if got := len(s.ran("a")) - ran; got != 1 {
@@ -163,28 +163,28 @@
 	})
 }
 
-// The host that serves the group ends with a write under way. Nobody can know whether it
-// ran: the caller is told so, and it is not repeated.
+// The hosts that serve the group become unreachable while one of them runs a write. Its outcome is unknown, so it must be
+// reported as in doubt and must not be retried.
 func TestWriteStaysInDoubtWhenItsServerIsLost(t *testing.T) {
 	withFleet(t, 30, 20, freshness.Latest{}, func(s *fakeSite, f *fakeFleet) {
-		here, elsewhere := f.serving()
+		serving, others := f.serving()
 		s.updateMember("a", func(m *fakeMember) { m.work = 300 * time.Millisecond })
 		done := make(chan Reply, 1)
-		go func() { done <- exec(elsewhere[0], Write{}) }()
+		go func() { done <- exec(others[0], Write{}) }()
 		time.Sleep(50 * time.Millisecond)
-		for _, server := range here {
+		for _, server := range serving {
 			f.setFault(f.unreachable, server.settings.Host, true)
 		}
 		wantCode(t, <-done, InDoubt)
 	})
 }
 
-// A host can reach none of those that serve the group, but the members. Its callers are
-// served from a connection of its own after a moment.
+// A host reaches none of the serving hosts, but it reaches the members. After a short delay it must serve its callers over
+// its own connections, and close these once it reaches the serving hosts again.
 func TestIsolatedHostServesItself(t *testing.T) {
 	withFleet(t, 30, 20, freshness.Latest{}, func(_ *fakeSite, f *fakeFleet) {
-		_, elsewhere := f.serving()
-		h := elsewhere[0]
+		_, others := f.serving()
+		h := others[0]
 		f.setFault(f.unreachable, h.settings.Host, true)
 		served := 0
 		for range 10 {
@@ -207,22 +207,22 @@
 	})
 }
 
-// A serving host is told to stop. Others turn elsewhere at once, and what is open on it
-// ends in peace.
+// A serving host is told to stop. Other hosts must send new statements elsewhere immediately, and transactions that are open
+// on the stopping host must be able to commit.
 func TestStoppingServerFinishesForwardedWork(t *testing.T) {
 	withFleet(t, 30, 20, freshness.Latest{}, func(_ *fakeSite, f *fakeFleet) {
-		here, elsewhere := f.serving()
+		serving, others := f.serving()
 		var callers []*Session
-		for _, h := range elsewhere[:6] {
+		for _, h := range others[:6] {
 			c := openSession(t, h)
 			execIn(c, Begin{})
 			execIn(c, Read{})
 			callers = append(callers, c)
 		}
-		stopping := here[0]
+		stopping := serving[0]
 		stopping.Stop()
 		time.Sleep(100 * time.Millisecond)
-		for _, h := range elsewhere {
+		for _, h := range others {
 			if r := exec(h, Read{}); r.Failure != nil {
 				t.Errorf("at %s: %v", h.settings.Host, r.Failure)
 			}
@@ -233,86 +233,86 @@
 			}
 		}
 		if stopping.ForwardedCount() != 0 {
-			t.Errorf("%d guests are left", stopping.ForwardedCount())
+			t.Errorf("%d forwarded requests or transactions are left", stopping.ForwardedCount())
 		}
 	})
 }
 
-// A host dies with a transaction open on another one. That transaction must not hold its
-// connection for ever.
+// A host dies while it has a transaction open on another host. The transaction must be rolled back after a timeout, so that
+// it does not keep its connection.
 func TestAbandonedTransactionIsRolledBack(t *testing.T) {
 	withFleet(t, 30, 20, freshness.Latest{}, func(_ *fakeSite, f *fakeFleet) {
-		here, _ := f.serving()
-		guest := here[0].NewForwardedSession()
+		serving, _ := f.serving()
+		session := serving[0].NewForwardedSession()
 		r := &PeerRequest{
 			From: "gone", Serial: 1, Group: testGroup, Begin: &Begin{},
 			Route:   Route{Class: freshness.Latest{}, Timeout: time.Second},
 			Request: Request{ID: "x", Statement: Read{}},
 		}
-		if declined := guest.Accept(r); declined != nil {
+		if declined := session.Accept(r); declined != nil {
 			t.Fatalf("%+v", declined)
 		}
-		if reply := guest.Run(context.Background(), r); reply.Reply.Failure != nil || !guest.Open() {
+		if reply := session.Run(context.Background(), r); reply.Reply.Failure != nil || !session.Open() {
 			t.Fatalf("%+v", reply)
 		}
-		if rest := guest.IdleTimeout(); rest < defaultTransactionIdleTimeout {
-			t.Errorf("a guest may rest for %s only", rest)
+		if idle := session.IdleTimeout(); idle < defaultTransactionIdleTimeout {
+			t.Errorf("a forwarded session may be idle for %s only", idle)
 		}
-		guest.Expire()
-		if guest.Open() || here[0].ForwardedCount() != 0 {
-			t.Error("the transaction is open still")
+		session.Expire()
+		if session.Open() || serving[0].ForwardedCount() != 0 {
+			t.Error("the transaction is still open")
 		}
 	})
 }
 
-// Every host asked who leads when it started. Those connections take places of the few
-// that a member has, and must not stay open.
+// Every host sends control commands to the members when it starts, to find the primary. The connections for these count
+// towards the few that a member accepts, so they must not stay open.
 func TestIdleControlConnsAreClosed(t *testing.T) {
 	withFleet(t, 30, 20, freshness.Latest{}, func(s *fakeSite, f *fakeFleet) {
 		for _, h := range f.all() {
 			h.group(testGroup).controlAll(h.group(testGroup).listMembers()[:1], Probe{}, controlTimeout)
 			time.Sleep(2 * time.Second)
 		}
-		here, _ := f.serving()
+		serving, _ := f.serving()
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		ahead := 2 * len(here) // each opens as many ahead as the member has slots
-		if conns := s.member("a").conns; conns > ahead+reservedControlConns {
+		prewarmed := 2 * len(serving) // each serving host prewarms as many connections as the member has slots
+		if conns := s.member("a").conns; conns > prewarmed+reservedControlConns {
 			t.Errorf("%d connections are open, with no caller", conns)
 		}
 	})
 }
 
-// A host stops: it writes that it leaves and takes its entry back, and others learn both in
-// one message. They must not take it for a host that lapsed and may serve still.
+// A host stops: it marks its entry as leaving, and the entry is removed. Other hosts may receive both changes in one update.
+// They must not treat the host as one whose entry has expired and that may still be serving.
 func TestDepartedHostIsNotTreatedAsLapsed(t *testing.T) {
 	withFleet(t, 30, 20, freshness.Latest{}, func(_ *fakeSite, f *fakeFleet) {
-		here, _ := f.serving()
-		here[0].Stop()
+		serving, _ := f.serving()
+		serving[0].Stop()
 		time.Sleep(50 * time.Millisecond)
 		for _, h := range f.all() {
 			for _, server := range h.serversFor(h.group(testGroup)).servers {
-				if server.ID == here[0].settings.Host && h != here[0] {
-					t.Errorf("%s turns to the host that stops", h.settings.Host)
+				if server.ID == serving[0].settings.Host && h != serving[0] {
+					t.Errorf("%s forwards to the stopping host", h.settings.Host)
 				}
 			}
 		}
 	})
 }
 
-// The day's first callers come to hosts that serve for many others. If these open their
-// connections only then, each takes a slot of a member for as long as three statements.
+// Serving hosts must prewarm their connections. If they opened them only for the first callers, each would occupy a slot of
+// a member for as long as three statements.
 func TestServingHostsOpenConnectionsAhead(t *testing.T) {
 	withFleet(t, 30, 20, freshness.Latest{}, func(_ *fakeSite, f *fakeFleet) {
-		here, elsewhere := f.serving()
-		for _, h := range here {
+		serving, others := f.serving()
+		for _, h := range serving {
 			for _, m := range h.Snapshot().Groups[0].Members {
 				if m.Connections != 2 {
 					t.Errorf("%s has %d connections to %s", h.settings.Host, m.Connections, m.ID)
 				}
 			}
 		}
-		for _, h := range elsewhere {
+		for _, h := range others {
 			for _, m := range h.Snapshot().Groups[0].Members {
 				if m.Connections != 0 {
 					t.Errorf("%s, which does not serve, has %d connections to %s", h.settings.Host, m.Connections, m.ID)
@@ -322,23 +322,23 @@
 	})
 }
 
-// A host that runs a transaction for another one is told to forget a statement before that
-// arrives, and declines it. The transaction must end there: its connection would otherwise
-// serve the statements of whoever comes next.
+// A host that runs a transaction for another host is asked for the outcome of a statement that has not arrived yet, so it
+// declines the statement later. The transaction must then end on this host. Otherwise its connection would run the
+// statements of the next session inside the transaction.
 func TestDeclinedStatementEndsItsTransaction(t *testing.T) {
 	withFleet(t, 30, 20, freshness.Latest{}, func(_ *fakeSite, f *fakeFleet) {
-		here, elsewhere := f.serving()
-		h := elsewhere[0]
+		serving, others := f.serving()
+		h := others[0]
 		c := openSession(t, h)
 		execIn(c, Begin{})
 		execIn(c, Read{})
-		for _, server := range here {
+		for _, server := range serving {
 			server.OutcomeOf(h.processID, h.requestSerial.Load()+1)
 		}
 		wantCode(t, execIn(c, Write{}), Aborted)
-		for _, server := range here {
+		for _, server := range serving {
 			if server.ForwardedCount() != 0 {
-				t.Errorf("%s has %d guests", server.settings.Host, server.ForwardedCount())
+				t.Errorf("%s has %d forwarded requests or transactions", server.settings.Host, server.ForwardedCount())
 			}
 		}
 		wantCode(t, execIn(c, Commit{}), Aborted)
@@ -348,18 +348,18 @@
 	})
 }
 
-// A host gives up the first statement of a transaction, and hears only then that it ran. The
-// other host has rolled the transaction back: what follows must not run by itself.
+// A host abandons the first statement of a transaction and learns only later that it ran. The other host has rolled the
+// transaction back, so later statements must not run outside of a transaction.
 func TestTransactionThatWasGivenUpIsNotContinued(t *testing.T) {
 	withFleet(t, 30, 20, freshness.Latest{}, func(s *fakeSite, f *fakeFleet) {
-		here, elsewhere := f.serving()
-		c := openSession(t, elsewhere[0])
-		for _, server := range here {
+		serving, others := f.serving()
+		c := openSession(t, others[0])
+		for _, server := range serving {
 			f.setFault(f.losesReplies, server.settings.Host, true)
 		}
 		execIn(c, Begin{})
 		first := execIn(c, Read{})
-		for _, server := range here {
+		for _, server := range serving {
 			f.setFault(f.losesReplies, server.settings.Host, false)
 		}
 		ran := len(s.ran("a"))
@@ -376,32 +376,32 @@
 	})
 }
 
-// One host serves a group for all and is gone without a trace. The others turn to the next one
-// in the order, which opens connections of its own. If each served itself, twelve hosts would
-// fight over the six connections that a member takes.
+// The only host that serves a group becomes unreachable. The other hosts must use the next host in the forwarding order,
+// which opens its own connections. If each host served its own callers, twelve hosts would compete for the six connections
+// that a member accepts.
 func TestFallbackHostServesForLostServer(t *testing.T) {
 	withFleet(t, 12, 6, freshness.Latest{}, func(_ *fakeSite, f *fakeFleet) {
-		here, elsewhere := f.serving()
-		if len(here) != 1 {
-			t.Fatalf("%d hosts serve", len(here))
+		serving, others := f.serving()
+		if len(serving) != 1 {
+			t.Fatalf("%d hosts serve", len(serving))
 		}
-		gone := here[0].settings.Host
+		gone := serving[0].settings.Host
 		f.setFault(f.unreachable, gone, true)
-		for _, h := range elsewhere {
+		for _, h := range others {
 			go exec(h, Read{})
 		}
 		time.Sleep(1500 * time.Millisecond)
-		if n := failedReads(elsewhere, 10); n > 0 {
+		if n := failedReads(others, 10); n > 0 {
 			t.Errorf("%d of 110 reads failed", n)
 		}
-		if n := countFallbacks(elsewhere); n != 1 {
-			t.Errorf("%d hosts serve in place of the one that is gone", n)
+		if n := countFallbacks(others); n != 1 {
+			t.Errorf("%d hosts serve in place of the unreachable one", n)
 		}
 	})
 }
 
-// failedReads lets callers of all hosts read at once, each one after the other, and returns how
-// many failed.
+// failedReads runs the given number of reads at each host, one after the other at a host and concurrently on different
+// hosts. It returns the number of failed reads.
 func failedReads(hosts []*Host, each int) int64 {
 	var wait sync.WaitGroup
 	var failed atomic.Int64
@@ -418,7 +418,7 @@
 	return failed.Load()
 }
 
-// countFallbacks counts the hosts that serve the group in place of others.
+// countFallbacks returns the number of hosts that are a fallback for the group.
 func countFallbacks(hosts []*Host) int {
 	n := 0
 	for _, h := range hosts {
@@ -432,18 +432,18 @@
 	return n
 }
 
-// One host serves a group for nine. Reads that may be a second old run on the replica of the
-// caller's own zone, without a hop; once that falls behind, or does not answer, they go by way of the
-// host that serves, and no caller notices.
+// One host serves a group for nine hosts. Reads with a maximum staleness of one second must run on the local replica of the
+// caller's host, without being forwarded. Once the replica does not answer, they must be forwarded to the serving host
+// without failing.
 func TestReadsRunOnLocalZoneReplica(t *testing.T) {
 	withFleet(t, 9, 16, freshness.MaxAge{Age: time.Second}, func(s *fakeSite, f *fakeFleet) {
-		here, elsewhere := f.serving()
-		if len(here) != 1 {
-			t.Fatalf("%d hosts serve", len(here))
+		serving, others := f.serving()
+		if len(serving) != 1 {
+			t.Fatalf("%d hosts serve", len(serving))
 		}
-		exec(here[0], Write{})
-		h, own := hostInReplicaZone(elsewhere, here[0])
-		exec(h, Read{}) // the host asks where the primary's log stands
+		exec(serving[0], Write{})
+		h, own := hostInReplicaZone(others, serving[0])
+		exec(h, Read{}) // makes the host request the primary's log position
 		time.Sleep(700 * time.Millisecond)
 		before := f.forwardedTotal()
 		for range 20 {
@@ -452,7 +452,7 @@
 			}
 		}
 		if n := f.forwardedTotal() - before; n > 0 {
-			t.Errorf("%d of 20 reads were passed on", n)
+			t.Errorf("%d of 20 reads were forwarded", n)
 		}
 		s.updateMember(own, func(m *fakeMember) { m.silent = true })
 		for range 5 {
@@ -463,8 +463,7 @@
 	})
 }
 
-// hostInReplicaZone returns one of the hosts that is in the zone of a replica, but not of the server, and
-// that replica.
+// hostInReplicaZone returns a host that is in the zone of a replica but not in the server's zone, and that replica.
 func hostInReplicaZone(hosts []*Host, server *Host) (*Host, string) {
 	for _, h := range hosts {
 		for id, zone := range zoneOfMember {
@@ -476,7 +475,7 @@
 	return nil, ""
 }
 
-// forwardedTotal returns how many requests hosts took for others.
+// forwardedTotal returns the number of requests that hosts accepted for others.
 func (f *fakeFleet) forwardedTotal() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/gateway/startup_test.go
+++ b/internal/gateway/startup_test.go
@@ -10,7 +10,8 @@
 	"pearlatch/core/freshness"
 )
 
-// largeFleet starts n hosts together before a store that holds so many further keys, in pages of a tenth of them.
+// largeFleet starts n hosts at the same time. The store holds the given number of additional keys and lists a tenth of them
+// per page.
 func largeFleet(n, keys int) *fakeFleet {
 	s := newFakeSite("a", "b", "c")
 	s.maxConns, s.pageItems = 20, keys/10
@@ -25,6 +26,7 @@
 	return f
 }
 
+// stopAll stops all hosts and waits until timers of the store and of orders have expired.
 func (f *fakeFleet) stopAll() {
 	for _, stop := range f.stops {
 		stop()
@@ -32,9 +34,9 @@
 	time.Sleep(20 * time.Second)
 }
 
-// Each host of a fleet read the whole store as it started, since it knew of no other host: before 1,000 groups 20 pages a
-// host, more than the store's link carries in the time in which a list had to be read. Now a few read it and the
-// others learn from them: what all hosts together read does not grow with the fleet as its lists do.
+// Guards against a fleet start in which every host reads the whole store because it does not know other hosts yet. With
+// 1,000 groups this took 20 pages per host, more than the store's link could carry within the timeout of a list. Only a few
+// hosts may read the whole store, and the others must receive its content from these.
 func TestFewHostsReadTheStoreAsAllStart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := largeFleet(120, 500)
@@ -43,7 +45,7 @@
 		f.wantConfigInForce(t, 1)
 		f.site.mu.Lock()
 		defer f.site.mu.Unlock()
-		// One page to count the hosts costs a host a look; a whole list costs ten.
+		// Counting the hosts reads one page per look. A list of the whole store takes ten.
 		if read := f.site.pages; read > 120*4 {
 			t.Errorf("120 hosts read %d pages", read)
 		}
--- a/internal/gateway/store_changes.go
+++ b/internal/gateway/store_changes.go
@@ -10,7 +10,8 @@
 	"pearlatch/internal/follow"
 )
 
-// applyChanges takes over news of the store.
+// applyChanges applies an update from the store or from another host. It may be called from several goroutines. The error is
+// that of the store view, which rejects stale and incomplete updates.
 func (h *Host) applyChanges(n follow.News) error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -39,8 +40,9 @@
 	return nil
 }
 
-// isLaterValue reports whether the first of two values of a key is the later one: a configuration by its version, a member's
-// entry by its own count, within one run of the member.
+// isLaterValue reports whether the first of two values of a key is the later one. Configurations are compared by their
+// versions, and members' entries by their sequence numbers if they are of the same incarnation. Other values are never
+// later.
 func (h *Host) isLaterValue(key string, first, second []byte) bool {
 	switch decode := h.ports.Decode; {
 	case key == h.ports.Keys.Config:
@@ -55,7 +57,7 @@
 	return false
 }
 
-// logApplied writes lines on what news did to the view, but for plain changes.
+// logApplied logs a restore of the store and the items that the view rejected.
 func (h *Host) logApplied(a kv.ApplyResult) {
 	if a.Restored {
 		h.log("store_restored", "revision", h.storeView.Revision(), "known", a.PreviousRevision, "changed", len(a.Replaced))
@@ -65,14 +67,15 @@
 	}
 }
 
-// applyHostEntry takes over a change of a host's entry.
+// applyHostEntry applies a change of a host's entry and ignores items of other keys.
 func (h *Host) applyHostEntry(i kv.Item) {
 	if id, ok := strings.CutPrefix(i.Key, h.hostsPrefix()); ok {
 		h.fleet.Note(id, i.Value, i.Removed, h.now())
 	}
 }
 
-// applyConfig takes over the configuration and reports whether it is a newer one.
+// applyConfig applies the configuration of the store view and reports whether it is newer than the current one. An invalid
+// configuration is logged and ignored.
 func (h *Host) applyConfig() (newer bool) {
 	i, ok := h.storeView.Item(h.ports.Keys.Config)
 	if !ok || i.Revision == h.configRevision {
@@ -91,7 +94,7 @@
 		return false
 	}
 	if h.config != nil && h.config.Accounts != nil && c.Accounts == nil {
-		// Without accounts everybody would be let in.
+		// Without accounts, any caller would be admitted.
 		h.log("config_refused", "version", c.Version, "err", "it has no accounts, and the one before had")
 		return false
 	}
@@ -107,22 +110,22 @@
 	return true
 }
 
-// applyMembers takes over what has changed of the groups' members, and who serves the groups if
-// that may have changed.
-func (h *Host) applyMembers(plans bool) {
+// applyMembers applies pending changes of members to their groups. If replan is true, it also configures all groups, whose
+// serving hosts may have changed.
+func (h *Host) applyMembers(replan bool) {
 	for name, change := range h.members.takeChanges() {
 		if g := h.groups[name]; g != nil {
 			g.updateMembers(change)
 		}
 	}
-	if plans {
+	if replan {
 		for name, g := range h.groups {
 			g.configure(h.config.Groups[name], h.maxStaleness[name], h.servingPlan(name), h.fleet.Seen())
 		}
 	}
 }
 
-// applyMemberEntry takes over a change of a member's entry.
+// applyMemberEntry applies a change of a member's entry and ignores items of other keys.
 func (h *Host) applyMemberEntry(i kv.Item) {
 	if !strings.HasPrefix(i.Key, h.ports.Keys.MembersPrefix) {
 		return
@@ -137,8 +140,7 @@
 	}
 }
 
-// Feed passes on what changed in the store after the revision until ctx ends or send
-// fails.
+// Feed sends the store's changes after the revision to another host, until ctx ends or send fails.
 func (h *Host) Feed(ctx context.Context, after kv.Revision, send func(follow.News) error) error {
 	return h.feeder.Feed(ctx, after, send)
 }
--- a/internal/gateway/store_changes_bench_test.go
+++ b/internal/gateway/store_changes_bench_test.go
@@ -13,8 +13,8 @@
 	"pearlatch/internal/follow"
 )
 
-// manyGroupsDecoder reads entries of many groups: the configuration is the number of groups, and a member's
-// entry its group.
+// manyGroupsDecoder decodes a configuration that consists of the number of groups, and member entries that consist of the
+// group's name.
 type manyGroupsDecoder struct{}
 
 func (manyGroupsDecoder) Config(value []byte) (*Config, error) {
@@ -34,7 +34,7 @@
 	}, nil
 }
 
-// BenchmarkHostJoins is what a host that joins costs each other host, before groups of three members.
+// BenchmarkHostJoins measures the cost at each other host of a host that joins. Each group has three members.
 func BenchmarkHostJoins(b *testing.B) {
 	for _, c := range []struct{ hosts, groups int }{
 		{10, 20}, {195, 20}, {195, 200}, {986, 20}, {986, 250}, {986, 1000}, {2000, 2000}, {10000, 10000},
@@ -51,23 +51,23 @@
 	}
 }
 
-// hostWithManyGroups returns a host that knows a fleet of n before many groups, and a function that returns the
-// news of a host that joins, or leaves again the second time.
+// hostWithManyGroups returns a host that knows n hosts and the given number of groups, and a function that returns the
+// update for a new entry of a host.
 func hostWithManyGroups(n, groups int) (*Host, func(name string, turn int) follow.News) {
 	h := NewHost(Settings{Host: "host-0", Zone: "zone-0", Peer: netip.MustParseAddrPort("10.0.0.1:1")}, Ports{
 		Peers: &fakePeers{}, Decode: manyGroupsDecoder{}, Keys: Keys{Config: "config", MembersPrefix: "members/", OwnPrefix: "own/"},
 	}, testLogger(), time.Now)
-	news := follow.News{Update: kv.Update{Full: true, Snapshot: kv.Snapshot{Revision: 1, Items: []kv.Item{{Key: "config", Value: binary.BigEndian.AppendUint32(nil, uint32(groups)), Revision: 1}}}}}
+	update := follow.News{Update: kv.Update{Full: true, Snapshot: kv.Snapshot{Revision: 1, Items: []kv.Item{{Key: "config", Value: binary.BigEndian.AppendUint32(nil, uint32(groups)), Revision: 1}}}}}
 	entry := func(i int) []byte { return fmt.Appendf(nil, "zone-%d 10.0.0.1:1", i%5) }
 	for i := range n {
-		news.Items = append(news.Items, kv.Item{Key: fmt.Sprint("own/hosts/host-", i), Value: entry(i), Revision: 1})
+		update.Items = append(update.Items, kv.Item{Key: fmt.Sprint("own/hosts/host-", i), Value: entry(i), Revision: 1})
 	}
 	for i := range groups {
 		for m := range 3 {
-			news.Items = append(news.Items, kv.Item{Key: fmt.Sprintf("members/%d-%d", i, m), Value: fmt.Append(nil, "group-", i), Revision: 1})
+			update.Items = append(update.Items, kv.Item{Key: fmt.Sprintf("members/%d-%d", i, m), Value: fmt.Append(nil, "group-", i), Revision: 1})
 		}
 	}
-	if err := h.applyChanges(news); err != nil {
+	if err := h.applyChanges(update); err != nil {
 		panic(err)
 	}
 	revision := kv.Revision(1)
