--- a/internal/gateway/propagation_test.go
+++ b/internal/gateway/propagation_test.go
@@ -36,8 +36,8 @@
 	return nil
 }
 
-// newConfig writes a version of the configuration.
-func (f *fakeFleet) newConfig(version, connections byte) {
+// writeConfig writes a version of the configuration.
+func (f *fakeFleet) writeConfig(version, connections byte) {
 	f.site.put("config", []byte{version, connections}, 0)
 }
 
@@ -67,7 +67,7 @@
 		if n := len(f.storeReaders()); n != 3 {
 			t.Errorf("%d hosts watch the store", n)
 		}
-		f.newConfig(2, 20)
+		f.writeConfig(2, 20)
 		time.Sleep(20 * time.Millisecond)
 		f.wantConfigInForce(t, 2)
 	})
@@ -82,11 +82,11 @@
 			f.setFault(f.storeRejects, h.settings.Host, true)
 		}
 		time.Sleep(watchWait)
-		f.newConfig(2, 20)
+		f.writeConfig(2, 20)
 		time.Sleep(2900 * time.Millisecond)
 		f.wantConfigInForce(t, 2)
 		// Later versions arrive without this delay.
-		f.newConfig(3, 20)
+		f.writeConfig(3, 20)
 		time.Sleep(500 * time.Millisecond)
 		f.wantConfigInForce(t, 3)
 	})
@@ -100,7 +100,7 @@
 		f.setFault(f.unreachable, gone.settings.Host, true)
 		f.setFault(f.storeRejects, gone.settings.Host, true)
 		time.Sleep(watchWait + 100*time.Millisecond) // watches that started before the fault have ended
-		f.newConfig(2, 20)
+		f.writeConfig(2, 20)
 		time.Sleep(1500 * time.Millisecond)
 		late := f.hostsBehind(2)
 		if len(late) != 1 || late[0] != gone.settings.Host {
@@ -116,7 +116,7 @@
 		s.setDown(true)
 		time.Sleep(3 * time.Second)
 		s.writeMemberEntry("c", "")
-		f.newConfig(2, 20)
+		f.writeConfig(2, 20)
 		s.setDown(false)
 		time.Sleep(2500 * time.Millisecond)
 		for _, h := range f.all() {
@@ -155,7 +155,7 @@
 		}
 		f.mu.Unlock()
 		s.setRefusing(false)
-		f.newConfig(2, 20)
+		f.writeConfig(2, 20)
 		time.Sleep(follow.SourcePauseMax + 300*time.Millisecond)
 		f.wantConfigInForce(t, 2)
 	})
--- a/internal/gateway/restore_test.go
+++ b/internal/gateway/restore_test.go
@@ -45,18 +45,18 @@
 // smaller revision than the one before ("item_passed_over", "config", "revision":39, "known":65). Callers were served by a
 // route that a configuration acknowledged 3.5 s earlier had removed. All that the store acknowledges after a restore must be
 // in force within 3 s, whether or not its revision has passed the old one by then.
-func TestConfigurationIsInForceAfterTheStoreWasRestored(t *testing.T) {
+func TestConfigIsInForceAfterStoreRestore(t *testing.T) {
 	for name, later := range map[string]int{"smaller revisions": 0, "revisions that have passed the old one": 40} {
 		t.Run(name, func(t *testing.T) {
 			withFleet(t, 12, 20, freshness.Latest{}, func(s *fakeSite, f *fakeFleet) {
-				f.newConfig(2, 20)
+				f.writeConfig(2, 20)
 				restoreStoreAfter(s, 3*time.Second, func() {
 					s.bumpRevision(30)
-					f.newConfig(3, 20)
+					f.writeConfig(3, 20)
 					time.Sleep(time.Second)
 				})
 				time.Sleep(time.Second)
-				f.newConfig(4, 20)
+				f.writeConfig(4, 20)
 				s.bumpRevision(later)
 				time.Sleep(2900 * time.Millisecond)
 				f.wantConfigInForce(t, 4)
@@ -75,11 +75,11 @@
 		}
 		restoreStoreAfter(s, 2*time.Second, func() {
 			s.bumpRevision(30)
-			f.newConfig(2, 20)
+			f.writeConfig(2, 20)
 			time.Sleep(time.Second)
 		})
 		time.Sleep(time.Second)
-		f.newConfig(3, 20)
+		f.writeConfig(3, 20)
 		time.Sleep(2900 * time.Millisecond)
 		f.wantConfigInForce(t, 3)
 	})
@@ -89,7 +89,7 @@
 // the previous coordinator. The fencing tokens are revisions, so they continue below the highest token that the platform has
 // seen, and the platform rejected all promotions. If the primary then becomes unreachable, it must be replaced within six
 // seconds.
-func TestPrimaryIsReplacedAfterTheStoreWasRestored(t *testing.T) {
+func TestPrimaryIsReplacedAfterStoreRestore(t *testing.T) {
 	withFleet(t, 4, 20, freshness.Latest{}, func(s *fakeSite, f *fakeFleet) {
 		exec(f.all()[0], Write{})
 		restoreStoreAfter(s, 2*time.Second, func() {
@@ -204,7 +204,7 @@
 func TestRestoredOldConfigIsNotPropagated(t *testing.T) {
 	withFleet(t, 3, 20, freshness.Latest{}, func(s *fakeSite, f *fakeFleet) {
 		b := s.backup()
-		f.newConfig(2, 20)
+		f.writeConfig(2, 20)
 		time.Sleep(time.Second)
 		s.restore(b)
 		time.Sleep(1500 * time.Millisecond)
@@ -274,7 +274,7 @@
 // A restore of the store loses the record of the hosts that may hold portions of quotas. The next coordinator must list all
 // hosts in the record before it grants portions: any host may have been coordinator or have received portions that the
 // remaining record does not show, and these would be spent in addition to the new ones.
-func TestAllHostsMayHoldPortionsAfterTheStoreWasRestored(t *testing.T) {
+func TestAllHostsMayHoldPortionsAfterStoreRestore(t *testing.T) {
 	withFleet(t, 4, 20, freshness.Latest{}, func(s *fakeSite, f *fakeFleet) {
 		holder := f.coordinatorHost()
 		b := s.backup()
@@ -330,7 +330,7 @@
 				time.Sleep(2 * time.Second)
 				s.restore(b)
 				s.setDown(false)
-				known := waitFor(t, func() bool { return f.inEpoch(1) })
+				known := waitFor(t, func() bool { return f.allInEpoch(1) })
 				held := known + waitFor(t, func() bool {
 					h := f.coordinatorHost()
 					if h == nil {
@@ -348,8 +348,8 @@
 	}
 }
 
-// inEpoch reports whether the store views of all hosts are in the epoch.
-func (f *fakeFleet) inEpoch(e kv.Epoch) bool {
+// allInEpoch reports whether the store views of all hosts are in the epoch.
+func (f *fakeFleet) allInEpoch(e kv.Epoch) bool {
 	for _, h := range f.all() {
 		h.mu.Lock()
 		known := h.storeView.Revision().Epoch()
--- a/internal/gateway/serving_test.go
+++ b/internal/gateway/serving_test.go
@@ -350,7 +350,7 @@
 
 // A host abandons the first statement of a transaction and learns only later that it ran. The other host has rolled the
 // transaction back, so later statements must not run outside of a transaction.
-func TestTransactionThatWasGivenUpIsNotContinued(t *testing.T) {
+func TestAbandonedTransactionIsNotContinued(t *testing.T) {
 	withFleet(t, 30, 20, freshness.Latest{}, func(s *fakeSite, f *fakeFleet) {
 		serving, others := f.serving()
 		c := openSession(t, others[0])
--- a/internal/gateway/startup_test.go
+++ b/internal/gateway/startup_test.go
@@ -37,7 +37,7 @@
 // Guards against a fleet start in which every host reads the whole store because it does not know other hosts yet. With
 // 1,000 groups this took 20 pages per host, more than the store's link could carry within the timeout of a list. Only a few
 // hosts may read the whole store, and the others must receive its content from these.
-func TestFewHostsReadTheStoreAsAllStart(t *testing.T) {
+func TestFewHostsReadStoreDuringFleetStart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := largeFleet(120, 500)
 		defer f.stopAll()
