--- a/internal/gateway/fakefleet_test.go
+++ b/internal/gateway/fakefleet_test.go
@@ -38,7 +38,7 @@
 	storeReads map[string]int
 }
 
-// newFakeFleet starts n hosts in three availability zones. The configuration gives members the number of connections.
+// newFakeFleet starts n hosts in several availability zones. The configuration gives members the number of connections.
 func newFakeFleet(s *fakeSite, n, connections int, class freshness.Class) *fakeFleet {
 	f := &fakeFleet{
 		site: s, hosts: map[netip.AddrPort]*Host{}, stops: map[string]func(){}, unreachable: map[string]bool{},
--- a/internal/gateway/propagation_test.go
+++ b/internal/gateway/propagation_test.go
@@ -135,7 +135,7 @@
 
 // The store rejects all calls for six seconds. Only the store readers keep calling it. The other hosts wait for them: in a
 // large fleet, their calls would load the store during the outage without finding updates. After the outage, a change must
-// be in force on all hosts within the store readers' maximum pause.
+// be in force on all hosts within 300 ms after the store readers' maximum pause.
 func TestHostsWaitOutStoreOutage(t *testing.T) {
 	withFleet(t, 30, 20, freshness.Latest{}, func(s *fakeSite, f *fakeFleet) {
 		isReader := map[string]bool{}
--- a/internal/gateway/restore_test.go
+++ b/internal/gateway/restore_test.go
@@ -272,7 +272,7 @@
 }
 
 // A restore of the store loses the record of the hosts that may hold portions of quotas. The next coordinator must list all
-// hosts in the record before it grants portions: any host may have been coordinator or have received portions that the
+// hosts in the record before it grants portions: any host may have been coordinator and have received portions that the
 // remaining record does not show, and these would be spent in addition to the new ones.
 func TestAllHostsMayHoldPortionsAfterStoreRestore(t *testing.T) {
 	withFleet(t, 4, 20, freshness.Latest{}, func(s *fakeSite, f *fakeFleet) {
--- a/internal/gateway/serving_test.go
+++ b/internal/gateway/serving_test.go
@@ -433,8 +433,8 @@
 }
 
 // One host serves a group for nine hosts. Reads with a maximum staleness of one second must run on the local replica of the
-// caller's host, without being forwarded. Once the replica does not answer, they must be forwarded to the serving host
-// without failing.
+// caller's host, without being forwarded. Once the replica falls behind or does not answer, they must be forwarded to the
+// serving host without failing.
 func TestReadsRunOnLocalZoneReplica(t *testing.T) {
 	withFleet(t, 9, 16, freshness.MaxAge{Age: time.Second}, func(s *fakeSite, f *fakeFleet) {
 		serving, others := f.serving()
