--- a/internal/gateway/coordinator.go
+++ b/internal/gateway/coordinator.go
@@ -73,8 +73,8 @@
 	// reclaimed is true if the duty was an earlier process's of this host, and predecessorHandedBack if its
 	// holder had given it back.
 	reclaimed, predecessorHandedBack bool
-	// lastWoken is when a question that brought no lease last woke the holder.
-	lastWoken time.Time
+	// lastWokenAt is when a question that brought no lease last woke the holder.
+	lastWokenAt time.Time
 	// resigning is true once the duty is being given up while its leases end.
 	resigning bool
 	// vacantSince is since when nobody has held the duty, or zero. After a try to take it that failed the next
--- a/internal/gateway/floor.go
+++ b/internal/gateway/floor.go
@@ -35,9 +35,9 @@
 	return true
 }
 
-// settleMissingPrimaries counts members as replicas that the platform lost sight of while they led:
+// treatMissingPrimariesAsReplicas counts members as replicas that the platform lost sight of while they led:
 // since another one leads, they have acknowledged for that one.
-func (g *Group) settleMissingPrimaries(leader string) {
+func (g *Group) treatMissingPrimariesAsReplicas(leader string) {
 	for _, m := range g.missingMembers() {
 		if m.ID != leader {
 			m.missingAsPrimary = false
@@ -64,7 +64,7 @@
 
 // tryAdoptFloor adopts the inherited floor once all its members are listed, unless one has left since.
 func (g *Group) tryAdoptFloor() {
-	if g.inheritedRevision == 0 || g.departedRevision >= g.inheritedRevision || g.floorValid() || !g.inheritedRecord.FloorValidFor(g.listedLifetimes()) {
+	if g.inheritedRevision == 0 || g.departedRevision >= g.inheritedRevision || g.floorValid() || !g.inheritedRecord.FloorValidFor(g.listedIncarnations()) {
 		return
 	}
 	for _, m := range g.sortedMembers {
@@ -77,8 +77,8 @@
 	g.inheritedRevision = 0
 }
 
-// listedLifetimes returns the members that are listed.
-func (g *Group) listedLifetimes() []leadership.Incarnation {
+// listedIncarnations returns the members that are listed.
+func (g *Group) listedIncarnations() []leadership.Incarnation {
 	var out []leadership.Incarnation
 	for _, m := range g.sortedMembers {
 		if m.missingSince.IsZero() && !m.gone {
@@ -93,7 +93,7 @@
 func (g *Group) successorRequirements() (leadership.Record, bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return leadership.Record{Term: g.primaryTerm, Members: g.listedLifetimes(), Floor: g.floor}, g.floorValid() && len(g.missingMembers()) == 0
+	return leadership.Record{Term: g.primaryTerm, Members: g.listedIncarnations(), Floor: g.floor}, g.floorValid() && len(g.missingMembers()) == 0
 }
 
 // missingMembers returns the members that the platform has lost sight of.
--- a/internal/gateway/group.go
+++ b/internal/gateway/group.go
@@ -289,7 +289,7 @@
 	}
 	g.log("leader", "member", id, "before", g.primaryID, "why", why)
 	if id != "" {
-		g.settleMissingPrimaries(id)
+		g.treatMissingPrimariesAsReplicas(id)
 		if g.primaryID == "" {
 			g.noteOutageEnd()
 		}
--- a/internal/gateway/group_monitor.go
+++ b/internal/gateway/group_monitor.go
@@ -185,7 +185,7 @@
 			w.clearPendingPromotion()
 			return
 		}
-		w.finishPromotion(ctx, open, primary, replicas)
+		w.resumePromotion(ctx, open, primary, replicas)
 		return
 	}
 	w.clearPendingPromotion()
--- a/internal/gateway/lease_grants.go
+++ b/internal/gateway/lease_grants.go
@@ -68,9 +68,9 @@
 		s.heardAt = heard
 	}
 	granted := d.grants.Grant(host, now, leadership.GrantLimits{LastReply: s.heardAt, DutyUntil: d.soleHolderUntil(), InSwitchover: s.inSwitchover})
-	if granted == 0 && now.Sub(d.lastWoken) >= probeInterval {
+	if granted == 0 && now.Sub(d.lastWokenAt) >= probeInterval {
 		// The primary may not have been asked for long, since nobody needed it.
-		d.lastWoken = now
+		d.lastWokenAt = now
 		d.group.wakeCoordinator()
 	}
 	return LeaseReply{Granted: granted, WritesOnly: s.inSwitchover, Member: s.member, Term: s.term, Position: position, Age: now.Sub(sampled)}
--- a/internal/gateway/promotion.go
+++ b/internal/gateway/promotion.go
@@ -69,19 +69,19 @@
 		return w.renewToken(ctx)
 	}
 	if !w.pendingPromotionExpired() {
-		return errPromotionOpen
+		return errPromotionPending
 	}
 	return nil
 }
 
-// errPromotionOpen means that an earlier order may still be carried out.
-var errPromotionOpen = errors.New("an earlier order may still be carried out")
+// errPromotionPending means that an earlier order may still be carried out.
+var errPromotionPending = errors.New("an earlier order may still be carried out")
 
-// finishPromotion gives an open order again while the primary before still leads, since it may be
+// resumePromotion gives an open order again while the primary before still leads, since it may be
 // carried out at any moment. The fences that make it safe stay. If one is missing, the order was
 // given up or a replica was started again: then all but the member are fenced anew, and it must
 // first receive what the primary has.
-func (w *groupMonitor) finishPromotion(ctx context.Context, open string, primary controlResult, replicas []controlResult) {
+func (w *groupMonitor) resumePromotion(ctx context.Context, open string, primary controlResult, replicas []controlResult) {
 	var unfenced []Member
 	target := controlResult{err: errNotAsked}
 	for _, r := range replicas {
--- a/internal/gateway/record_codec.go
+++ b/internal/gateway/record_codec.go
@@ -13,19 +13,19 @@
 // The form of a leadership.Record in the store.
 type (
 	wireRecord struct {
-		Holder    string         `json:"holder"`
-		Epoch     int64          `json:"epoch,omitempty"`
-		Term      uint64         `json:"term"`
-		Members   []wireLifetime `json:"members,omitempty"`
-		FloorTerm uint64         `json:"floor_term,omitempty"`
-		FloorLSN  uint64         `json:"floor_lsn,omitempty"`
-		Ordered   string         `json:"ordered,omitempty"`
+		Holder    string            `json:"holder"`
+		Epoch     int64             `json:"epoch,omitempty"`
+		Term      uint64            `json:"term"`
+		Members   []wireIncarnation `json:"members,omitempty"`
+		FloorTerm uint64            `json:"floor_term,omitempty"`
+		FloorLSN  uint64            `json:"floor_lsn,omitempty"`
+		Ordered   string            `json:"ordered,omitempty"`
 		// HandedBack is true once the holder has given the duty back.
 		HandedBack bool     `json:"handed_back,omitempty"`
 		Grantees   []string `json:"grantees,omitempty"`
 		Granters   []string `json:"granters,omitempty"`
 	}
-	wireLifetime struct {
+	wireIncarnation struct {
 		Member string `json:"member"`
 		Born   int64  `json:"born,omitempty"`
 	}
@@ -37,7 +37,7 @@
 		FloorTerm: uint64(r.Floor.Term), FloorLSN: uint64(r.Floor.LSN),
 	}
 	for _, m := range r.Members {
-		out.Members = append(out.Members, wireLifetime{m.Member, m.Born})
+		out.Members = append(out.Members, wireIncarnation{m.Member, m.Born})
 	}
 	return json.Marshal(out)
 }
--- a/internal/gateway/record_test.go
+++ b/internal/gateway/record_test.go
@@ -40,13 +40,13 @@
 // later. The holder dies right after it, and the old primary comes back. The next holder must
 // know of the order: if it let the old primary acknowledge writes with the other replica,
 // they would be lost.
-func TestNewCoordinatorKnowsOpenPromotion(t *testing.T) {
-	testOpenPromotion(t, func(*fakeSite, storeBackup) {})
+func TestNewCoordinatorKnowsPendingPromotion(t *testing.T) {
+	testPendingPromotion(t, func(*fakeSite, storeBackup) {})
 }
 
-// testOpenPromotion lets a holder order the promotion of b late, end, and another one take over, after a mishap of the store,
+// testPendingPromotion lets a holder order the promotion of b late, end, and another one take over, after a mishap of the store,
 // of which there is a copy from before the order. Nothing that is acknowledged then may be lost.
-func testOpenPromotion(t *testing.T, mishap func(*fakeSite, storeBackup)) {
+func testPendingPromotion(t *testing.T, mishap func(*fakeSite, storeBackup)) {
 	t.Helper()
 	synctest.Test(t, func(*testing.T) {
 		s := newFakeSite("a", "b", "c")
--- a/internal/gateway/restore_test.go
+++ b/internal/gateway/restore_test.go
@@ -191,7 +191,7 @@
 // promotion into account: if it let the old primary acknowledge writes with the other replica, these would be lost. The
 // fault was that it read only the store's record ("record_inherited", "ordered":"" right after a "promotion_open").
 func TestOpenPromotionSurvivesStoreRestore(t *testing.T) {
-	testOpenPromotion(t, func(s *fakeSite, b storeBackup) {
+	testPendingPromotion(t, func(s *fakeSite, b storeBackup) {
 		delete(b.items, "own/duty/"+testGroup)
 		s.restore(b)
 	})
