--- a/internal/gateway/execute.go
+++ b/internal/gateway/execute.go
@@ -114,7 +114,7 @@
 	}
 	asked := g.now()
 	left := w.deadline.Sub(asked)
-	if w.writes && g.connDoubtful(p, asked) && !s.checkConn(w, p) {
+	if w.writes && g.connNeedsCheck(p, asked) && !s.checkConn(w, p) {
 		return Reply{}, &retry{}
 	}
 	layout, name := p.setupCommands(s.values, w.prepared)
@@ -149,9 +149,9 @@
 	connCheckTimeout = 150 * time.Millisecond
 )
 
-// connDoubtful reports whether a connection may have gone silent: it was not used for a
+// connNeedsCheck reports whether a connection may have gone silent: it was not used for a
 // while, or its member failed to answer on another one.
-func (g *Group) connDoubtful(p *pooledConn, now time.Time) bool {
+func (g *Group) connNeedsCheck(p *pooledConn, now time.Time) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return now.Sub(p.poolConn.LastUsed()) > staleConnAge || !p.member.silentSince.IsZero()
--- a/internal/gateway/operation.go
+++ b/internal/gateway/operation.go
@@ -98,9 +98,9 @@
 	// is refused then still has time to try elsewhere: the users' callers give an
 	// operation up after 600 ms where the timeout is 800 ms.
 	maxWaitFraction = 0.35
-	// maxWaitTargets is how many times the latency objective a statement may wait:
+	// maxWaitLatencyFactor is how many times the latency objective a statement may wait:
 	// beyond that its answer is of little use.
-	maxWaitTargets = 1.2
+	maxWaitLatencyFactor = 1.2
 )
 
 // waitUntil returns until when the statement may wait without an offer.
@@ -108,7 +108,7 @@
 	started := w.deadline.Add(-w.route.Timeout)
 	wait := time.Duration(maxWaitFraction * float64(w.route.Timeout))
 	if w.route.LatencyTarget > 0 {
-		wait = min(wait, time.Duration(maxWaitTargets*float64(w.route.LatencyTarget)))
+		wait = min(wait, time.Duration(maxWaitLatencyFactor*float64(w.route.LatencyTarget)))
 	}
 	return started.Add(wait)
 }
--- a/internal/gateway/reroute_test.go
+++ b/internal/gateway/reroute_test.go
@@ -119,8 +119,8 @@
 	})
 }
 
-// entryHolder returns the host that holds the duty of the group.
-func (f *fakeFleet) entryHolder(s *fakeSite) *Host {
+// storedCoordinator returns the host that holds the duty of the group.
+func (f *fakeFleet) storedCoordinator(s *fakeSite) *Host {
 	s.mu.Lock()
 	id := string(s.items["own/duty/"+testGroup].Value)
 	s.mu.Unlock()
@@ -137,7 +137,7 @@
 // the old primary acknowledges meanwhile with an unfenced replica.
 func TestPrimaryThatOthersReachIsKept(t *testing.T) {
 	withFleet(t, 30, 20, freshness.Latest{}, func(s *fakeSite, f *fakeFleet) {
-		holder := f.entryHolder(s)
+		holder := f.storedCoordinator(s)
 		f.setFault(f.severed, holder.settings.Host+" a", true)
 		_, elsewhere := f.serving()
 		failed := 0
@@ -160,7 +160,7 @@
 // must be replaced all the same.
 func TestUnreachablePrimaryWithHangingWritesIsReplaced(t *testing.T) {
 	withFleet(t, 30, 20, freshness.Latest{}, func(s *fakeSite, f *fakeFleet) {
-		holder := f.entryHolder(s)
+		holder := f.storedCoordinator(s)
 		f.setFault(f.severed, holder.settings.Host+" a", true)
 		for _, id := range []string{"b", "c"} {
 			s.updateMember(id, func(m *fakeMember) { m.receivesNothing = true })
--- a/internal/gateway/transaction.go
+++ b/internal/gateway/transaction.go
@@ -163,7 +163,7 @@
 	if next := s.checkPrimary(w, p); next != nil {
 		return next
 	}
-	if !t.readOnly && g.connDoubtful(p, g.now()) && !s.checkConn(w, p) {
+	if !t.readOnly && g.connNeedsCheck(p, g.now()) && !s.checkConn(w, p) {
 		return &retry{}
 	}
 	layout, _ := p.setupCommands(s.values, nil)
@@ -246,7 +246,7 @@
 		}
 		t.op.setRequirements(s.lastWrite)
 	}
-	reply, settled := s.attachForCommit(ctx, r, arrived)
+	reply, settled := s.beginForCommit(ctx, r, arrived)
 	if !settled {
 		reply = s.sendCommit(ctx, r)
 	}
@@ -254,9 +254,9 @@
 	return reply
 }
 
-// attachForCommit begins a transaction that has run nothing yet. It returns true if the
+// beginForCommit begins a transaction that has run nothing yet. It returns true if the
 // commit was answered by that.
-func (s *Session) attachForCommit(ctx context.Context, r Request, arrived time.Time) (Reply, bool) {
+func (s *Session) beginForCommit(ctx context.Context, r Request, arrived time.Time) (Reply, bool) {
 	for s.tx.conn == nil {
 		err := s.beginOnMember(ctx)
 		if errors.Is(err, errReroute) {
