--- a/internal/gateway/account_test.go
+++ b/internal/gateway/account_test.go
@@ -12,8 +12,8 @@
 // twoAccounts are in force in these tests.
 var twoAccounts = []string{"bakery k1", "hotel k2"}
 
-// accounts returns on whose connections statements ran, and how many.
-func (s *fakeSite) accounts() map[string]int {
+// statementsByAccount returns on whose connections statements ran, and how many.
+func (s *fakeSite) statementsByAccount() map[string]int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	out := map[string]int{}
@@ -38,7 +38,7 @@
 				}
 			}
 		}
-		if got := s.accounts(); got["bakery"] != 12 || got["hotel"] != 12 || len(got) != 2 {
+		if got := s.statementsByAccount(); got["bakery"] != 12 || got["hotel"] != 12 || len(got) != 2 {
 			t.Errorf("statements by account: %v", got)
 		}
 	})
@@ -59,7 +59,7 @@
 				t.Errorf("an unknown key got %v", r.Failure)
 			}
 		}
-		got := s.accounts()
+		got := s.statementsByAccount()
 		if got["bakery"]+got["hotel"] != len(elsewhere) || len(got) != 2 {
 			t.Errorf("%d statements by account: %v", len(elsewhere), got)
 		}
@@ -97,8 +97,8 @@
 		}
 		s.put("config", withAccounts(53, 20, "bakery k9", "hotel k2"), 0)
 		time.Sleep(2 * time.Second)
-		before := len(s.accounts())
-		ran := s.accounts()["bakery"]
+		before := len(s.statementsByAccount())
+		ran := s.statementsByAccount()["bakery"]
 		wantCode(t, execIn(resting, Read{}), Unauthorized)
 		wantCode(t, execIn(working, Commit{}), Aborted)
 		if working.State() != Idle || resting.Authorized() {
@@ -107,7 +107,7 @@
 		if r := execAs(h, "k1", Read{}); r.Failure == nil || r.Failure.Code != Unauthorized {
 			t.Errorf("a new session got %v", r.Failure)
 		}
-		if got := s.accounts(); got["bakery"] != ran || len(got) != before {
+		if got := s.statementsByAccount(); got["bakery"] != ran || len(got) != before {
 			t.Errorf("statements by account: %v, %d of the bakery before", got, ran)
 		}
 		for _, key := range []string{"k9", "k2"} {
@@ -164,7 +164,7 @@
 		if s.peakConns > 6 {
 			t.Errorf("%d connections at once", s.peakConns)
 		}
-		if got := s.accounts(); len(got) != 10 {
+		if got := s.statementsByAccount(); len(got) != 10 {
 			t.Errorf("statements by account: %v", got)
 		}
 	})
--- a/internal/gateway/execute.go
+++ b/internal/gateway/execute.go
@@ -12,7 +12,7 @@
 
 // runStatement answers a read or a write.
 func (s *Session) runStatement(ctx context.Context, r Request, arrived time.Time) Reply {
-	writes, shape, failure := s.resolve(r)
+	writes, shape, failure := s.resolvePrepared(r)
 	if failure != nil {
 		return s.failTransaction(Reply{Failure: failure})
 	}
--- a/internal/gateway/forwarded_session.go
+++ b/internal/gateway/forwarded_session.go
@@ -66,7 +66,7 @@
 		return OtherProcess
 	}
 	switch {
-	case r.Continues != g.Open():
+	case r.Continues != g.HasOpenTransaction():
 		// The transaction was rolled back, since its lane was given up or it rested for
 		// too long: the statement must not run by itself.
 		return NoTransaction
@@ -106,18 +106,20 @@
 	return h.config != nil && h.config.Accounts != nil
 }
 
-// Open reports whether a transaction is open.
-func (g *ForwardedSession) Open() bool { return g.session != nil && g.session.state == InTransaction }
+// HasOpenTransaction reports whether a transaction is open.
+func (g *ForwardedSession) HasOpenTransaction() bool {
+	return g.session != nil && g.session.state == InTransaction
+}
 
 // updateCount tells the host whether a transaction is open.
 func (g *ForwardedSession) updateCount() {
-	switch open := g.Open(); {
+	switch open := g.HasOpenTransaction(); {
 	case open && !g.counted:
 		g.host.forwardedCount.Add(1)
 	case !open && g.counted:
 		g.host.forwardedCount.Add(-1)
 	}
-	g.counted = g.Open()
+	g.counted = g.HasOpenTransaction()
 }
 
 // run takes over the caller's session as the request describes it. The ages make times
@@ -126,7 +128,7 @@
 func (g *ForwardedSession) run(ctx context.Context, r *PeerRequest) *PeerReply {
 	h := g.host
 	now := h.now()
-	if !g.Open() {
+	if !g.HasOpenTransaction() {
 		g.session = &Session{host: h, database: r.Database, origin: &forwardOrigin{from: r.From, routeTarget: routeTarget{r.Route, h.group(r.Group), &account.Account{Name: r.Account}}}}
 	}
 	s := g.session
@@ -154,7 +156,7 @@
 // Expire rolls back a transaction whose host sent nothing for too long: it may be gone
 // without a trace, and its transaction holds a connection.
 func (g *ForwardedSession) Expire() {
-	if g.Open() {
+	if g.HasOpenTransaction() {
 		g.session.Expire()
 	}
 	g.session = nil
@@ -171,7 +173,7 @@
 
 // Close ends the guest. An open transaction is rolled back.
 func (g *ForwardedSession) Close() {
-	if g.Open() {
+	if g.HasOpenTransaction() {
 		g.session.abandon()
 	}
 	g.session = nil
--- a/internal/gateway/leadership_test.go
+++ b/internal/gateway/leadership_test.go
@@ -58,7 +58,7 @@
 				written = exec(holder, Write{}).Failure == nil
 			}
 			late := written
-			if r := exec(apart, Read{}); r.Failure == nil && late && row(r) == "a" {
+			if r := exec(apart, Read{}); r.Failure == nil && late && joinedRows(r) == "a" {
 				t.Fatal("the replaced primary answered a read of the latest")
 			}
 			time.Sleep(10 * time.Millisecond)
@@ -93,7 +93,7 @@
 				written = exec(holder, Write{}).Failure == nil
 			}
 			late := written
-			if r := exec(apart, Read{}); r.Failure == nil && late && row(r) == "a" {
+			if r := exec(apart, Read{}); r.Failure == nil && late && joinedRows(r) == "a" {
 				t.Fatal("the replaced primary answered a read of the latest")
 			}
 		}
@@ -170,7 +170,7 @@
 			t.Fatal("the host holds a lease")
 		}
 		for range 20 {
-			if r := exec(h, Read{}); r.Failure != nil || row(r) != "a" {
+			if r := exec(h, Read{}); r.Failure != nil || joinedRows(r) != "a" {
 				t.Errorf("the read was answered with %v", r)
 			}
 			time.Sleep(50 * time.Millisecond)
@@ -354,7 +354,7 @@
 		h.groups[testGroup].setPrimaryForTest("a")
 		chef := openSession(t, h)
 		execIn(chef, Begin{})
-		if r := execIn(chef, Read{}); r.Failure == nil && row(r) == "a" {
+		if r := execIn(chef, Read{}); r.Failure == nil && joinedRows(r) == "a" {
 			t.Error("the replaced primary answered")
 		}
 		chef.Close()
--- a/internal/gateway/operation.go
+++ b/internal/gateway/operation.go
@@ -78,8 +78,8 @@
 	}
 }
 
-// resolve returns whether the request writes, and the shape that it executes.
-func (s *Session) resolve(r Request) (writes bool, shape *PreparedStatement, failure *Failure) {
+// resolvePrepared returns whether the request writes, and the shape that it executes.
+func (s *Session) resolvePrepared(r Request) (writes bool, shape *PreparedStatement, failure *Failure) {
 	switch st := r.Statement.(type) {
 	case Write:
 		return true, nil, nil
--- a/internal/gateway/serving_test.go
+++ b/internal/gateway/serving_test.go
@@ -25,7 +25,7 @@
 			if r := exec(h, Write{}); r.Failure != nil {
 				t.Errorf("a write at %s: %v", h.settings.Host, r.Failure)
 			}
-			if r := exec(h, Read{}); row(r) != "a" {
+			if r := exec(h, Read{}); joinedRows(r) != "a" {
 				t.Errorf("a read at %s: %v", h.settings.Host, r.Failure)
 			}
 		}
@@ -48,7 +48,7 @@
 		if session.lastWrite == (group.Position{}) {
 			t.Error("the session has no mark after its write")
 		}
-		if got := row(execIn(session, Read{})); got != "a" {
+		if got := joinedRows(execIn(session, Read{})); got != "a" {
 			t.Errorf("the read after the write ran on %q", got)
 		}
 	})
@@ -63,7 +63,7 @@
 		execIn(caller, Set{"v", "7"})
 		execIn(caller, Prepare{"s", PreparedStatement{Writes: true, Text: "boards"}})
 		execIn(caller, Begin{})
-		if got := row(execIn(caller, Read{})); got != "a v=7" {
+		if got := joinedRows(execIn(caller, Read{})); got != "a v=7" {
 			t.Errorf("a read in the transaction gave %q", got)
 		}
 		execIn(caller, Execute{Name: "s"})
@@ -252,14 +252,14 @@
 		if declined := session.Accept(r); declined != nil {
 			t.Fatalf("%+v", declined)
 		}
-		if reply := session.Run(context.Background(), r); reply.Reply.Failure != nil || !session.Open() {
+		if reply := session.Run(context.Background(), r); reply.Reply.Failure != nil || !session.HasOpenTransaction() {
 			t.Fatalf("%+v", reply)
 		}
 		if idle := session.IdleTimeout(); idle < defaultTransactionIdleTimeout {
 			t.Errorf("a forwarded session may be idle for %s only", idle)
 		}
 		session.Expire()
-		if session.Open() || serving[0].ForwardedCount() != 0 {
+		if session.HasOpenTransaction() || serving[0].ForwardedCount() != 0 {
 			t.Error("the transaction is still open")
 		}
 	})
@@ -447,8 +447,8 @@
 		time.Sleep(700 * time.Millisecond)
 		before := f.forwardedTotal()
 		for range 20 {
-			if r := exec(h, Read{}); r.Failure != nil || row(r) != own {
-				t.Errorf("the read was answered with %v by %s, want %s", r.Failure, row(r), own)
+			if r := exec(h, Read{}); r.Failure != nil || joinedRows(r) != own {
+				t.Errorf("the read was answered with %v by %s, want %s", r.Failure, joinedRows(r), own)
 			}
 		}
 		if n := f.forwardedTotal() - before; n > 0 {
@@ -456,8 +456,8 @@
 		}
 		s.updateMember(own, func(m *fakeMember) { m.silent = true })
 		for range 5 {
-			if r := exec(h, Read{}); r.Failure != nil || row(r) == own {
-				t.Errorf("the read was answered with %v by %s", r.Failure, row(r))
+			if r := exec(h, Read{}); r.Failure != nil || joinedRows(r) == own {
+				t.Errorf("the read was answered with %v by %s", r.Failure, joinedRows(r))
 			}
 		}
 	})
--- a/internal/gateway/session_test.go
+++ b/internal/gateway/session_test.go
@@ -14,7 +14,7 @@
 	"pearlatch/core/leadership"
 )
 
-func row(r Reply) string { return strings.Join(r.Rows, ",") }
+func joinedRows(r Reply) string { return strings.Join(r.Rows, ",") }
 
 func wantCode(t *testing.T, r Reply, want Code) {
 	t.Helper()
@@ -41,7 +41,7 @@
 		execIn(two, Set{"v", "2"})
 		for range 3 {
 			for want, s := range map[string]*Session{"a v=1": one, "a v=2": two, "a": none} {
-				if got := row(execIn(s, Read{})); got != want {
+				if got := joinedRows(execIn(s, Read{})); got != want {
 					t.Errorf("read %q, want %q", got, want)
 				}
 			}
@@ -56,10 +56,10 @@
 		execIn(one, Prepare{"s", PreparedStatement{Text: "boards"}})
 		execIn(two, Prepare{"s", PreparedStatement{Text: "suits"}})
 		for range 3 {
-			if got := row(execIn(one, Execute{Name: "s"})); got != "a boards" {
+			if got := joinedRows(execIn(one, Execute{Name: "s"})); got != "a boards" {
 				t.Errorf("ran %q", got)
 			}
-			if got := row(execIn(two, Execute{Name: "s"})); got != "a suits" {
+			if got := joinedRows(execIn(two, Execute{Name: "s"})); got != "a suits" {
 				t.Errorf("ran %q", got)
 			}
 		}
@@ -74,7 +74,7 @@
 		exec(h, Read{})
 		time.Sleep(20 * time.Millisecond)
 	}
-	return row(exec(h, Read{}))
+	return joinedRows(exec(h, Read{}))
 }
 
 // A chef saves a recipe and looks it up. The replicas have not applied the save yet, so
@@ -86,7 +86,7 @@
 		}
 		chef := openSession(t, h)
 		execIn(chef, Write{})
-		if got := row(execIn(chef, Read{})); got != "a" {
+		if got := joinedRows(execIn(chef, Read{})); got != "a" {
 			t.Errorf("the read after the write ran on %q", got)
 		}
 		if got := rowFromWarmConns(h); got == "a" {
@@ -108,11 +108,11 @@
 		}
 		exec(h, Write{})
 		exec(h, Write{})
-		if got := row(exec(h, Read{})); got == "a" {
+		if got := joinedRows(exec(h, Read{})); got == "a" {
 			t.Error("a replica within the age was not used")
 		}
 		time.Sleep(2500 * time.Millisecond)
-		if got := row(exec(h, Read{})); got != "a" {
+		if got := joinedRows(exec(h, Read{})); got != "a" {
 			t.Errorf("data older than accepted came from %q", got)
 		}
 	})
@@ -132,8 +132,8 @@
 			t.Fatalf("%q leads", got)
 		}
 		for range 20 {
-			if r := exec(h, Read{}); r.Failure == nil && row(r) != "b" {
-				t.Errorf("the read ran on %q", row(r))
+			if r := exec(h, Read{}); r.Failure == nil && joinedRows(r) != "b" {
+				t.Errorf("the read ran on %q", joinedRows(r))
 			}
 			time.Sleep(20 * time.Millisecond)
 		}
--- a/io/peer/link_server.go
+++ b/io/peer/link_server.go
@@ -103,7 +103,7 @@
 	reply := k.guest.Run(context.Background(), &in.PeerRequest)
 	l.mu.Lock()
 	k.running = false
-	open := k.guest.Open()
+	open := k.guest.HasOpenTransaction()
 	switch {
 	case k.closed:
 		go k.guest.Close()
