--- a/internal/gateway/account_test.go
+++ b/internal/gateway/account_test.go
@@ -27,7 +27,7 @@
 // which it comes, so no statement may run on a connection of the other account.
 func TestStatementsRunOnConnectionsOfTheirAccount(t *testing.T) {
 	withHost(t, freshness.Latest{}, func(s *fakeSite, h *Host) {
-		s.put("config", withAccounts(52, 20, twoAccounts...), 0)
+		s.put("config", configWithAccounts(52, 20, twoAccounts...), 0)
 		time.Sleep(2 * time.Second)
 		for range 6 {
 			for _, key := range []string{"k1", "k2"} {
@@ -48,7 +48,7 @@
 // must run each one for the account that the first host found.
 func TestForwardedStatementsKeepTheirAccount(t *testing.T) {
 	withFleet(t, 20, 20, freshness.OwnWrites{}, func(s *fakeSite, f *fakeFleet) {
-		s.put("config", withAccounts(52, 20, twoAccounts...), 0)
+		s.put("config", configWithAccounts(52, 20, twoAccounts...), 0)
 		time.Sleep(3 * time.Second)
 		_, elsewhere := f.serving()
 		for i, h := range elsewhere {
@@ -70,7 +70,7 @@
 // this host's own name it would count as nobody's, so it is declined, and has not run.
 func TestForwardedStatementWithoutItsAccountIsDeclined(t *testing.T) {
 	withHost(t, freshness.Latest{}, func(s *fakeSite, h *Host) {
-		s.put("config", withAccounts(52, 20, twoAccounts...), 0)
+		s.put("config", configWithAccounts(52, 20, twoAccounts...), 0)
 		time.Sleep(2 * time.Second)
 		r := &PeerRequest{From: "old", Serial: 1, Group: testGroup, Route: Route{Class: freshness.Latest{}}, Request: Request{ID: "1", Statement: Read{}}}
 		if declined := h.NewForwardedSession().Accept(r); declined == nil || declined.Declined != AccountMissing {
@@ -88,14 +88,14 @@
 // callers go on.
 func TestRevokedKeyAbortsOpenTransaction(t *testing.T) {
 	withHost(t, freshness.Latest{}, func(s *fakeSite, h *Host) {
-		s.put("config", withAccounts(52, 20, twoAccounts...), 0)
+		s.put("config", configWithAccounts(52, 20, twoAccounts...), 0)
 		time.Sleep(2 * time.Second)
 		resting, working := openSessionAs(t, h, "k1"), openSessionAs(t, h, "k1")
 		execIn(working, Begin{})
 		if r := execIn(working, Write{}); r.Failure != nil {
 			t.Fatal(r.Failure)
 		}
-		s.put("config", withAccounts(53, 20, "bakery k9", "hotel k2"), 0)
+		s.put("config", configWithAccounts(53, 20, "bakery k9", "hotel k2"), 0)
 		time.Sleep(2 * time.Second)
 		before := len(s.statementsByAccount())
 		ran := s.statementsByAccount()["bakery"]
@@ -132,7 +132,7 @@
 // stays in force.
 func TestConfigWithoutAccountsIsRejected(t *testing.T) {
 	withHost(t, freshness.Latest{}, func(s *fakeSite, h *Host) {
-		s.put("config", withAccounts(52, 20, twoAccounts...), 0)
+		s.put("config", configWithAccounts(52, 20, twoAccounts...), 0)
 		time.Sleep(2 * time.Second)
 		s.put("config", []byte{53, 20}, 0)
 		time.Sleep(2 * time.Second)
@@ -154,7 +154,7 @@
 		s.mu.Lock()
 		s.maxConns = 6
 		s.mu.Unlock()
-		s.put("config", withAccounts(52, 6, lines...), 0)
+		s.put("config", configWithAccounts(52, 6, lines...), 0)
 		time.Sleep(2 * time.Second)
 		for n := range 40 {
 			if r := execAs(h, fmt.Sprint("k", n*7%10), Write{}); r.Failure != nil {
--- a/internal/gateway/fakefleet_test.go
+++ b/internal/gateway/fakefleet_test.go
@@ -110,7 +110,7 @@
 // serving returns the hosts that serve the group and those that do not, each according to its own state.
 func (f *fakeFleet) serving() (serving, others []*Host) {
 	for _, h := range f.all() {
-		if h.group(testGroup).forwards() {
+		if h.group(testGroup).shouldForward() {
 			others = append(others, h)
 		} else {
 			serving = append(serving, h)
--- a/internal/gateway/fakesite_test.go
+++ b/internal/gateway/fakesite_test.go
@@ -320,8 +320,8 @@
 	return account.NewDirectory(out)
 }
 
-// withAccounts returns a configuration with these accounts.
-func withAccounts(version, connections byte, lines ...string) []byte {
+// configWithAccounts returns a configuration with these accounts.
+func configWithAccounts(version, connections byte, lines ...string) []byte {
 	return append([]byte{version, connections}, strings.Join(lines, "\n")...)
 }
 
--- a/internal/gateway/lease_client.go
+++ b/internal/gateway/lease_client.go
@@ -85,7 +85,7 @@
 		g.applySample(asked, reply)
 	}
 	if err != nil || reply.Granted <= 0 {
-		g.noteLeaseDenied(asked, err)
+		g.dropExpiredLease(asked, err)
 		return false
 	}
 	g.applyLease(asked, reply)
@@ -191,8 +191,8 @@
 	g.dispatch()
 }
 
-// noteLeaseDenied writes a line once a lease has run out and none is to be had.
-func (g *Group) noteLeaseDenied(asked time.Time, err error) {
+// dropExpiredLease writes a line once a lease has run out and none is to be had.
+func (g *Group) dropExpiredLease(asked time.Time, err error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.lease.Member == "" || asked.Before(g.lease.Until) {
@@ -202,9 +202,9 @@
 	g.lease = leadership.Lease{}
 }
 
-// leaseKeeps reports whether what the member acknowledged in the term by the given time stays, by
+// leaseCoversWrites reports whether what the member acknowledged in the term by the given time stays, by
 // a lease of either kind.
-func (g *Group) leaseKeeps(id string, term group.Term, at time.Time) bool {
+func (g *Group) leaseCoversWrites(id string, term group.Term, at time.Time) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.lease.Term == term && g.lease.CoversWrites(id, at) || g.writeLease.Term == term && g.writeLease.CoversWrites(id, at)
--- a/internal/gateway/lease_grants.go
+++ b/internal/gateway/lease_grants.go
@@ -104,10 +104,10 @@
 // that don't answer have run out. It returns false if this host may no longer order.
 func (w *groupMonitor) revokeLeases(ctx context.Context, planned bool) bool {
 	started := w.host.now()
-	id := w.clearPrimaryStatus(planned)
+	id := w.stopLeaseGrants(planned)
 	var wait sync.WaitGroup
 	for _, host := range w.leaseHolders(planned) {
-		wait.Go(func() { w.revokeLeaseOf(ctx, host, id, planned) })
+		wait.Go(func() { w.revokeHostLease(ctx, host, id, planned) })
 	}
 	wait.Wait()
 	for left := w.leaseHolders(planned); len(left) > 0; left = w.leaseHolders(planned) {
@@ -126,9 +126,9 @@
 	return w.mayPromote()
 }
 
-// clearPrimaryStatus makes sure that no lease on the primary is granted any more, or in a planned
+// stopLeaseGrants makes sure that no lease on the primary is granted any more, or in a planned
 // change none but for writes. It returns the primary.
-func (w *groupMonitor) clearPrimaryStatus(planned bool) string {
+func (w *groupMonitor) stopLeaseGrants(planned bool) string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	id := w.primaryStatus.member
@@ -159,7 +159,7 @@
 	return w.grants.LastEnd()
 }
 
-func (w *groupMonitor) revokeLeaseOf(ctx context.Context, host, member string, planned bool) {
+func (w *groupMonitor) revokeHostLease(ctx context.Context, host, member string, planned bool) {
 	h := w.host
 	if host == h.settings.Host {
 		w.group.revokeLease(member, planned)
--- a/internal/gateway/local_replica.go
+++ b/internal/gateway/local_replica.go
@@ -7,9 +7,9 @@
 	"pearlatch/core/pool"
 )
 
-// localReplicaWait is how long a read waits for a connection to the replica of its own availability
+// localReplicaTimeout is how long a read waits for a connection to the replica of its own availability
 // zone: about as long as it takes to open one, or to pass the read on.
-const localReplicaWait = 15 * time.Millisecond
+const localReplicaTimeout = 15 * time.Millisecond
 
 // canReadLocally reports whether a read that others would serve is better run here, on the replica of
 // this availability zone: without a hop between hosts and between zones, and without anybody
@@ -51,7 +51,7 @@
 	if !w.group.canReadLocally(local.need) {
 		return Reply{}, false
 	}
-	local.need.Deadline = w.group.now().Add(localReplicaWait)
+	local.need.Deadline = w.group.now().Add(localReplicaTimeout)
 	p, err := w.group.acquire(ctx, local.need)
 	if err != nil {
 		return Reply{}, false
--- a/internal/gateway/operation.go
+++ b/internal/gateway/operation.go
@@ -32,7 +32,7 @@
 	}
 	g := at.group
 	w := operation{group: g, route: at.route, writes: writes, need: pool.Request{Account: at.account.Name, Priority: at.route.Priority, ArrivedAt: arrived}}
-	if s.origin == nil && s.host.forwards(g) {
+	if s.origin == nil && s.host.shouldForward(g) {
 		w.servedElsewhere = true
 		return w, nil
 	}
--- a/internal/gateway/primary_check.go
+++ b/internal/gateway/primary_check.go
@@ -35,7 +35,7 @@
 		return true
 	}
 	for ctx.Err() == nil {
-		p := g.checkFor(id)
+		p := g.checkWithBackoff(id)
 		if !p.wait(ctx) {
 			return false
 		}
@@ -58,7 +58,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), 2*primaryCheckTimeout)
 	defer cancel()
 	for ctx.Err() == nil {
-		if g.leaseKeeps(id, term, now) {
+		if g.leaseCoversWrites(id, term, now) {
 			return true
 		}
 		p := g.sharedCheck(id)
@@ -119,10 +119,10 @@
 	return some
 }
 
-// checkFor returns the question that is under way, or a new one. While the last one failed
+// checkWithBackoff returns the question that is under way, or a new one. While the last one failed
 // a moment ago that one stands, so that statements in a crowd ask members no more than need
 // be.
-func (g *Group) checkFor(id string) *primaryCheck {
+func (g *Group) checkWithBackoff(id string) *primaryCheck {
 	g.mu.Lock()
 	failed, again := g.failedCheck, !g.now().Before(g.nextCheckAt)
 	g.mu.Unlock()
@@ -147,7 +147,7 @@
 			p.term = a.status.Term
 		}
 	}
-	p.answers = toLeadershipAnswers(answers)
+	p.answers = toProbeResults(answers)
 	p.passed = p.term > 0 && leadership.PrimaryConfirmed(p.primary, p.term, p.members, p.answers)
 	if g.finishCheck(p) {
 		g.log("leadership", "proven", p.passed, "member", p.primary, "term", p.term, "answers", formatResults(answers))
@@ -186,7 +186,7 @@
 	maxCheckBackoff = 320 * time.Millisecond
 )
 
-func toLeadershipAnswers(in []controlResult) []leadership.ProbeResult {
+func toProbeResults(in []controlResult) []leadership.ProbeResult {
 	out := make([]leadership.ProbeResult, len(in))
 	for i, a := range in {
 		out[i] = leadership.ProbeResult{Member: a.member.ID, Answered: a.err == nil, ProcessEnded: connRefused(a.err),
--- a/internal/gateway/quota.go
+++ b/internal/gateway/quota.go
@@ -61,11 +61,11 @@
 	if d == nil {
 		return nil, errNoCoordinator
 	}
-	return d.enterGrantees(ctx, host)
+	return d.recordGrantees(ctx, host)
 }
 
-// enterGrantees writes into the record that the host, and all that are listed, may hold portions of quotas.
-func (d *coordinator) enterGrantees(ctx context.Context, host string) ([]string, error) {
+// recordGrantees writes into the record that the host, and all that are listed, may hold portions of quotas.
+func (d *coordinator) recordGrantees(ctx context.Context, host string) ([]string, error) {
 	r, ok := d.currentRecord()
 	if !ok {
 		return nil, errRecordUnknown
@@ -77,8 +77,8 @@
 	return r.Grantees, nil
 }
 
-// granters returns the hosts that may take themselves for the granter of the group's accounts, this one among them.
-func (d *coordinator) granters(last leadership.Record) []string {
+// quotaGranters returns the hosts that may take themselves for the granter of the group's accounts, this one among them.
+func (d *coordinator) quotaGranters(last leadership.Record) []string {
 	before, granting := d.host.quotas.Before(d.group.name)
 	if !granting {
 		before = last.Granters
@@ -90,9 +90,9 @@
 	return slices.DeleteFunc(slices.Clone(ids), func(each string) bool { return each == id })
 }
 
-// startGranting makes this host the granter of the group's accounts once it knows whom to ask, and if it is it
+// startQuotaGranting makes this host the granter of the group's accounts once it knows whom to ask, and if it is it
 // already, makes sure that a successor knows of all as well.
-func (d *coordinator) startGranting(grantees, granters []string) {
+func (d *coordinator) startQuotaGranting(grantees, granters []string) {
 	d.mu.Lock()
 	first, token, held := !d.recordInherited, d.token, d.renewedAt
 	d.mu.Unlock()
--- a/internal/gateway/record.go
+++ b/internal/gateway/record.go
@@ -106,7 +106,7 @@
 	r, found := i.record, i.found
 	d.group.inheritFloor(r, found.Revision)
 	d.group.noteTerm(r.Term)
-	d.startGranting(r.Grantees, i.formerGranters)
+	d.startQuotaGranting(r.Grantees, i.formerGranters)
 	d.mu.Lock()
 	if !d.recordInherited { // later, this holder knows best which order it gave
 		d.recordInherited, d.predecessorHandedBack = true, i.certain && (found.HandedBack || found.Holder == "")
@@ -138,7 +138,7 @@
 	if r.Grantees == nil {
 		r.Grantees = last.Grantees
 	}
-	if r.Granters = d.granters(last); r.HandedBack {
+	if r.Granters = d.quotaGranters(last); r.HandedBack {
 		r.Granters = withoutID(r.Granters, r.Holder)
 	}
 	err := d.writeRecord(call, r, revision, along)
@@ -217,7 +217,7 @@
 		return
 	}
 	r, known := w.group.successorRequirements()
-	r.Grantees, r.Granters = old.Grantees, w.granters(old)
+	r.Grantees, r.Granters = old.Grantees, w.quotaGranters(old)
 	if !known || old.PendingPromotion == "" && old.Term == r.Term && old.SameMembers(r.Members) && len(r.Granters) == len(old.Granters) {
 		return
 	}
--- a/internal/gateway/serving.go
+++ b/internal/gateway/serving.go
@@ -8,14 +8,14 @@
 	"pearlatch/core/serving"
 )
 
-// forwards reports whether a statement is to run on another host. While none of those
+// shouldForward reports whether a statement is to run on another host. While none of those
 // that serve the group is in reach, one statement in a while tries them again.
-func (h *Host) forwards(g *Group) bool {
+func (h *Host) shouldForward(g *Group) bool {
 	if g.servedElsewhere() && h.serversFor(g).fallback {
 		g.startFallback()
 		return false
 	}
-	return g.forwards()
+	return g.shouldForward()
 }
 
 // servedElsewhere reports whether other hosts serve the group.
@@ -25,7 +25,7 @@
 	return g.plan.ServedByOthers
 }
 
-func (g *Group) forwards() bool {
+func (g *Group) shouldForward() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if !g.plan.ServedByOthers {
@@ -39,9 +39,9 @@
 	return true
 }
 
-// fallbackPeriod is how long a host goes on to serve in place of others after the last statement
+// fallbackTTL is how long a host goes on to serve in place of others after the last statement
 // that came to it for that.
-const fallbackPeriod = 2 * time.Second
+const fallbackTTL = 2 * time.Second
 
 // servingHosts are the hosts that this one turns to for a group that others serve.
 type servingHosts struct {
@@ -88,7 +88,7 @@
 	if !g.isFallback(now) {
 		g.log("deputy", "for", g.plan.Ranked[0].ID)
 	}
-	g.fallbackUntil = now.Add(fallbackPeriod)
+	g.fallbackUntil = now.Add(fallbackTTL)
 }
 
 // isFallback reports whether the host serves the group in place of others. The group's lock is held.
