--- a/internal/gateway/fakeconn_test.go
+++ b/internal/gateway/fakeconn_test.go
@@ -257,6 +257,6 @@
 		c.site.mu.Lock()
 		return Reply{}, context.DeadlineExceeded
 	}
-	c.site.history = append(c.site.history, m.received)
+	c.site.acknowledgedWrites = append(c.site.acknowledgedWrites, m.received)
 	return Reply{Signature: "by " + m.id, Position: m.received}, nil
 }
--- a/internal/gateway/fakesite_test.go
+++ b/internal/gateway/fakesite_test.go
@@ -81,12 +81,12 @@
 	storeDelay        time.Duration // each call takes so long
 	// tokens holds the highest token of a promotion; promotionDelay holds back orders.
 	token          int64
-	orders         []string
+	promotions     []string
 	promotionDelay time.Duration
 	// ignoresTokens is true for a platform that checks no tokens.
-	ignoresTokens bool
-	history       []group.Position // acknowledged writes
-	dropped       []group.Position // those that a promoted member did not hold
+	ignoresTokens      bool
+	acknowledgedWrites []group.Position // acknowledged writes
+	droppedWrites      []group.Position // those that a promoted member did not hold
 	// ranFor holds the account of the connection on which each statement ran.
 	ranFor map[string]string
 }
@@ -149,7 +149,7 @@
 func (s *fakeSite) promotionOrders() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return slices.Clone(s.orders)
+	return slices.Clone(s.promotions)
 }
 
 // peakConnections returns how many connections one member had at once.
@@ -207,7 +207,7 @@
 		return ErrFenced
 	}
 	s.token = token
-	s.orders = append(s.orders, holder+" "+id)
+	s.promotions = append(s.promotions, holder+" "+id)
 	if !m.isPrimary {
 		time.AfterFunc(promoteTime, func() { s.makePrimary(m) })
 	}
@@ -221,7 +221,7 @@
 	if m.isPrimary || m.crashed {
 		return
 	}
-	s.dropped = append(s.dropped, s.writesBeyond(m.received)...)
+	s.droppedWrites = append(s.droppedWrites, s.writesBeyond(m.received)...)
 	var term group.Term
 	for _, o := range s.members {
 		term = max(term, o.term)
@@ -257,15 +257,15 @@
 	defer s.mu.Unlock()
 	m := s.primaryLocked()
 	if m == nil {
-		return s.dropped
+		return s.droppedWrites
 	}
-	return append(s.writesBeyond(m.received), s.dropped...)
+	return append(s.writesBeyond(m.received), s.droppedWrites...)
 }
 
 // writesBeyond returns the acknowledged writes that a log up to the position lacks.
 func (s *fakeSite) writesBeyond(end group.Position) []group.Position {
 	var out []group.Position
-	for _, p := range s.history {
+	for _, p := range s.acknowledgedWrites {
 		if p.Compare(end) > 0 {
 			out = append(out, p)
 		}
--- a/internal/gateway/group_monitor.go
+++ b/internal/gateway/group_monitor.go
@@ -198,7 +198,7 @@
 	w.updateRecord(ctx)
 	stuck := w.writesStuck(primary, replicas)
 	if countFailed(replicas) == 0 && !w.overloadDetector.Overloaded() && w.unreceivedPosition == (group.Position{}) {
-		w.lastHealthyProbe = primary.asked
+		w.lastHealthyProbe = primary.sentAt
 	}
 	switch {
 	case w.primary.Leaving || w.group.primaryMissingFor() > missingMemberGrace:
@@ -214,10 +214,10 @@
 // recordPrimaryAnswer records what the primary answered, on which leases are granted. Nobody else can
 // have promoted another member, so its position is a sample.
 func (w *groupMonitor) recordPrimaryAnswer(primary controlResult) {
-	if !w.wasSoleHolder(primary.asked) {
+	if !w.wasSoleHolder(primary.sentAt) {
 		return // another holder may have promoted another member meanwhile
 	}
-	s := primaryStatus{member: primary.member.ID, term: primary.status.Term, heardAt: primary.asked, position: primary.status.Received}
+	s := primaryStatus{member: primary.member.ID, term: primary.status.Term, heardAt: primary.sentAt, position: primary.status.Received}
 	w.setPrimaryStatus(s)
 	w.group.samplePrimary(s)
 }
--- a/internal/gateway/indirect_probe.go
+++ b/internal/gateway/indirect_probe.go
@@ -66,7 +66,7 @@
 	answers := make(chan controlResult, len(hosts))
 	for _, h := range hosts {
 		go func() {
-			a := controlResult{member: m, asked: w.host.now(), relayedBy: h.ID}
+			a := controlResult{member: m, sentAt: w.host.now(), relayedBy: h.ID}
 			a.status, a.err = w.host.ports.Peers.Probe(call, h.Peer, w.group.name, m.ID)
 			answers <- a
 		}()
--- a/internal/gateway/leadership_test.go
+++ b/internal/gateway/leadership_test.go
@@ -371,7 +371,7 @@
 // The store was away, and the members' entries lapse on its return; they are back at once. The
 // primary is dead by then, and a new holder takes the duty, with what the one before recorded. The
 // members say when they were born, so nobody has left: the replica that holds all takes over.
-func TestLapsedEntriesLeaveTheFloorValid(t *testing.T) {
+func TestExpiredEntriesLeaveFloorValid(t *testing.T) {
 	// Without births they may have started again with nothing.
 	for born, want := range map[int]string{0: "a", 7: "b"} {
 		t.Run(fmt.Sprint("born ", born), func(t *testing.T) {
@@ -386,7 +386,7 @@
 				time.Sleep(2 * time.Second)
 				s.updateMember("a", func(m *fakeMember) { m.crashed = true })
 				stop1()
-				s.lapseEntries("b", "c")
+				s.expireEntries("b", "c")
 				time.Sleep(6 * time.Second)
 				if got := s.primaryID(); got != want {
 					t.Errorf("%q leads, want %q", got, want)
@@ -407,8 +407,8 @@
 	}
 }
 
-// lapseEntries removes the members' entries for a moment.
-func (s *fakeSite) lapseEntries(ids ...string) {
+// expireEntries removes the members' entries for a moment.
+func (s *fakeSite) expireEntries(ids ...string) {
 	for _, id := range ids {
 		s.writeMemberEntry(id, "")
 		time.Sleep(50 * time.Millisecond)
--- a/internal/gateway/primary.go
+++ b/internal/gateway/primary.go
@@ -253,7 +253,7 @@
 // controlResult is a member's answer to an order, with the time it was asked.
 type controlResult struct {
 	member Member
-	asked  time.Time
+	sentAt time.Time
 	status Status
 	err    error
 	// relayedBy is the host that got the answer, if it was another one.
@@ -266,7 +266,7 @@
 	var wait sync.WaitGroup
 	for i, m := range members {
 		wait.Go(func() {
-			out[i] = controlResult{member: m, asked: g.now()}
+			out[i] = controlResult{member: m, sentAt: g.now()}
 			out[i].status, out[i].err = g.control(m, o, timeout)
 		})
 	}
