--- a/internal/gateway/forwarded_session.go
+++ b/internal/gateway/forwarded_session.go
@@ -168,7 +168,7 @@
 
 // IdleTimeout returns how long to wait for the next request while a transaction is open.
 func (fs *ForwardedSession) IdleTimeout() time.Duration {
-	return fs.host.TransactionIdle() + forwardedIdleMargin
+	return fs.host.TransactionIdleTimeout() + forwardedIdleMargin
 }
 
 // forwardedIdleMargin gives the caller's own host time to end an idle transaction first.
--- a/internal/gateway/transaction.go
+++ b/internal/gateway/transaction.go
@@ -78,7 +78,7 @@
 
 // Expire rolls back the open transaction, which has been idle for longer than the limit.
 func (s *Session) Expire() {
-	s.host.log("transaction_expired", "request", s.lastRequestID, "database", s.database, "bound_ms", s.host.TransactionIdle().Milliseconds())
+	s.host.log("transaction_expired", "request", s.lastRequestID, "database", s.database, "bound_ms", s.host.TransactionIdleTimeout().Milliseconds())
 	s.failTransaction(Reply{})
 }
 
