--- a/internal/gateway/account_test.go
+++ b/internal/gateway/account_test.go
@@ -143,8 +143,9 @@
 	})
 }
 
-// Ten accounts share four connections per member. Each caller gets one, in place of the account
-// that has been unused for longest, and the members' connection limits hold.
+// A member accepts six connections, of which two are reserved for control commands, and ten accounts
+// share the other four. Each caller gets one, in place of the account that has been unused for
+// longest, and the members' connection limits hold.
 func TestManyAccountsShareFewConnections(t *testing.T) {
 	withHost(t, freshness.Latest{}, func(s *fakeSite, h *Host) {
 		var lines []string
@@ -162,7 +163,7 @@
 			}
 		}
 		if s.peakConns > 6 {
-			t.Errorf("%d connections at once", s.peakConns)
+			t.Errorf("%d connections to a member at once, want at most 6", s.peakConns)
 		}
 		if got := s.statementsByAccount(); len(got) != 10 {
 			t.Errorf("statements by account: %v", got)
--- a/internal/gateway/acquire.go
+++ b/internal/gateway/acquire.go
@@ -16,8 +16,8 @@
 	coordinator *coordinator
 	// entryRevision is the revision of an existing entry of this host, or zero if there is none.
 	entryRevision kv.Revision
-	// inherited is what is taken over from the previous coordinator's inherited, and the new inherited, if that is written in
-	// the same transaction, or else nil.
+	// inherited is what is taken over from the previous coordinator's record. It is nil if the transaction does not
+	// rewrite the record.
 	inherited   *inheritedRecord
 	transaction kv.Transaction
 }
@@ -68,8 +68,9 @@
 	}
 }
 
-// prepareAcquisition returns the transaction that acquires the role. It also writes the record, based on this host's view of the
-// stored one. If that view is stale, the commit fails, and the next attempt writes the record separately.
+// prepareAcquisition returns the transaction that acquires the role. The transaction also rewrites the record, based on
+// this host's view of the stored one. If that view is stale, the commit fails, and the next attempt writes the record
+// separately.
 func (d *coordinator) prepareAcquisition(lease int64) acquisition {
 	h := d.host
 	h.mu.Lock()
--- a/internal/gateway/config.go
+++ b/internal/gateway/config.go
@@ -41,7 +41,8 @@
 type GroupConfig struct {
 	// Connections is the maximum number of connections that a member accepts from all hosts together.
 	Connections int
-	// SyncReplicas is the number of replicas that must have a write before it is acknowledged.
+	// SyncReplicas is the number of replicas that must have a write before it is acknowledged. The gateway does not use
+	// it.
 	SyncReplicas int
 }
 
--- a/internal/gateway/conn_setup.go
+++ b/internal/gateway/conn_setup.go
@@ -12,9 +12,10 @@
 func preparedName(n int) string { return "p" + strconv.Itoa(n) }
 
 // setupCommands returns the commands that set the session's values on the connection and define a
-// prepared statement, each only if necessary, and the name of the statement on the connection. The
-// first of them is a reset if the connection holds a value that the session does not set, or
-// maxPreparedPerConn prepared statements.
+// prepared statement, each only if necessary, and the name of the statement on the connection. It
+// updates values and prepared as if the commands had been carried out. The first command is a reset
+// if the connection holds a value that the session does not set, or maxPreparedPerConn prepared
+// statements.
 func (p *pooledConn) setupCommands(values map[string]string, statement *PreparedStatement) (out []Command, name string) {
 	reset := len(p.prepared) >= maxPreparedPerConn
 	for k := range p.values {
--- a/internal/gateway/connections.go
+++ b/internal/gateway/connections.go
@@ -219,7 +219,7 @@
 	g.dispatch()
 }
 
-// noteOverload records that the member refused a statement for lack of room.
+// noteOverload records that the member refused a statement because its queue is full.
 func (g *Group) noteOverload(m *member) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -245,7 +245,8 @@
 	g.dispatch()
 }
 
-// prewarm opens a connection to the primary if there is none, while a primary check is in progress.
+// prewarm opens a connection to the primary if there is none, so that it is open by the time that a
+// primary check has passed.
 func (g *Group) prewarm(account string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -255,7 +256,8 @@
 	}
 }
 
-// maintain closes connections that have been unused for long, and drops expired members.
+// maintain closes connections that have been unused for long, drops expired members, and retries to
+// adopt the inherited floor.
 func (g *Group) maintain() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -268,7 +270,7 @@
 
 // warmConns returns how many unused connections to a member are kept open. A host that serves a group
 // for many others soon needs them: at 64 hosts, 13 % of the statements in the first two seconds of a
-// day were late without them, and 3 % with them. If every host serves its own clients, other hosts
+// day were late without them, and 3 % with them. If every host serves its own callers, other hosts
 // have more use for the connections.
 func (g *Group) warmConns(m *pool.Member) int {
 	if !g.hasDedicatedServers() {
--- a/internal/gateway/coordinator.go
+++ b/internal/gateway/coordinator.go
@@ -19,8 +19,8 @@
 	coordinatorLeaseTTL = 3 * time.Second
 	// recordWriteTimeout bounds a write of the record for the next coordinator.
 	recordWriteTimeout = 500 * time.Millisecond
-	// maxUnansweredPromotionDelay is how long after an unanswered request the platform may still promote the member, if it
-	// checks no fencing tokens: delayed calls on users' platforms are carried out up to 6 s later.
+	// maxUnansweredPromotionDelay is how long after an unanswered request the platform may still promote the member,
+	// if it checks no fencing tokens: delayed calls on users' platforms are carried out up to 6 s later.
 	maxUnansweredPromotionDelay = 8 * time.Second
 	// coordinatorPollInterval is the interval at which a host checks for vacant roles. It is short because after a
 	// restart of all hosts nobody grants leases until the roles are acquired again.
@@ -60,8 +60,9 @@
 	// tokenRaisedAt is when the platform first acknowledged a token of this host since the role was acquired, or
 	// zero.
 	tokenRaisedAt time.Time
-	// record is the last record of the group that this host has written, whenever it held the role. The store
-	// holds it for the next coordinator at recordRevision, which is zero while the stored record is not known.
+	// record is the last record of the group that this host has written, possibly when it held the role before.
+	// The store holds it for the next coordinator at recordRevision, which is zero while the stored record is not
+	// known.
 	record         leadership.StoredRecord
 	recordRevision kv.Revision
 	// recordInherited is true once the record of the previous coordinator has been read.
@@ -85,16 +86,16 @@
 	// the same transaction.
 	recordSeparately bool
 	// pendingMember is the member named by the last promotion request, pendingToken the request's token and
-	// pendingAt when it was last sent. They are kept until the member is seen to lead. An empty pendingMember means
-	// that no promotion is pending.
+	// pendingAt when it was last sent. They are kept until the member is seen to be the primary. An empty
+	// pendingMember means that no promotion is pending.
 	pendingMember string
 	pendingToken  kv.Revision
 	pendingAt     time.Time
 	// raisedToken is the highest token that the platform has acknowledged. It refuses requests with lower tokens
 	// from then on.
 	raisedToken kv.Revision
-	// exemptToken is the token of this coordinator if no earlier one can have requested a promotion, or else zero. The
-	// platform need not see such a token before leases are granted.
+	// exemptToken is this coordinator's token if no earlier coordinator can have requested a promotion, or else
+	// zero. The platform need not see this token before leases are granted.
 	exemptToken kv.Revision
 }
 
@@ -185,7 +186,7 @@
 }
 
 // mayAcquire reports whether the role has been vacant for as long as higher-ranked hosts are given to acquire it, and no
-// backoff is running.
+// backoff is running. The first call for a vacant role sets vacantSince and returns false.
 func (d *coordinator) mayAcquire(now time.Time) bool {
 	if d.vacantSince.IsZero() {
 		d.vacantSince = now
@@ -300,7 +301,8 @@
 	return d.token.Epoch()
 }
 
-// wasSoleHolder reports whether no other host can have held the role, and replaced a primary, at the given time.
+// wasSoleHolder reports whether this host was certainly the only holder of the role at the given time, so that no other
+// host can have replaced a primary then.
 func (d *coordinator) wasSoleHolder(at time.Time) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/gateway/coordinator_lease.go
+++ b/internal/gateway/coordinator_lease.go
@@ -24,8 +24,8 @@
 }
 
 // ensure returns the lease and when it was last renewed. It requests a new lease if there is none or the last one has
-// expired. While a renewal is overdue it returns errLeaseNotRenewed, since no role must be acquired under a lease that is
-// about to end. It must be called from a single goroutine.
+// expired. While a renewal is overdue it returns errLeaseNotRenewed, since a role must not be acquired under a lease
+// that is about to end. It must be called from a single goroutine.
 func (l *coordinatorLease) ensure(ctx context.Context) (lease int64, renewed time.Time, err error) {
 	now := l.host.now()
 	l.mu.Lock()
@@ -96,8 +96,8 @@
 	return epoch, requested, err
 }
 
-// keepCoordinatorLease renews the lease while the host holds any role, until ctx ends. It waits for nothing else, so that slow
-// calls elsewhere lose no role.
+// keepCoordinatorLease renews the lease while the host holds any role, until ctx ends. It waits for nothing else, so that
+// slow calls elsewhere do not cost the host its roles.
 func (h *Host) keepCoordinatorLease(ctx context.Context) {
 	for pause.For(ctx, coordinatorPollInterval) {
 		if held := h.heldCoordinators(); len(held) > 0 {
--- a/internal/gateway/coordinator_lease_test.go
+++ b/internal/gateway/coordinator_lease_test.go
@@ -143,7 +143,7 @@
 		d.mu.Lock()
 		defer d.mu.Unlock()
 		if d.reclaimed || d.predecessorHandedBack || d.exemptToken != 0 {
-			t.Errorf("reclaimed %t, handed back %t, first %v", d.reclaimed, d.predecessorHandedBack, d.exemptToken)
+			t.Errorf("reclaimed %t, handed back %t, exempt token %v", d.reclaimed, d.predecessorHandedBack, d.exemptToken)
 		}
 	})
 }
--- a/internal/gateway/coordinator_test.go
+++ b/internal/gateway/coordinator_test.go
@@ -33,9 +33,9 @@
 	d.applyRenewal(context.Background(), requested, epoch, err)
 }
 
-// wantNoLeaseOutlastsPrimary partitions the coordinator together with the primary right after a renewal, removes its role from the
-// store by calling forget, and checks that no lease which it still grants outlasts the change of the primary.
-func wantNoLeaseOutlastsPrimary(t *testing.T, s *fakeSite, f *fakeFleet, holder *Host, forget func()) {
+// wantNoLeaseOutlastsPrimary partitions the coordinator together with the primary right after a renewal, removes its role
+// from the store by calling removeRole, and checks that no lease which it still grants outlasts the change of the primary.
+func wantNoLeaseOutlastsPrimary(t *testing.T, s *fakeSite, f *fakeFleet, holder *Host, removeRole func()) {
 	t.Helper()
 	for _, h := range f.all() {
 		if h != holder {
@@ -47,7 +47,7 @@
 	renewLeaseNow(holder, d)
 	f.setFault(f.unreachable, holder.settings.Host, true)
 	f.setFault(f.storeSilentFor, holder.settings.Host, true)
-	forget()
+	removeRole()
 	var leaseEnd time.Time
 	for until := time.Now().Add(15 * time.Second); s.primaryID() == "a" && time.Now().Before(until); {
 		if r := holder.GrantLease(LeaseRequest{Group: testGroup, Host: "x"}); r.Granted > 0 {
@@ -63,7 +63,7 @@
 	}
 }
 
-// The store rejects the coordinator's calls and removes its entry. The next coordinator does not reach the primary and
+// The store does not answer the coordinator's calls and removes its entry. The next coordinator does not reach the primary and
 // promotes another member, while the previous one still grants leases on the old primary. A host that reaches only the
 // previous one would read stale data, so no lease may outlast the change of the primary.
 func TestNewCoordinatorWaitsForLeasesOfPreviousOne(t *testing.T) {
@@ -76,8 +76,8 @@
 	})
 }
 
-// The store rejects the coordinator's calls and removes its entry, then accepts its calls again. The lease still exists, so
-// that a renewal succeeds. The host must not conclude that it still holds the role.
+// The store does not answer the coordinator's calls and removes its entry, then it answers again. The lease still exists,
+// so that a renewal succeeds. The host must not conclude that it still holds the role.
 func TestRenewedLeaseWithoutEntryLosesRole(t *testing.T) {
 	withFleet(t, 3, 20, freshness.Latest{}, func(s *fakeSite, f *fakeFleet) {
 		holder := f.coordinatorHost()
--- a/internal/gateway/execute.go
+++ b/internal/gateway/execute.go
@@ -172,9 +172,11 @@
 	return max(min(remaining, max(readTimeoutFactor*latency, minReadTimeout)), time.Millisecond)
 }
 
-// verifyPrimaryFirst makes sure that the primary leads, so that its reply includes everything that
-// was acknowledged before the statement arrived. Members may have to be asked, and connections to
-// the primary are scarce, so none is held meanwhile. It returns false if the time to wait is over.
+// verifyPrimaryFirst makes sure that the member believed to be the primary still is, so that its
+// reply includes everything that was acknowledged before the statement arrived. Members may have to
+// be asked, and connections to the primary are scarce, so none is held meanwhile. It returns false
+// if the time to wait is over. It returns true without a check if no primary is known or the
+// statement is to be rerouted.
 func (s *Session) verifyPrimaryFirst(ctx context.Context, op *operation) bool {
 	if !op.needsPrimaryCheck {
 		return true
@@ -196,7 +198,8 @@
 	return true
 }
 
-// earliestPrimaryCheck returns the time at or after which the primary must be known to have led.
+// earliestPrimaryCheck returns the earliest time at which the primary may have been confirmed for
+// the operation. An earlier primary check does not suffice.
 func (op *operation) earliestPrimaryCheck() time.Time {
 	if op.writes && !op.freshReads {
 		return op.need.ArrivedAt.Add(-maxWriteCheckAge) // confirmWrite checks afterwards whether the write is kept
@@ -204,8 +207,8 @@
 	return op.need.ArrivedAt
 }
 
-// releaseUnlessPrimary returns nil if the member is known to lead or need not be. Otherwise it releases
-// the connection and returns a retry.
+// releaseUnlessPrimary returns nil if the member is known to be the primary, or if the operation
+// does not require that. Otherwise it releases the connection and returns a retry.
 func (s *Session) releaseUnlessPrimary(op *operation, p *pooledConn) *retry {
 	g := op.group
 	if !op.needsPrimaryCheck || g.isKnownPrimary(p.member.ID, op.earliestPrimaryCheck()) {
--- a/internal/gateway/failover.go
+++ b/internal/gateway/failover.go
@@ -13,7 +13,7 @@
 // answered since then.
 func (w *groupMonitor) failover(ctx context.Context, listedAt time.Time, answers []controlResult) {
 	// Revoking the leases marks the primary as being replaced. Whatever the outcome, the marks are cleared, and the members'
-	// next answers show which one leads. Otherwise a member that leads but was marked by mistake would never be trusted
+	// next answers show which one is the primary. Otherwise a primary that was marked by mistake would never be trusted
 	// again.
 	defer w.group.clearAllReplacements()
 	if !w.revokeLeases(ctx, false) {
@@ -44,8 +44,8 @@
 }
 
 // confirmFences asks the replicas again after all of them were fenced. A replica that was restarted in between has lost
-// its fence, and may have acknowledged a write that hosts without a lease accepted, since the other replicas were not
-// fenced yet. Its answer gets errFenceLost.
+// its fence and may have acknowledged a write since. Hosts without a lease confirm such a write if the other replicas were
+// not fenced yet when they asked. The answer of a replica that lost its fence gets errFenceLost.
 func (w *groupMonitor) confirmFences(term group.Term, fenced []controlResult) []controlResult {
 	var reached []Member
 	for _, a := range fenced {
@@ -70,9 +70,9 @@
 // errFenceLost means that a member is no longer fenced.
 var errFenceLost = errors.New("the member has lost its fence")
 
-// chooseSuccessor returns the member to promote: a replica that is safe to promote going by the fenced replicas alone, or
-// else one that holds everything that the demoted old primary held. If there is none, the old primary is chosen to lead
-// again unless it is leaving.
+// chooseSuccessor returns the member to promote: a replica that certainly holds every acknowledged write, judged by the
+// fenced replicas alone, or else one that holds everything that the demoted old primary held. If there is none, it returns
+// the old primary unless that is leaving.
 func (w *groupMonitor) chooseSuccessor(answers, fenced []controlResult) (string, bool) {
 	if best, ok := group.Successor(nil, w.successorCandidates(fenced)); ok {
 		return best.Member, true
@@ -99,8 +99,8 @@
 }
 
 // otherPrimarySeen reports whether the primary to be replaced may not be the latest one: a member that was taken for a
-// replica leads, or a term newer than any seen appeared while some members don't answer, so that one of these may
-// lead. Replicas would then acknowledge writes of an unknown primary.
+// replica is the primary, or a term newer than any seen before appeared while some members don't answer, so that one of
+// these may be the primary. Replicas would then acknowledge writes of an unknown primary.
 func (w *groupMonitor) otherPrimarySeen(answers []controlResult) bool {
 	for _, a := range answers {
 		if a.err == nil && a.status.IsPrimary {
@@ -114,15 +114,15 @@
 
 // successorCandidates converts answers of fenced replicas into the input for the choice of a successor.
 func (w *groupMonitor) successorCandidates(answers []controlResult) []group.Standby {
-	lost := w.group.longMissingMembers()
+	longMissing := w.group.longMissingMembers()
 	var out []group.Standby
 	for _, a := range answers {
-		if a.err != nil && lost[a.member.ID] && w.group.hasEnded(a) {
-			continue // it has left; Complete says whether another log covers what it may have acknowledged
+		if a.err != nil && longMissing[a.member.ID] && w.group.hasEnded(a) {
+			continue // its process has ended; Complete says whether another log covers what it may have acknowledged
 		}
 		out = append(out, group.Standby{
 			Member: a.member.ID, Answered: a.err == nil, Fenced: a.err == nil, Received: a.status.Received,
-			Leaving: a.member.Leaving || lost[a.member.ID], Complete: w.group.coversDeparted(a.status.Received),
+			Leaving: a.member.Leaving || longMissing[a.member.ID], Complete: w.group.coversDeparted(a.status.Received),
 		})
 	}
 	return out
--- a/internal/gateway/failover_test.go
+++ b/internal/gateway/failover_test.go
@@ -78,7 +78,7 @@
 		}
 		time.Sleep(3 * time.Second)
 		if s.primaryID() == "a" {
-			t.Error("the primary that no replica receives from still leads")
+			t.Error("the primary that no replica receives from is still the primary")
 		}
 		if n := len(s.promotionRequests()); n > 1 {
 			t.Errorf("%d promotion requests for one change of the primary", n)
@@ -120,7 +120,7 @@
 			time.Sleep(25 * time.Millisecond)
 		}
 		if s.primaryID() == "a" {
-			t.Error("the leaving primary still leads")
+			t.Error("the leaving primary is still the primary")
 		}
 		wantNoLostWrites(t, s)
 	})
@@ -144,8 +144,8 @@
 	})
 }
 
-// The platform no longer lists a primary that serves. It must continue to serve until another member leads, without an
-// interruption for callers.
+// The platform no longer lists a primary that serves. It must continue to serve until another member is the primary,
+// without an interruption for callers.
 func TestMissingPrimaryServesUntilItIsReplaced(t *testing.T) {
 	withHost(t, freshness.Latest{}, func(s *fakeSite, h *Host) {
 		exec(h, Write{})
@@ -171,7 +171,7 @@
 		s.updateMember("a", func(m *fakeMember) { m.full = true })
 		sendWrites(h, 40)
 		for _, o := range s.promotionRequests() {
-			t.Errorf("promotion request %q", o)
+			t.Errorf("unexpected promotion request %q", o)
 		}
 	})
 }
@@ -191,7 +191,7 @@
 		demoted := 0
 		s.updateMember("a", func(m *fakeMember) { demoted = m.demoted })
 		if s.primaryID() != "a" || demoted > 0 {
-			t.Errorf("%q leads, and a was demoted %d times", s.primaryID(), demoted)
+			t.Errorf("%q is the primary, want a, and a was demoted %d times", s.primaryID(), demoted)
 		}
 		stop()
 		time.Sleep(10 * time.Second)
@@ -215,7 +215,7 @@
 		s.updateMember("a", func(m *fakeMember) { m.crashed = true })
 		time.Sleep(coordinatorLeaseTTL + acceptedPromotionDelay + 2*time.Second)
 		if got := s.primaryID(); got != "b" && got != "c" {
-			t.Errorf("%q leads", got)
+			t.Errorf("%q is the primary, want b or c", got)
 		}
 		wantNoLostWrites(t, s)
 		delete(stop, holder)
@@ -239,7 +239,7 @@
 		s.writeMemberEntry("a", "")
 		time.Sleep(missingMemberGrace + time.Second)
 		if s.primaryID() != "b" {
-			t.Fatalf("%q leads, want b", s.primaryID())
+			t.Fatalf("%q is the primary, want b", s.primaryID())
 		}
 		s.updateMember("a", func(m *fakeMember) { m.crashed = true })
 		time.Sleep(200 * time.Millisecond)
@@ -260,7 +260,7 @@
 		s.writeMemberEntry("a", "draining")
 		time.Sleep(2 * time.Second)
 		if s.primaryID() != "c" {
-			t.Errorf("%q leads, want c", s.primaryID())
+			t.Errorf("%q is the primary, want c", s.primaryID())
 		}
 		wantNoLostWrites(t, s)
 	})
@@ -287,7 +287,7 @@
 		}
 		time.Sleep(5 * time.Second)
 		if s.primaryID() != "a" {
-			t.Errorf("%q leads", s.primaryID())
+			t.Errorf("%q is the primary, want a", s.primaryID())
 		}
 	})
 }
@@ -305,7 +305,7 @@
 		before := len(s.promotionRequests())
 		w.failover(context.Background(), h.now(), answers)
 		if requests := s.promotionRequests()[before:]; len(requests) > 0 {
-			t.Errorf("promotion requests %v while c leads", requests)
+			t.Errorf("promotion requests %v while c is the primary", requests)
 		}
 		wantNoLostWrites(t, s)
 	})
@@ -330,7 +330,7 @@
 		time.Sleep(time.Second)
 		for _, o := range s.promotionRequests() {
 			if o != "h1 a" {
-				t.Errorf("promotion request %q", o)
+				t.Errorf("unexpected promotion request %q", o)
 			}
 		}
 		wantNoLostWrites(t, s)
@@ -356,9 +356,9 @@
 	})
 }
 
-// After a switchover the coordinator briefly does not reach the new primary. The old primary answers that it follows. If the
-// coordinator treats it as a lost primary, it revokes the leases on the switchover target, finds that the target leads and
-// never trusts it again, so that callers are refused forever.
+// After a switchover the coordinator briefly does not reach the new primary. The old primary answers as a replica. If the
+// coordinator treats it as a lost primary, it revokes the leases on the switchover target, finds that the target is the
+// primary and never trusts it again, so that callers are refused forever.
 func TestBrieflySilentSwitchoverTargetStaysPrimary(t *testing.T) {
 	withHost(t, freshness.Latest{}, func(s *fakeSite, h *Host) {
 		exec(h, Write{})
--- a/internal/gateway/fakeconn_test.go
+++ b/internal/gateway/fakeconn_test.go
@@ -13,8 +13,8 @@
 func (s *fakeSite) Dial(ctx context.Context, m Member, account string) (Conn, error) {
 	s.mu.Lock()
 	f := s.member(m.ID)
-	crashed, silent, full := f.crashed, f.silent, f.conns >= s.maxConns
-	if !crashed && !silent && !full {
+	crashed, silent, atLimit := f.crashed, f.silent, f.conns >= s.maxConns
+	if !crashed && !silent && !atLimit {
 		f.conns++
 		s.peakConns = max(s.peakConns, f.conns)
 	}
@@ -25,7 +25,7 @@
 	case silent:
 		<-ctx.Done()
 		return nil, ctx.Err()
-	case full:
+	case atLimit:
 		return nil, &Failure{TooManyConnections, m.ID}
 	}
 	time.Sleep(10 * time.Millisecond)
--- a/internal/gateway/fakefleet_test.go
+++ b/internal/gateway/fakefleet_test.go
@@ -23,7 +23,8 @@
 	// hosts holds the hosts by their addresses for other hosts, and stops the functions that end them by name.
 	hosts map[netip.AddrPort]*Host
 	stops map[string]func()
-	// unreachable holds the hosts that neither reach nor answer other hosts, storeSilentFor those that the store does not answer.
+	// unreachable holds the hosts that neither reach nor answer other hosts, storeSilentFor those whose calls the store leaves
+	// unanswered.
 	unreachable, storeSilentFor map[string]bool
 	// losesReplies holds the hosts whose streams lose the reply of each request, losesRequests those whose streams lose the
 	// request.
@@ -127,7 +128,7 @@
 		s := newFakeSite("a", "b", "c")
 		s.maxConns = connections
 		f := newFakeFleet(s, hosts, connections, class)
-		defer time.Sleep(20 * time.Second) // until timers of orders and watches have expired
+		defer time.Sleep(20 * time.Second) // until the timers of promotions and store watches have expired
 		defer func() {
 			for _, stop := range f.stops {
 				stop()
@@ -165,7 +166,7 @@
 	host  string
 }
 
-// reach blocks and returns an error if the store does not answer the host.
+// reach blocks until ctx ends and returns an error if the store does not answer the host.
 func (s hostStore) reach(ctx context.Context) error {
 	if s.fleet.hasFault(s.fleet.storeSilentFor, s.host) {
 		<-ctx.Done()
--- a/internal/gateway/fakesite_test.go
+++ b/internal/gateway/fakesite_test.go
@@ -145,7 +145,7 @@
 	return slices.Clone(s.member(id).runs)
 }
 
-// promotionRequests returns the accepted promotions, each as the requesting host and the member.
+// promotionRequests returns the accepted promotion requests, each as the requesting host and the member.
 func (s *fakeSite) promotionRequests() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/gateway/floor.go
+++ b/internal/gateway/floor.go
@@ -8,7 +8,8 @@
 	"pearlatch/core/leadership"
 )
 
-// noteDeparture records that a member may have left with its log, or lost its log, at the given time. g.mu must be held.
+// noteDeparture records that at the given time a member may have left the group together with its log, or lost its log. It
+// may have held the only other copy of what it acknowledged. g.mu must be held.
 func (g *Group) noteDeparture(at time.Time) {
 	g.departedAt, g.departedRevision = laterTime(g.departedAt, at), kv.Revision(g.knownRevision.Load())
 }
@@ -20,9 +21,10 @@
 	return b
 }
 
-// floorValid reports whether the floor covers all members that have left, and those that are missing, since these may have
-// left. A member that is back in the same incarnation has lost nothing, so entries that expire while the store is down
-// make the floor invalid only until they are back. g.mu must be held.
+// floorValid reports whether the floor is a lower bound for the log of a successor: a log that contains it contains
+// everything acknowledged by members that have left, or that are missing and may have left. A member that is back in the
+// same incarnation has lost nothing, so entries that expire while the store is down make the floor invalid only until they
+// are back. g.mu must be held.
 func (g *Group) floorValid() bool {
 	if g.floor == (group.Position{}) || !g.floorAt.After(g.departedAt) {
 		return false
@@ -35,17 +37,18 @@
 	return true
 }
 
-// treatMissingPrimariesAsReplicas counts members that went missing while they led as missing replicas, now that another
-// member leads: they may have acknowledged its writes. g.mu must be held.
-func (g *Group) treatMissingPrimariesAsReplicas(leader string) {
+// treatMissingPrimariesAsReplicas is called when another member becomes the primary. From then on, members that went
+// missing as primary count as missing replicas: they may have acknowledged writes of the new primary. g.mu must be held.
+func (g *Group) treatMissingPrimariesAsReplicas(primary string) {
 	for _, m := range g.missingMembers() {
-		if m.ID != leader {
+		if m.ID != primary {
 			m.missingAsPrimary = false
 		}
 	}
 }
 
-// coversDeparted reports whether a log that ends at p is known to hold everything that departed members acknowledged.
+// coversDeparted reports whether a log that ends at p is known to hold everything acknowledged by members that have
+// left.
 func (g *Group) coversDeparted(p group.Position) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -108,8 +111,8 @@
 }
 
 // renewFloor sets the floor after the promotion of a chosen successor. When the successor was chosen, its log held
-// everything that members which had left before had acknowledged. The floor stays as it is if the basis of the choice is
-// not known or a member has left since the members were listed.
+// everything acknowledged by members that had left by then. The floor stays as it is if the basis of the choice is not
+// known or a member has left since the members were listed.
 func (g *Group) renewFloor(c successorChoice) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/gateway/forward.go
+++ b/internal/gateway/forward.go
@@ -18,9 +18,9 @@
 	// outcomeQueryDelay is how long a request may be outstanding before the other host is asked
 	// for its outcome. Statements that don't have to wait take less.
 	outcomeQueryDelay = 120 * time.Millisecond
-	// outcomeQueryTimeout bounds an outcome query, and outcomeQueryInterval is the pause before
-	// the next one. An unreachable host thus counts as lost after half a second, within the users'
-	// deadlines.
+	// outcomeQueryTimeout bounds an outcome query, and outcomeQueryInterval is the pause between
+	// the queries of watchRequest. An unreachable host thus counts as lost after half a second,
+	// within the users' deadlines.
 	outcomeQueryTimeout  = 150 * time.Millisecond
 	outcomeQueryInterval = 60 * time.Millisecond
 	// maxMissedOutcomeQueries is how many outcome queries in a row may go unanswered.
@@ -28,8 +28,9 @@
 	// peerReplyMargin is how much longer than a statement's deadline to wait for another host's
 	// reply: the time for the way back.
 	peerReplyMargin = 50 * time.Millisecond
-	// peerRetryInterval is the pause after no host that serves the group has taken a statement,
-	// and between outcome queries for a broken request.
+	// peerRetryInterval is the pause before the hosts that serve a group are tried again after none
+	// of them has taken a statement. It is also the pause between the outcome queries of
+	// resolveOutcome.
 	peerRetryInterval = 25 * time.Millisecond
 )
 
@@ -82,14 +83,15 @@
 // statement is decided.
 type sendFunc func(server membership.Host, waitForPrimary bool) error
 
-// tryServingHosts tries the hosts that serve the group in turn until the outcome of the statement is
-// decided, its time to wait is over, or this host is to serve the group itself.
-func (s *Session) tryServingHosts(ctx context.Context, op *operation, attempt sendFunc) {
+// tryServingHosts tries the hosts that serve the group in turn until the outcome of the statement
+// is decided, its time to wait is over, or this host is to serve the group itself. If this host
+// serves the group, it tries the alternative hosts.
+func (s *Session) tryServingHosts(ctx context.Context, op *operation, send sendFunc) {
 	if !op.servedElsewhere {
-		s.tryAlternatives(op, attempt)
+		s.tryAlternatives(op, send)
 		return
 	}
-	for s.tryServingHostsOnce(op, attempt) {
+	for s.tryServingHostsOnce(op, send) {
 		if !pause.For(ctx, peerRetryInterval) {
 			return
 		}
@@ -98,11 +100,11 @@
 
 // tryServingHostsOnce sends a statement to each host that serves the group until one takes it. It
 // returns true if the statement is to be retried.
-func (s *Session) tryServingHostsOnce(op *operation, attempt sendFunc) bool {
+func (s *Session) tryServingHostsOnce(op *operation, send sendFunc) bool {
 	g, h := op.group, s.host
 	var withoutPrimary []membership.Host // hosts that can't reach the primary
 	for _, server := range h.serversFor(g).servers {
-		err := attempt(server, false)
+		err := send(server, false)
 		switch {
 		case err == nil:
 			g.noteServerReached()
@@ -121,7 +123,7 @@
 	}
 	// If several hosts can't reach the primary it is most likely being replaced, and the statement
 	// waits for the new primary at one of them.
-	if len(withoutPrimary) > 0 && attempt(withoutPrimary[0], true) == nil {
+	if len(withoutPrimary) > 0 && send(withoutPrimary[0], true) == nil {
 		g.noteServerReached()
 		return false
 	}
@@ -135,10 +137,10 @@
 
 // tryAlternatives sends a statement to hosts that may reach the primary while this host, which
 // serves the group, can't.
-func (s *Session) tryAlternatives(op *operation, attempt sendFunc) {
+func (s *Session) tryAlternatives(op *operation, send sendFunc) {
 	alternatives := s.host.fleet.Usable(s.host.alternativeHosts(op.group))
 	for _, server := range alternatives[:min(len(alternatives), 1+maxAlternatives)] {
-		if attempt(server, false) == nil || !s.host.now().Before(op.waitUntil()) {
+		if send(server, false) == nil || !s.host.now().Before(op.waitUntil()) {
 			return
 		}
 	}
@@ -207,7 +209,7 @@
 }
 
 // watchRequest queries the outcome of a request that takes long. It cancels the wait for the reply
-// if the host does not answer or does not know the request: the connection may have silently
+// if the host does not answer or no longer runs the request: the connection may have silently
 // failed.
 func (h *Host) watchRequest(ctx context.Context, cancel func(), server membership.Host, r *PeerRequest) {
 	for missed := 0; ctx.Err() == nil; {
@@ -285,6 +287,7 @@
 			return
 		}
 		callCtx, cancel := context.WithTimeout(ctx, outcomeQueryTimeout)
+		// No request has the serial 0, so this only tests whether the host answers.
 		got, err := h.ports.Peers.QueryOutcome(callCtx, addr, h.processID, 0)
 		cancel()
 		if known, ok := got.(OutcomeUnknown); ok && err == nil {
@@ -301,9 +304,9 @@
 	}
 }
 
-// reroute runs a statement by way of another host, since this one can't reach the primary. A
-// forwarded statement is returned to the host that sent it. It returns false if no host took the
-// statement, which then waits here.
+// reroute runs a statement by way of another host, since this one can't reach the primary. It
+// declines a forwarded statement instead. It returns false if no host took the statement, which
+// then waits here.
 func (s *Session) reroute(ctx context.Context, r Request, op *operation) (Reply, bool) {
 	if s.declineToOrigin() {
 		return busyReply(*op), true
@@ -321,8 +324,9 @@
 	return s.forwardInTransaction(ctx, r, arrived)
 }
 
-// declineToOrigin returns a forwarded statement to the host that sent it: the reply says that this
-// host can't reach the primary. It returns false for this host's own callers.
+// declineToOrigin declines a forwarded statement that has already been accepted, since this host
+// can't reach the primary. The host that sent the statement tries others. It returns false for this
+// host's own callers.
 func (s *Session) declineToOrigin() bool {
 	if s.origin == nil {
 		return false
--- a/internal/gateway/forwarded_session.go
+++ b/internal/gateway/forwarded_session.go
@@ -18,14 +18,14 @@
 	counted bool
 }
 
-// forwardOrigin replaces the host's own configuration in a forwarded session: the host that the
-// caller is connected to decides on the route.
+// forwardOrigin is what the host that the caller is connected to has decided for a forwarded
+// session. Its route, group and account apply instead of those of this host's configuration.
 type forwardOrigin struct {
 	from string
 	routeTarget
 	// waitForPrimary is true if the current request is to wait for the primary on this host.
-	// declined is set if it does not wait and goes back to its host, since this one can't reach
-	// the primary.
+	// declined is set if it does not wait and this host can't reach the primary. The host that sent
+	// the request then tries others.
 	waitForPrimary, declined bool
 }
 
@@ -39,7 +39,7 @@
 	h := fs.host
 	reason := fs.declineReason(r)
 	if reason == Accepted && !h.recentRequests.Admit(recall.Key{Sender: r.From, Serial: r.Serial}, h.now()) {
-		reason = ReportedUnknown
+		reason = ReportedUnknown // or the request was admitted before
 	}
 	if reason == Accepted {
 		h.forwardedCount.Add(1)
--- a/internal/gateway/group.go
+++ b/internal/gateway/group.go
@@ -32,7 +32,7 @@
 	// maxDrain is how long a primary that is leaving may still get new work.
 	maxDrain time.Duration
 
-	// mu guards the fields below, down to lastNeededAt.
+	// mu guards the fields below, up to and including probeSignal.
 	mu sync.Mutex
 	// members holds the members by ID, and sortedMembers holds them in the order of their IDs.
 	members       map[string]*member
@@ -112,23 +112,24 @@
 	controlConns map[string]*controlConn
 	// coordinated is true while this host is the group's coordinator.
 	coordinated bool
-	// departedAt is when a member was last dropped, restarted or found without its log, or when the
-	// list was first read. The member may have held the only other copy of what it had acknowledged by
-	// then.
+	// departedAt is when a member was last dropped, restarted or found without its log. That member may
+	// have held the only other copy of what it had acknowledged by then. It is at least the time when
+	// the list was first read, since members may have left before.
 	departedAt time.Time
 	// knownRevision is the store revision up to which this host has seen changes. departedRevision is
 	// its value at departedAt, or zero if no member has left.
 	knownRevision    *atomic.Int64
 	departedRevision kv.Revision
-	// floor is a position of the primary as of floorAt. A log that contains it contains everything
-	// acknowledged by members that left before floorAt; see floorValid.
+	// floor is a position of the primary as of floorAt, and the lower bound for the log of a successor:
+	// a log that contains it contains everything acknowledged by members that left before floorAt; see
+	// floorValid.
 	floor   group.Position
 	floorAt time.Time
 	// inheritedRecord is the record of an earlier coordinator. inheritedRevision is the revision at
 	// which it is stored, or zero if there is none or its floor was adopted.
 	inheritedRecord   leadership.Record
 	inheritedRevision kv.Revision
-	// probeSignal wakes the coordinator when the primary is suspect.
+	// probeSignal makes the coordinator probe the members at once, as when the primary is suspect.
 	probeSignal chan struct{}
 
 	// lastNeededAt is when the Group was last needed, and cancel stops its goroutines. Host.mu guards
@@ -248,8 +249,9 @@
 	}
 }
 
-// dropRestarted drops a member that was restarted under the same ID. Its state is lost, including a
-// fence that kept it from receiving the log, and its connections are closed. g.mu must be held.
+// dropRestarted drops a member that was restarted under the same ID, so that it can be added as a new
+// one. The restart has lost its state, including a fence that kept it from receiving the log, and its
+// connections are closed. g.mu must be held.
 func (g *Group) dropRestarted(m *member) {
 	g.log("member_reborn", "member", m.ID, "born", m.Incarnation, "leads", m.ID == g.primaryID)
 	g.dropMember(m)
@@ -423,7 +425,8 @@
 }
 
 // positionCovering returns the position that a member must hold to have everything acknowledged before
-// the given time, or false if no sample covers it.
+// the given time, or false if no sample covers it. It also notes that the primary is needed, and
+// requests a lease if it was not needed recently.
 func (g *Group) positionCovering(at time.Time) (group.Position, bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -463,7 +466,8 @@
 	}
 }
 
-// noteAnswer records that the member has just answered a statement that was sent at the given time.
+// noteAnswer records that the member has just answered a statement that was sent at the given time, and
+// its latency.
 func (g *Group) noteAnswer(m *member, sentAt time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -491,7 +495,7 @@
 	return m == nil || m.Leaving || connRefused(r.err)
 }
 
-// longMissingMembers returns the IDs of the members that have been missing for longer than
+// longMissingMembers returns the IDs of the members that the platform has not listed for longer than
 // missingMemberGrace.
 func (g *Group) longMissingMembers() map[string]bool {
 	g.mu.Lock()
--- a/internal/gateway/group_monitor.go
+++ b/internal/gateway/group_monitor.go
@@ -15,7 +15,8 @@
 	// controlTimeout bounds a control command.
 	controlTimeout = 300 * time.Millisecond
 	// maxSilentRounds is after how many rounds without an answer the primary counts as failed. With
-	// controlTimeout these take about 0.6 s. A refused connection counts as two rounds.
+	// controlTimeout these take about 0.6 s. A refused connection counts as two rounds; see
+	// silentRoundsOf for all cases.
 	maxSilentRounds = 2
 	// silentProbeInterval is the time until a primary that did not answer is probed again.
 	silentProbeInterval = 20 * time.Millisecond
@@ -52,7 +53,7 @@
 	unreceivedPosition group.Position
 	unreceivedSince    time.Time
 	// overloadDetector detects an overloaded primary. lastWaitCount is how many statements had waited
-	// by the previous round.
+	// for a connection by the previous round.
 	overloadDetector group.OverloadDetector
 	lastWaitCount    int
 	// lastHealthyProbe is when all members were last probed without finding a fault, or zero.
@@ -134,7 +135,7 @@
 	}
 }
 
-// canSkipProbe reports whether this round needs no probes, since clients' statements have shown that
+// canSkipProbe reports whether this round needs no probes, since callers' statements have shown that
 // the group is healthy, or the group is idle.
 func (w *groupMonitor) canSkipProbe(now time.Time) bool {
 	if w.lastHealthyProbe.IsZero() || w.leasedPrimary() == "" {
@@ -289,7 +290,7 @@
 }
 
 // writesStuck reports whether the replicas have not received what the primary wrote for longer than
-// stuckWriteTimeout. The primary then waits for their acknowledgement, and so do its clients.
+// stuckWriteTimeout. The primary then waits for their acknowledgement, and so do its callers.
 func (w *groupMonitor) writesStuck(primary controlResult, replicas []controlResult) bool {
 	var highest group.Position
 	for _, r := range replicas {
@@ -319,7 +320,7 @@
 // writes hang. With a single replica it is the connection between the two that fails, which would fail
 // for that replica as the primary too. And a replica that does not answer may at any moment resume
 // replication from the old primary, which keeps running, and acknowledge writes that the successor
-// lacks. Clients would then read stale data from the successor.
+// lacks. Callers would then read stale data from the successor.
 func canReplacePrimary(replicas []controlResult) bool {
 	return len(replicas) >= 2 && countFailed(replicas) == 0
 }
--- a/internal/gateway/groups.go
+++ b/internal/gateway/groups.go
@@ -58,8 +58,9 @@
 	return g
 }
 
-// isRelevant reports whether this host may serve the group, or is or may become its coordinator. h.mu
-// must be held.
+// isRelevant reports whether this host may serve the group, or is or may become its coordinator: it is
+// one of the group's candidates, which include those that serve it for other hosts, or the coordinator
+// entry names it. h.mu must be held.
 func (h *Host) isRelevant(name string) bool {
 	if h.isCandidate(name) {
 		return true
@@ -87,7 +88,7 @@
 	}
 }
 
-// dropUnusedGroups drops the Groups that are no longer used. It must run in the goroutine that
+// dropUnusedGroups drops the Groups that are no longer relevant or needed. It must run in the goroutine that
 // acquires coordinator roles, so that no role of a group is acquired while the group is dropped.
 func (h *Host) dropUnusedGroups() {
 	for _, g := range h.allGroups() {
@@ -115,8 +116,8 @@
 	return len(g.conns) > 0 || len(g.controlConns) > 0 || g.pool.Waiting() > 0
 }
 
-// ensureGroupStarted starts the goroutines of a Group with start. They end with ctx or when the Group is
-// dropped. It returns the Group's coordinator, or nil if the Group has been dropped.
+// ensureGroupStarted starts the goroutines of a Group with start unless they run. They end with ctx or
+// when the Group is dropped. It returns the Group's coordinator, or nil if the Group has been dropped.
 func (h *Host) ensureGroupStarted(ctx context.Context, g *Group, start func(func())) *coordinator {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/gateway/health.go
+++ b/internal/gateway/health.go
@@ -7,13 +7,13 @@
 )
 
 const (
-	// healthyProbeInterval is the time between two rounds of probes while clients' statements show
+	// healthyProbeInterval is the time between two rounds of probes while callers' statements show
 	// that the group is healthy. It bounds the detection of faults that statements do not show, such
 	// as the failure of a replica that serves no reads.
 	healthyProbeInterval = 3 * time.Second
 	// idleProbeInterval is the time between two rounds of probes while the group is idle and the last
-	// round found no fault. The loss of the primary is then detected before most clients return, or by
-	// the statement of the first client. healthyProbeInterval and idleProbeInterval together reduced
+	// round found no fault. The loss of the primary is then detected before most callers return, or by
+	// the statement of the first caller. healthyProbeInterval and idleProbeInterval together reduced
 	// the probes of a quiet day for three groups from 598 to 293.
 	idleProbeInterval = 1400 * time.Millisecond
 	// hangingWriteTimeout is how long a write may remain unanswered before the replicas are probed for
--- a/internal/gateway/health_test.go
+++ b/internal/gateway/health_test.go
@@ -16,7 +16,7 @@
 
 // Guards against frequent probes of a healthy group, each of which occupies a slot of a member. The
 // coordinator also probes rarely without traffic, but does not stop: a primary that is lost meanwhile
-// should be replaced before the next client needs it.
+// should be replaced before the next caller needs it.
 func TestCoordinatorProbesRarelyWhileTrafficIsHealthy(t *testing.T) {
 	withHost(t, freshness.Latest{}, func(s *fakeSite, h *Host) {
 		probesWithTraffic := func() int {
--- a/internal/gateway/host.go
+++ b/internal/gateway/host.go
@@ -93,7 +93,7 @@
 	config *Config
 	// maxStaleness holds, by group, the smallest maximum age among the group's routes.
 	maxStaleness map[string]time.Duration
-	// groups holds the groups in use. groupCreated receives a value when one is created.
+	// groups holds the Groups that this host keeps, by name. groupCreated receives a value when one is created.
 	groups       map[string]*Group
 	groupCreated chan struct{}
 	// storeView is the host's view of the store. follower updates it, and feeder sends the changes to other hosts.
@@ -105,7 +105,7 @@
 	// configRevision is the revision of the configuration item that was last read.
 	configRevision kv.Revision
 	members        memberTable
-	// coordinators holds the coordinators of the groups in use, by group. A coordinator may or may not hold the role.
+	// coordinators holds the coordinators of the Groups in groups, by group. A coordinator may or may not hold the role.
 	coordinators map[string]*coordinator
 	// coordinatorLease is the store lease under all roles of this host.
 	coordinatorLease coordinatorLease
@@ -113,7 +113,8 @@
 	formerRecords map[string]leadership.StoredRecord
 
 	quotas *quotas.Keeper
-	// quotaGranterEntries holds the last known entry of each group's coordinator role.
+	// quotaGranterEntries holds the last known entry of each group's coordinator role, also after the entry has expired:
+	// its holder remains the granter of quotas until there is another one.
 	quotaGranterEntries map[string]kv.Item
 
 	// processID identifies this run of the host, whose state in memory ends with it. started is when the run began.
@@ -127,7 +128,7 @@
 	// forwardedCount is the number of open requests and transactions of other hosts.
 	forwardedCount atomic.Int64
 
-	// storeRead is closed on the first update from the store, configured on the first configuration.
+	// storeRead is closed on the first update from the store, configured once the first configuration is set.
 	storeRead, configured chan struct{}
 	// reconfigured is closed and replaced on each new configuration.
 	reconfigured chan struct{}
@@ -136,7 +137,7 @@
 	stopping atomic.Bool
 	// stopped is closed by Stop, ended when Run returns.
 	stopped, ended chan struct{}
-	// synced is true once a configuration has been applied.
+	// synced is true once a configuration and the members known by then have been applied.
 	synced atomic.Bool
 }
 
@@ -277,10 +278,11 @@
 	return err
 }
 
-// maintenanceInterval is the interval between checks for unused connections.
+// maintenanceInterval is the time between two rounds of runMaintenance.
 const maintenanceInterval = 250 * time.Millisecond
 
-// runMaintenance closes unused connections to members and drops the store view's cached list once it is old, until ctx ends.
+// runMaintenance periodically closes unused connections to members, drops expired members and drops the store view's
+// cached list once it is old, until ctx ends.
 func (h *Host) runMaintenance(ctx context.Context) {
 	for pause.For(ctx, maintenanceInterval) {
 		for _, g := range h.allGroups() {
--- a/internal/gateway/host_entry.go
+++ b/internal/gateway/host_entry.go
@@ -17,10 +17,10 @@
 
 const (
 	// hostEntryTTL is the TTL of the lease of a host's entry. It outlives a short outage of the store. A dead
-	// host's share of the connections goes to other hosts only after it; until then they detect that the host does
-	// not answer by themselves.
+	// host's share of the connections goes to other hosts only after it. Until then other hosts notice on their own
+	// that it does not answer.
 	hostEntryTTL = 16 * time.Second
-	// hostEntryRenewInterval is the interval between renewals. The entry survives two lost renewals. Renewals are most of
+	// hostEntryRenewInterval is the time between two renewals. The entry survives two lost renewals. Renewals are most of
 	// the load that an idle fleet puts on the store.
 	hostEntryRenewInterval = 5 * time.Second
 	// storeTimeout is the timeout of store calls that concern leases and entries.
@@ -37,11 +37,11 @@
 	case <-ctx.Done():
 	}
 	var lease int64
-	var written kv.Epoch
+	var epoch kv.Epoch // the epoch in which the entry was written
 	for ctx.Err() == nil {
 		if lease == 0 {
-			lease, written = h.createHostEntry(ctx, h.self())
-		} else if epoch, err := h.renewStoreLease(ctx, lease); errors.Is(err, ErrNoLease) || err == nil && epoch != written {
+			lease, epoch = h.createHostEntry(ctx, h.self())
+		} else if current, err := h.renewStoreLease(ctx, lease); errors.Is(err, ErrNoLease) || err == nil && current != epoch {
 			// A restored store may have the lease but not the entry, so both are created again.
 			lease = 0
 			continue
@@ -113,7 +113,7 @@
 
 // createHostEntry writes the host's entry under a new lease. It returns the lease, or zero on failure, and the epoch in
 // which the entry was written.
-func (h *Host) createHostEntry(ctx context.Context, self membership.Host) (lease int64, written kv.Epoch) {
+func (h *Host) createHostEntry(ctx context.Context, self membership.Host) (lease int64, epoch kv.Epoch) {
 	call, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
 	lease, err := h.ports.Store.Grant(call, max(hostEntryTTL, h.settings.MinLeaseTTL))
--- a/internal/gateway/indirect_probe.go
+++ b/internal/gateway/indirect_probe.go
@@ -13,15 +13,15 @@
 	// that a failover does not wait for the other hosts.
 	indirectProbeDelay   = 90 * time.Millisecond
 	indirectProbeTimeout = 200 * time.Millisecond
-	// maxIndirectProbers is how many hosts are asked. If a partition leaves the primary reachable from
-	// half of the hosts only, they all miss it in one of eight cases.
+	// maxIndirectProbers is how many hosts are asked. If only half of the hosts reach the primary, none
+	// of the three asked does in one of eight cases.
 	maxIndirectProbers = 3
 	// peerProbeTimeout bounds the probe that such a host sends to the member.
 	peerProbeTimeout = 150 * time.Millisecond
 )
 
 // probeAll probes all members. If the primary does not answer, other hosts probe it too. A primary
-// that only the coordinator can't reach must not be replaced: clients of other hosts would lose their
+// that only the coordinator can't reach must not be replaced: callers of other hosts would lose their
 // transactions, and a replica that is not fenced may meanwhile resume replication from the primary.
 func (w *groupMonitor) probeAll(ctx context.Context) []controlResult {
 	stop := make(chan struct{})
--- a/internal/site/site_test.go
+++ b/internal/site/site_test.go
@@ -117,7 +117,7 @@
 		t.Fatal(err)
 	}
 	if err := site.Promote(context.Background(), "h", 6, g.Name(), id); !errors.Is(err, gateway.ErrPromotionRefused) {
-		t.Errorf("%v, want ErrFenced", err)
+		t.Errorf("%v, want ErrPromotionRefused", err)
 	}
 }
 
