--- a/internal/gateway/failover.go
+++ b/internal/gateway/failover.go
@@ -13,7 +13,7 @@
 // answered since then.
 func (w *groupMonitor) failover(ctx context.Context, listedAt time.Time, answers []controlResult) {
 	// Revoking the leases marks the primary as being replaced. Whatever the outcome, the marks are cleared, and the members'
-	// next answers show which one leads. Otherwise a member that leads but was marked by mistake would never be trusted
+	// next answers show which one is the primary. Otherwise a primary that was marked by mistake would never be trusted
 	// again.
 	defer w.group.clearAllReplacements()
 	if !w.revokeLeases(ctx, false) {
@@ -40,12 +40,12 @@
 	}
 	w.log("successor", "member", best, "term", term, "answers", formatResults(fenced),
 		"found_ms", w.host.now().Sub(listedAt).Milliseconds())
-	w.promote(ctx, best, successorChoice{listedAt: listedAt, received: receivedBy(best, fenced)})
+	w.promote(ctx, best, successorChoice{listedAt: listedAt, received: logEndOf(best, fenced)})
 }
 
 // confirmFences asks the replicas again after all of them were fenced. A replica that was restarted in between has lost
-// its fence, and may have acknowledged a write that hosts without a lease accepted, since the other replicas were not
-// fenced yet. Its answer gets errFenceLost.
+// its fence and may have acknowledged a write since. Hosts without a lease confirm such a write if the other replicas were
+// not fenced yet when they asked. The answer of a replica that lost its fence gets errFenceLost.
 func (w *groupMonitor) confirmFences(term group.Term, fenced []controlResult) []controlResult {
 	var reached []Member
 	for _, a := range fenced {
@@ -70,11 +70,11 @@
 // errFenceLost means that a member is no longer fenced.
 var errFenceLost = errors.New("the member has lost its fence")
 
-// chooseSuccessor returns the member to promote: a replica that is safe to promote going by the fenced replicas alone, or
-// else one that holds everything that the demoted old primary held. If there is none, the old primary is chosen to lead
-// again unless it is leaving.
+// chooseSuccessor returns the member to promote: a replica that certainly holds every acknowledged write, judged by the
+// fenced replicas alone, or else one that holds everything that the demoted old primary held. If there is none, it returns
+// the old primary unless that is leaving.
 func (w *groupMonitor) chooseSuccessor(answers, fenced []controlResult) (string, bool) {
-	if best, ok := group.Successor(nil, w.standbys(fenced)); ok {
+	if best, ok := group.Successor(nil, w.successorCandidates(fenced)); ok {
 		return best.Member, true
 	}
 	primary, _ := splitPrimary(w.primary.ID, answers)
@@ -82,14 +82,14 @@
 		return "", false
 	}
 	end := primary.status.Received
-	if best, ok := group.Successor(&end, w.standbys(fenced)); ok {
+	if best, ok := group.Successor(&end, w.successorCandidates(fenced)); ok {
 		return best.Member, true
 	}
 	return w.primary.ID, !w.primary.Leaving
 }
 
-// receivedBy returns the end of the member's log according to the answers, or the zero position if it is not among them.
-func receivedBy(id string, answers []controlResult) group.Position {
+// logEndOf returns the end of the member's log according to the answers, or the zero position if it is not among them.
+func logEndOf(id string, answers []controlResult) group.Position {
 	for _, a := range answers {
 		if a.member.ID == id {
 			return a.status.Received
@@ -99,8 +99,8 @@
 }
 
 // otherPrimarySeen reports whether the primary to be replaced may not be the latest one: a member that was taken for a
-// replica leads, or a term newer than any seen appeared while some members don't answer, so that one of these may
-// lead. Replicas would then acknowledge writes of an unknown primary.
+// replica is the primary, or a term newer than any seen before appeared while some members don't answer, so that one of
+// these may be the primary. Replicas would then acknowledge writes of an unknown primary.
 func (w *groupMonitor) otherPrimarySeen(answers []controlResult) bool {
 	for _, a := range answers {
 		if a.err == nil && a.status.IsPrimary {
@@ -112,17 +112,17 @@
 	return highestTerm(answers) > w.group.highestSeenTerm() && countFailed(answers) > 0
 }
 
-// standbys converts answers of fenced replicas into the input for the choice of a successor.
-func (w *groupMonitor) standbys(answers []controlResult) []group.Standby {
-	lost := w.group.lostMembers()
+// successorCandidates converts answers of fenced replicas into the input for the choice of a successor.
+func (w *groupMonitor) successorCandidates(answers []controlResult) []group.Standby {
+	longMissing := w.group.longMissingMembers()
 	var out []group.Standby
 	for _, a := range answers {
-		if a.err != nil && lost[a.member.ID] && w.group.hasEnded(a) {
-			continue // it has left; Complete says whether another log covers what it may have acknowledged
+		if a.err != nil && longMissing[a.member.ID] && w.group.hasEnded(a) {
+			continue // its process has ended; Complete says whether another log covers what it may have acknowledged
 		}
 		out = append(out, group.Standby{
 			Member: a.member.ID, Answered: a.err == nil, Fenced: a.err == nil, Received: a.status.Received,
-			Leaving: a.member.Leaving || lost[a.member.ID], Complete: w.group.coversDeparted(a.status.Received),
+			Leaving: a.member.Leaving || longMissing[a.member.ID], Complete: w.group.coversDeparted(a.status.Received),
 		})
 	}
 	return out
--- a/internal/gateway/fakeconn_test.go
+++ b/internal/gateway/fakeconn_test.go
@@ -13,8 +13,8 @@
 func (s *fakeSite) Dial(ctx context.Context, m Member, account string) (Conn, error) {
 	s.mu.Lock()
 	f := s.member(m.ID)
-	crashed, silent, full := f.crashed, f.silent, f.conns >= s.maxConns
-	if !crashed && !silent && !full {
+	crashed, silent, atLimit := f.crashed, f.silent, f.conns >= s.maxConns
+	if !crashed && !silent && !atLimit {
 		f.conns++
 		s.peakConns = max(s.peakConns, f.conns)
 	}
@@ -25,7 +25,7 @@
 	case silent:
 		<-ctx.Done()
 		return nil, ctx.Err()
-	case full:
+	case atLimit:
 		return nil, &Failure{TooManyConnections, m.ID}
 	}
 	time.Sleep(10 * time.Millisecond)
@@ -135,7 +135,7 @@
 func (c *fakeConn) run(timeout time.Duration, command Command) (Reply, error) {
 	switch command := command.(type) {
 	case Forward:
-		return c.forward(timeout, command)
+		return c.runStatement(timeout, command)
 	case OpenTransaction:
 		return c.open(command), nil
 	case Abort:
@@ -175,7 +175,7 @@
 	return Reply{Position: c.m.applied}
 }
 
-func (c *fakeConn) forward(timeout time.Duration, f Forward) (Reply, error) {
+func (c *fakeConn) runStatement(timeout time.Duration, f Forward) (Reply, error) {
 	c.site.mu.Lock()
 	refused := c.refuse(f)
 	work := c.m.work
--- a/internal/gateway/fakefleet_test.go
+++ b/internal/gateway/fakefleet_test.go
@@ -23,8 +23,9 @@
 	// hosts holds the hosts by their addresses for other hosts, and stops the functions that end them by name.
 	hosts map[netip.AddrPort]*Host
 	stops map[string]func()
-	// unreachable holds the hosts that neither reach nor answer other hosts, storeRejects those that the store does not answer.
-	unreachable, storeRejects map[string]bool
+	// unreachable holds the hosts that neither reach nor answer other hosts, storeSilentFor those whose calls the store leaves
+	// unanswered.
+	unreachable, storeSilentFor map[string]bool
 	// losesReplies holds the hosts whose streams lose the reply of each request, losesRequests those whose streams lose the
 	// request.
 	losesReplies, losesRequests map[string]bool
@@ -42,7 +43,7 @@
 func newFakeFleet(s *fakeSite, n, connections int, class freshness.Class) *fakeFleet {
 	f := &fakeFleet{
 		site: s, hosts: map[netip.AddrPort]*Host{}, stops: map[string]func(){}, unreachable: map[string]bool{},
-		storeRejects: map[string]bool{}, losesReplies: map[string]bool{}, losesRequests: map[string]bool{}, severed: map[string]bool{}, forwardedTo: map[string]int{},
+		storeSilentFor: map[string]bool{}, losesReplies: map[string]bool{}, losesRequests: map[string]bool{}, severed: map[string]bool{}, forwardedTo: map[string]int{},
 		storeReads: map[string]int{},
 	}
 	s.put("config", []byte{1, byte(connections)}, 0)
@@ -127,7 +128,7 @@
 		s := newFakeSite("a", "b", "c")
 		s.maxConns = connections
 		f := newFakeFleet(s, hosts, connections, class)
-		defer time.Sleep(20 * time.Second) // until timers of orders and watches have expired
+		defer time.Sleep(20 * time.Second) // until the timers of promotions and store watches have expired
 		defer func() {
 			for _, stop := range f.stops {
 				stop()
@@ -165,9 +166,9 @@
 	host  string
 }
 
-// reach blocks and returns an error if the store does not answer the host.
+// reach blocks until ctx ends and returns an error if the store does not answer the host.
 func (s hostStore) reach(ctx context.Context) error {
-	if s.fleet.hasFault(s.fleet.storeRejects, s.host) {
+	if s.fleet.hasFault(s.fleet.storeSilentFor, s.host) {
 		<-ctx.Done()
 		return errStoreDown
 	}
--- a/internal/gateway/group.go
+++ b/internal/gateway/group.go
@@ -32,7 +32,7 @@
 	// maxDrain is how long a primary that is leaving may still get new work.
 	maxDrain time.Duration
 
-	// mu guards the fields below, down to lastNeededAt.
+	// mu guards the fields below, up to and including probeSignal.
 	mu sync.Mutex
 	// members holds the members by ID, and sortedMembers holds them in the order of their IDs.
 	members       map[string]*member
@@ -46,10 +46,10 @@
 	fallbackUntil time.Time
 	// servingHosts holds the hosts to forward statements to if other hosts serve the group.
 	servingHosts fleet.Versioned[servingHosts]
-	// serversLostSince is since when none of the serving hosts has been reachable, or zero.
-	serversLostSince time.Time
-	// serversTriedAt is when a statement was last forwarded to the serving hosts.
-	serversTriedAt time.Time
+	// servingHostsLostSince is since when none of the serving hosts has been reachable, or zero.
+	servingHostsLostSince time.Time
+	// servingHostsTriedAt is when a statement was last forwarded to the serving hosts.
+	servingHostsTriedAt time.Time
 	// maxStaleness is the shortest maximum age among the group's routes, or zero.
 	maxStaleness time.Duration
 	// pool decides which connections to open, assign and close. conns holds the connections, and
@@ -112,23 +112,24 @@
 	controlConns map[string]*controlConn
 	// coordinated is true while this host is the group's coordinator.
 	coordinated bool
-	// departedAt is when a member was last dropped, restarted or found without its log, or when the
-	// list was first read. The member may have held the only other copy of what it had acknowledged by
-	// then.
+	// departedAt is when a member was last dropped, restarted or found without its log. That member may
+	// have held the only other copy of what it had acknowledged by then. It is at least the time when
+	// the list was first read, since members may have left before.
 	departedAt time.Time
-	// storeRevision is the store revision up to which this host has seen changes. departedRevision is
+	// knownRevision is the store revision up to which this host has seen changes. departedRevision is
 	// its value at departedAt, or zero if no member has left.
-	storeRevision    *atomic.Int64
+	knownRevision    *atomic.Int64
 	departedRevision kv.Revision
-	// floor is a position of the primary as of floorAt. A log that contains it contains everything
-	// acknowledged by members that left before floorAt; see floorValid.
+	// floor is a position of the primary as of floorAt, and the lower bound for the log of a successor:
+	// a log that contains it contains everything acknowledged by members that left before floorAt; see
+	// floorValid.
 	floor   group.Position
 	floorAt time.Time
 	// inheritedRecord is the record of an earlier coordinator. inheritedRevision is the revision at
 	// which it is stored, or zero if there is none or its floor was adopted.
 	inheritedRecord   leadership.Record
 	inheritedRevision kv.Revision
-	// probeSignal wakes the coordinator when the primary is suspect.
+	// probeSignal makes the coordinator probe the members at once, as when the primary is suspect.
 	probeSignal chan struct{}
 
 	// lastNeededAt is when the Group was last needed, and cancel stops its goroutines. Host.mu guards
@@ -140,7 +141,7 @@
 func newGroup(name string, h *Host) *Group {
 	g := &Group{
 		name: name, zone: h.settings.Zone, dialer: h.ports.Dialer, logger: log.With(h.logger, "group", name),
-		now: h.now, metrics: h.metrics, storeRevision: &h.knownRevision, maxDrain: h.settings.MemberDrain - drainMargin,
+		now: h.now, metrics: h.metrics, knownRevision: &h.knownRevision, maxDrain: h.settings.MemberDrain - drainMargin,
 		members: map[string]*member{}, maxConnections: 1, hostCount: 1, controlConns: map[string]*controlConn{},
 		probeSignal: make(chan struct{}, 1), leaseSignal: make(chan struct{}, 1),
 		conns: map[*pool.Conn]*pooledConn{}, waiting: map[*pool.Waiter]chan *pooledConn{},
@@ -205,7 +206,7 @@
 func (g *Group) updateMember(listed Member) {
 	m := g.members[listed.ID]
 	if m != nil && m.Incarnation != listed.Incarnation {
-		g.replaceRestarted(m)
+		g.dropRestarted(m)
 		m = nil
 	}
 	if m == nil {
@@ -248,9 +249,10 @@
 	}
 }
 
-// replaceRestarted drops a member that was restarted under the same ID. Its state is lost, including a
-// fence that kept it from receiving the log, and its connections are closed. g.mu must be held.
-func (g *Group) replaceRestarted(m *member) {
+// dropRestarted drops a member that was restarted under the same ID, so that it can be added as a new
+// one. The restart has lost its state, including a fence that kept it from receiving the log, and its
+// connections are closed. g.mu must be held.
+func (g *Group) dropRestarted(m *member) {
 	g.log("member_reborn", "member", m.ID, "born", m.Incarnation, "leads", m.ID == g.primaryID)
 	g.dropMember(m)
 	delete(g.members, m.ID)
@@ -423,7 +425,8 @@
 }
 
 // positionCovering returns the position that a member must hold to have everything acknowledged before
-// the given time, or false if no sample covers it.
+// the given time, or false if no sample covers it. It also notes that the primary is needed, and
+// requests a lease if it was not needed recently.
 func (g *Group) positionCovering(at time.Time) (group.Position, bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -463,8 +466,9 @@
 	}
 }
 
-// noteLatency records that the member has just answered a statement that was sent at the given time.
-func (g *Group) noteLatency(m *member, sentAt time.Time) {
+// noteAnswer records that the member has just answered a statement that was sent at the given time, and
+// its latency.
+func (g *Group) noteAnswer(m *member, sentAt time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	m.heardAt, m.silentSince = g.now(), time.Time{}
@@ -491,9 +495,9 @@
 	return m == nil || m.Leaving || connRefused(r.err)
 }
 
-// lostMembers returns the IDs of the members that have been missing for longer than
+// longMissingMembers returns the IDs of the members that the platform has not listed for longer than
 // missingMemberGrace.
-func (g *Group) lostMembers() map[string]bool {
+func (g *Group) longMissingMembers() map[string]bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	out := map[string]bool{}
--- a/internal/site/site_test.go
+++ b/internal/site/site_test.go
@@ -116,8 +116,8 @@
 	if err := site.Promote(context.Background(), "h", 7, g.Name(), g.Members()[0].ID()); err != nil {
 		t.Fatal(err)
 	}
-	if err := site.Promote(context.Background(), "h", 6, g.Name(), id); !errors.Is(err, gateway.ErrFenced) {
-		t.Errorf("%v, want ErrFenced", err)
+	if err := site.Promote(context.Background(), "h", 6, g.Name(), id); !errors.Is(err, gateway.ErrPromotionRefused) {
+		t.Errorf("%v, want ErrPromotionRefused", err)
 	}
 }
 
