--- a/internal/gateway/acquire.go
+++ b/internal/gateway/acquire.go
@@ -18,7 +18,7 @@
 	entryRevision kv.Revision
 	// record is what is taken over from the previous coordinator's record, and the new record, if that is written in
 	// the same transaction, or else nil.
-	record      *inheritedRecord
+	record      *inheritance
 	transaction kv.Transaction
 }
 
@@ -85,7 +85,7 @@
 	if d.recordSeparately {
 		return a
 	}
-	i := d.newInheritedRecord(stored, epoch)
+	i := d.newInheritance(stored, epoch)
 	value, err := encodeRecord(i.record)
 	if err != nil {
 		d.log("record_not_written", "err", err)
--- a/internal/gateway/ports.go
+++ b/internal/gateway/ports.go
@@ -49,13 +49,13 @@
 	Close() error
 }
 
-// Command is a statement for a member. Its implementations are Forward, OpenTransaction,
+// Command is a statement for a member. Its implementations are RunStatement, OpenTransaction,
 // Abort, Assign, Define and Reset.
 type Command interface{ isCommand() }
 
 type (
-	// Forward runs a caller's statement.
-	Forward struct {
+	// RunStatement runs a caller's statement.
+	RunStatement struct {
 		Request Request
 		// After is the position that the member must have, or zero.
 		After group.Position
@@ -80,7 +80,7 @@
 	Reset struct{}
 )
 
-func (Forward) isCommand()         {}
+func (RunStatement) isCommand()    {}
 func (OpenTransaction) isCommand() {}
 func (Abort) isCommand()           {}
 func (Assign) isCommand()          {}
