--- a/internal/gateway/leadership_test.go
+++ b/internal/gateway/leadership_test.go
@@ -59,7 +59,7 @@
 			}
 			afterWrite := written
 			if r := exec(cutOff, Read{}); r.Failure == nil && afterWrite && joinedRows(r) == "a" {
-				t.Fatal("the replaced primary answered a read of the latest")
+				t.Fatal("the replaced primary answered a read of the latest state")
 			}
 			time.Sleep(10 * time.Millisecond)
 		}
@@ -94,7 +94,7 @@
 			}
 			afterWrite := written
 			if r := exec(cutOff, Read{}); r.Failure == nil && afterWrite && joinedRows(r) == "a" {
-				t.Fatal("the replaced primary answered a read of the latest")
+				t.Fatal("the replaced primary answered a read of the latest state")
 			}
 		}
 		if !written {
@@ -178,7 +178,7 @@
 		s.updateMember("c", func(m *fakeMember) { m.silent = true })
 		time.Sleep(maxCheckBackoff)
 		if r := exec(h, Read{}); r.Failure == nil {
-			t.Error("a read of the latest was served although a silent member may be the primary")
+			t.Error("a read of the latest state was served although a silent member may be the primary")
 		}
 		s.setDown(false)
 	})
@@ -305,7 +305,7 @@
 }
 
 // The coordinator grants a lease and revokes all leases while the grant is still in flight. The host
-// must ignore the late grant, since the coordinator counts the lease as returned.
+// must ignore the late grant, since the coordinator no longer waits for the lease to end.
 func TestLateLeaseGrantAfterRevocationIsIgnored(t *testing.T) {
 	withHost(t, freshness.Latest{}, func(_ *fakeSite, h *Host) {
 		exec(h, Write{})
--- a/internal/gateway/lease_client.go
+++ b/internal/gateway/lease_client.go
@@ -132,7 +132,7 @@
 	return h.ports.Peers.RequestLease(call, addr, r)
 }
 
-// servesHere reports whether the host serves the group, permanently or as a fallback.
+// servesHere reports whether the host serves the group: permanently, as a fallback, or while it is isolated.
 func (g *Group) servesHere() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -224,8 +224,8 @@
 	return g.lease.CoversReads(id, at)
 }
 
-// RevokeLease revokes the host's lease on a group's primary, which the coordinator is about to replace. In a
-// planned change the primary serves until it is replaced, and the lease is only restricted to writes.
+// RevokeLease revokes the host's lease on a group's primary, which the coordinator is about to replace. planned is
+// true for a switchover: the primary then serves until it is replaced, and the lease is only restricted to writes.
 func (h *Host) RevokeLease(groupName, memberID string, planned bool) {
 	if g := h.existingGroup(groupName); g != nil { // a host without a Group has no lease
 		g.revokeLease(memberID, planned)
@@ -236,7 +236,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.log("lease_recalled", "member", id, "planned", planned)
-	// A lease that was granted just before may still be in flight. The coordinator counts it as returned
+	// A lease that was granted just before may still be in flight. The coordinator no longer waits for it
 	// once this call is answered, so applyLease must ignore it.
 	g.leaseRevokedAt = g.now()
 	if planned {
@@ -257,7 +257,7 @@
 	}
 }
 
-// clearAllReplacements clears the replacement mark of all members. A new coordinator learns from the record and the
+// clearAllReplacements clears beingReplaced of all members. A new coordinator learns from the record and the
 // members what became of a replacement that an earlier one began.
 func (g *Group) clearAllReplacements() {
 	g.mu.Lock()
@@ -267,7 +267,7 @@
 	}
 }
 
-// clearReplacement clears the replacement mark of a primary that could not be replaced and stays the primary.
+// clearReplacement clears beingReplaced of a primary that could not be replaced and stays the primary.
 func (g *Group) clearReplacement(id string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/gateway/lease_grants.go
+++ b/internal/gateway/lease_grants.go
@@ -23,7 +23,7 @@
 	heardAt time.Time
 	// position is the end of its log at that time, or zero.
 	position group.Position
-	// inSwitchover is true during a planned change of primary.
+	// inSwitchover is true during a switchover.
 	inSwitchover bool
 }
 
@@ -103,7 +103,7 @@
 
 // revokeLeases ends all leases on the primary, so that another member can be promoted. It stops granting leases,
 // asks the hosts to give back theirs, and waits until the leases of hosts that don't answer have expired. In a
-// planned change, write leases may remain. It returns false if ctx ends or this host may no longer promote.
+// switchover (planned is true), write leases may remain. It returns false if ctx ends or this host may no longer promote.
 func (w *groupMonitor) revokeLeases(ctx context.Context, planned bool) bool {
 	started := w.host.now()
 	id := w.stopLeaseGrants(planned)
@@ -128,8 +128,8 @@
 	return w.mayPromote()
 }
 
-// stopLeaseGrants prevents further grants of leases on the primary. In a planned change only read leases are
-// stopped. It returns the primary.
+// stopLeaseGrants prevents further grants of leases on the primary. In a switchover (planned is true) only read
+// leases are stopped. It returns the primary.
 func (w *groupMonitor) stopLeaseGrants(planned bool) string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -143,8 +143,8 @@
 	return id
 }
 
-// leaseHolders returns the hosts whose leases a change of primary must wait for: all lease holders, or only those
-// with read leases in a planned change.
+// leaseHolders returns the hosts whose leases a change of primary must wait for: all lease holders, or in a
+// switchover (planned is true) only those with read leases.
 func (w *groupMonitor) leaseHolders(planned bool) []string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -161,7 +161,7 @@
 	return w.grants.LastEnd()
 }
 
-// revokeHostLease asks a host to give back its lease, or in a planned change to restrict it to writes, and records
+// revokeHostLease asks a host to give back its lease, or in a switchover to restrict it to writes, and records
 // that it did. The lease stays outstanding if the host does not answer.
 func (w *groupMonitor) revokeHostLease(ctx context.Context, host, member string, planned bool) {
 	h := w.host
--- a/internal/gateway/local_replica.go
+++ b/internal/gateway/local_replica.go
@@ -43,7 +43,7 @@
 // forwarded.
 func (s *Session) runOnLocalReplica(ctx context.Context, r Request, op *operation) (Reply, bool) {
 	if !op.group.hasLocalReplicas() {
-		return Reply{}, false // before setRequirements, which would request the primary's position
+		return Reply{}, false // before setRequirements, which marks the primary as needed and so requests its position
 	}
 	local := *op
 	local.shouldForward = false
--- a/internal/gateway/member.go
+++ b/internal/gateway/member.go
@@ -12,7 +12,7 @@
 	Member
 	// poolMember holds this host's connections to the member.
 	poolMember *pool.Member
-	// suspectUntil is until when the member is used only if no other member can serve.
+	// Until suspectUntil the member is used only if no other member can serve.
 	suspectUntil time.Time
 	// silentSince is when the member first failed to answer since its last answer, or zero.
 	silentSince time.Time
@@ -60,8 +60,8 @@
 	return !m.dropped && !m.Leaving && !m.missingBeyondGrace(now)
 }
 
-// possiblyLeftAt returns when the member may have left the group together with its log, or the zero
-// time.
+// possiblyLeftAt returns the time at which the member may have left the group, so that its log is
+// lost. It returns the zero time if the member is not thought to have left.
 func (m *member) possiblyLeftAt() time.Time {
 	switch {
 	case !m.missingSince.IsZero() && !m.missingAsPrimary:
@@ -72,8 +72,8 @@
 	return time.Time{}
 }
 
-// missingBeyondGrace reports whether the member has been missing for longer than entries that lapsed by mistake
-// take to return.
+// missingBeyondGrace reports whether the member has been missing for longer than missingMemberGrace.
+// Entries that lapsed by mistake return within that time.
 func (m *member) missingBeyondGrace(now time.Time) bool {
 	return !m.missingSince.IsZero() && now.Sub(m.missingSince) > missingMemberGrace
 }
@@ -99,8 +99,8 @@
 )
 
 // missingMemberGrace is how long a member that the platform does not list continues to serve. Entries
-// that lapsed while the store was unavailable return after two seconds. A member that has left must
-// get no new work after seven seconds.
+// that lapsed while the store was unavailable return after two seconds. The grace is well within the
+// seven seconds after which a member that has left must get no new work.
 const missingMemberGrace = 2500 * time.Millisecond
 
 // missingMemberRetention is how long a member that is neither listed nor answers is kept. It may hold
--- a/internal/gateway/operation.go
+++ b/internal/gateway/operation.go
@@ -21,8 +21,8 @@
 	// data.
 	freshReads bool
 	deadline   time.Time
-	// shouldForward is true if other hosts serve the group. They then decide what is required of
-	// the member.
+	// shouldForward is true if the operation is to be forwarded to a host that serves the group.
+	// That host then decides what is required of the member.
 	shouldForward bool
 }
 
@@ -45,8 +45,8 @@
 }
 
 // mayReroute reports whether a statement may run by way of another host if this host can't reach
-// the primary. A forwarded statement is returned to the host that sent it, which knows alternative
-// hosts.
+// the primary. This host declines a forwarded statement in that case, since the host that sent it
+// knows alternative hosts.
 func (s *Session) mayReroute(g *Group) bool {
 	if s.origin != nil {
 		return !s.origin.waitForPrimary
@@ -54,8 +54,8 @@
 	return len(s.host.alternativeHosts(g)) > 0
 }
 
-// setRequirements sets the position that a member must have, or that it must be the primary, for a
-// session with the given last write.
+// setRequirements sets which members may run the operation: only the primary, or those that have
+// applied the log up to a position. lastWrite is the position of the session's last write.
 func (op *operation) setRequirements(lastWrite group.Position) {
 	if op.writes {
 		// Writes need the primary check too: on a replaced primary they would hang until the
@@ -71,7 +71,7 @@
 	case freshness.MaxAge:
 		p, ok := op.group.positionCovering(op.need.ArrivedAt.Add(-c.Age))
 		if !ok {
-			// No position of the primary is known within the age, so only the primary can answer.
+			// No position of the primary is known within the maximum age, so only the primary can answer.
 			op.need.PrimaryOnly, op.needsPrimaryCheck = true, true
 			break
 		}
@@ -100,8 +100,8 @@
 
 const (
 	// maxWaitFraction is the share of its timeout that a statement may wait for a member. A caller
-	// that is refused after that still has time to try another host: users' clients give up an
-	// operation after 600 ms where the timeout is 800 ms.
+	// that is refused after that still has time to try another host: where a route's timeout is
+	// 800 ms, users' clients give up an operation after 600 ms.
 	maxWaitFraction = 0.35
 	// maxWaitLatencyFactor bounds the same wait, as a multiple of the route's latency target: a
 	// later reply is of little use.
--- a/internal/gateway/outage.go
+++ b/internal/gateway/outage.go
@@ -48,9 +48,9 @@
 }
 
 // outageOutlasts estimates how much longer an outage of the primary lasts, and reports whether that is
-// beyond the deadline of a statement. Only then is the statement refused at once, and not already when
-// the outage is expected to outlast the time for which it may wait for a connection. With that earlier
-// refusal, clients with a timeout of 1.5 s retried too soon and gave up: 0.8 % of them on a day of
+// beyond the deadline of a statement. A statement is refused at once only in that case. When statements
+// were already refused if the outage was expected to outlast the time for which they may wait for a
+// connection, clients with a timeout of 1.5 s retried too soon and gave up: 0.8 % of them on a day of
 // outages, and none of those whose statements waited.
 func (g *Group) outageOutlasts(deadline time.Time) (time.Duration, bool) {
 	g.mu.Lock()
--- a/internal/gateway/overload.go
+++ b/internal/gateway/overload.go
@@ -2,7 +2,8 @@
 
 import "pearlatch/core/group"
 
-// detectOverload reports whether the primary is overloaded and to be replaced in a switchover.
+// detectOverload reports whether the primary is overloaded and to be replaced in a switchover. The load that it observes
+// includes the statements that have had to wait since its last call.
 func (w *groupMonitor) detectOverload(primary controlResult, replicas []controlResult) bool {
 	maxStaleness := w.group.maxReadStaleness()
 	lagging := len(replicas) > 0 && maxStaleness > 0
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -26,8 +26,8 @@
 	// RevokeLease asks the host to give up its lease on the primary of a group. The lease has ended if the error is nil.
 	// planned is true for a switchover.
 	RevokeLease(ctx context.Context, to netip.AddrPort, groupName, memberID string, planned bool) error
-	// RequestQuota asks the host for tokens of accounts' quotas, and TellQuota asks which tokens it holds and makes
-	// it follow the sender as granter.
+	// RequestQuota asks the host for portions of accounts' quotas. TellQuota asks which portions the host holds and
+	// makes it follow the sender as granter.
 	RequestQuota(ctx context.Context, to netip.AddrPort, r quotas.Request) (quotas.Reply, error)
 	TellQuota(ctx context.Context, to netip.AddrPort, r quotas.TellRequest) (quotas.TellReply, error)
 	follow.Peers
--- a/internal/gateway/pool_view.go
+++ b/internal/gateway/pool_view.go
@@ -59,8 +59,8 @@
 }
 
 // share returns the host's equal share of a member's connections. Two of them are reserved for control
-// commands, of the coordinator and of the one that succeeds it. A host that does not serve the group
-// has no share, or one connection while it can't reach the serving hosts. g.mu must be held.
+// commands: one for the coordinator and one for its successor. A host that does not serve the group has
+// no share, or one connection while it can't reach the serving hosts. g.mu must be held.
 func (g *Group) share() int {
 	switch {
 	case !g.plan.ServedByOthers || g.isFallback(g.now()):
--- a/internal/gateway/ports.go
+++ b/internal/gateway/ports.go
@@ -20,7 +20,8 @@
 	// Incarnation is the start time of this run of the member as the member reports it, or zero. It distinguishes runs and must
 	// not be compared with the host's clock.
 	Incarnation int64
-	// Sequence is the number of entries that this run of the member has written, or zero if the member does not report it.
+	// Sequence is the number of times that this run of the member has written its entry in the store, or zero if the member
+	// does not report it.
 	Sequence int64
 	// Slots is the number of statements that the member runs concurrently.
 	Slots int
@@ -87,8 +88,8 @@
 func (Define) isCommand()          {}
 func (Reset) isCommand()           {}
 
-// ControlCommand is an order to a member, as opposed to a statement. Its implementations are Probe, Fence, Release and
-// Demote.
+// ControlCommand is a command that controls a member, as opposed to a statement. Its implementations are Probe, Fence,
+// Release and Demote.
 type ControlCommand interface{ isControlCommand() }
 
 type (
--- a/internal/gateway/primary.go
+++ b/internal/gateway/primary.go
@@ -101,8 +101,8 @@
 }
 
 // probesViaPool reports whether probes of the member use pooled connections. The coordinator uses its control
-// connections instead, which it keeps for fences anyway, as does a host that may not pool connections to the member.
-// Where every host served the group, control connections for probes exhausted the members' limits after a restart of
+// connections instead, which it keeps open for fences anyway. A host that may not pool connections to the member
+// also uses its control connection. Where every host served the group, control connections for probes exhausted the members' limits after a restart of
 // all hosts: members refused connections for callers, and 7 statements in 1,000 failed for lack of one.
 func (g *Group) probesViaPool(id string) bool {
 	g.mu.Lock()
@@ -278,7 +278,7 @@
 	return out
 }
 
-// listMembers returns the members, including missing ones that are not gone yet.
+// listMembers returns the members, including missing ones that are not dropped yet.
 func (g *Group) listMembers() []Member {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -291,7 +291,7 @@
 	return out
 }
 
-// lookupMember returns a member, which may be missing but not gone.
+// lookupMember returns a member, which may be missing but not dropped.
 func (g *Group) lookupMember(id string) (Member, bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -341,8 +341,9 @@
 }
 
 // primaryRefuted reports whether the member is being replaced, or has refused a write in the term in which it
-// claims to be the primary. A primary that was replaced while partitioned keeps claiming the role. Accepting that
-// claim again and again would keep callers from the new primary.
+// claims to be the primary. It also raises the member's known term to the one in the answer. A primary that was
+// replaced while partitioned keeps claiming the role. Accepting that claim again and again would keep callers from
+// the new primary.
 func (g *Group) primaryRefuted(a controlResult) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/gateway/primary_check.go
+++ b/internal/gateway/primary_check.go
@@ -27,8 +27,9 @@
 // unreachable.
 const primaryCheckTimeout = 150 * time.Millisecond
 
-// verifyPrimary reports whether the member is certainly the primary: its log held, at or after the given time, every
-// write acknowledged before. A read lease is sufficient. Without one the other members are asked.
+// verifyPrimary reports whether the member is certainly the primary: it was the primary at or after the given time, so
+// that its log held every write acknowledged before that time. A read lease is sufficient. Without one the other
+// members are asked. It also returns false if a check of another member was in progress and failed.
 func (g *Group) verifyPrimary(ctx context.Context, id string, since time.Time) bool {
 	if g.isKnownPrimary(id, since) {
 		return true
@@ -118,8 +119,8 @@
 	return anyAnswered
 }
 
-// checkWithBackoff returns the last failed check of the member until the backoff after it has passed, and a shared
-// check from then on. This bounds the load that many concurrent statements put on the members.
+// checkWithBackoff returns the last failed check of the member until its backoff is over, and a shared check from
+// then on. This bounds the load that many concurrent statements put on the members.
 func (g *Group) checkWithBackoff(id string) *primaryCheck {
 	g.mu.Lock()
 	failed, due := g.failedCheck, !g.now().Before(g.nextCheckAt)
--- a/internal/gateway/promotion.go
+++ b/internal/gateway/promotion.go
@@ -64,8 +64,9 @@
 }
 
 // invalidatePromotion makes sure that a pending promotion of a member that does not answer, or is behind, is not carried out
-// later, for example when the member is back. If the platform checks fencing tokens, it takes a higher token, which makes
-// the platform refuse the old request. Otherwise it returns errPromotionPending until the request is too old.
+// later, for example when the member is back. If the platform checks fencing tokens, it obtains a higher token: the
+// platform refuses the old request once it has seen that token. Otherwise it returns errPromotionPending until the request
+// is too old.
 func (w *groupMonitor) invalidatePromotion(ctx context.Context) error {
 	if w.host.settings.PromotionTokens {
 		return w.renewToken(ctx)
@@ -110,7 +111,7 @@
 	return err == nil || isMemberFailure(err)
 }
 
-// probe asks the member for its status. It returns errNotAsked for an unknown member.
+// probe asks the member for its status. It returns errNotProbed for an unknown member.
 func (w *groupMonitor) probe(id string) (Status, error) {
 	m, ok := w.group.lookupMember(id)
 	if !ok {
--- a/internal/gateway/promotion_state.go
+++ b/internal/gateway/promotion_state.go
@@ -8,15 +8,16 @@
 	"pearlatch/core/kv"
 )
 
-// renewToken rewrites the role's entry to get a higher fencing token for a new decision. If the entry or its lease is no
-// longer this host's, or the store was restored, the role is lost.
+// renewToken rewrites the role's entry to get a higher fencing token, either for a decision that invalidates a pending
+// promotion, or after the platform refused the present token. If the entry or its store lease is no longer this host's, or
+// the store was restored, the role is lost.
 func (d *coordinator) renewToken(ctx context.Context) error {
 	d.mu.Lock()
-	token, lease := d.token, d.lease
+	token, storeLease := d.token, d.lease
 	d.mu.Unlock()
 	call, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
-	revision, err := d.commitInEpoch(call, token.Epoch(), kv.Replace(d.host.coordinatorKey(d.group.name), token, []byte(d.host.settings.Host), lease))
+	revision, err := d.commitInEpoch(call, token.Epoch(), kv.Replace(d.host.coordinatorKey(d.group.name), token, []byte(d.host.settings.Host), storeLease))
 	switch {
 	case errors.Is(err, errStoreRestored):
 		d.loseRole(reasonStoreRestored)
--- a/internal/gateway/record.go
+++ b/internal/gateway/record.go
@@ -107,6 +107,7 @@
 // adoptRecord takes over the previous coordinator's record, once it has been rewritten with this host as the holder.
 func (d *coordinator) adoptRecord(i inheritance) {
 	r, found := i.record, i.found
+	// The floor is the position that the log of a successor of the primary must have reached.
 	d.group.inheritFloor(r, found.Revision)
 	d.group.noteTerm(r.Term)
 	d.startQuotaGranting(r.Grantees, i.formerGranters)
@@ -153,6 +154,8 @@
 	return errors.Wrap(err, "write leadership record")
 }
 
+// writeRecord writes the record over the one of the given revision. Unlike saveRecord it does not fill in the holder, the
+// grantees and the granters.
 func (d *coordinator) writeRecord(ctx context.Context, r leadership.Record, revision kv.Revision, extra kv.Transaction) error {
 	r.Epoch = d.acquiredEpoch()
 	value, err := encodeRecord(r)
--- a/internal/gateway/reply.go
+++ b/internal/gateway/reply.go
@@ -23,8 +23,8 @@
 // Code is the reason why a statement failed.
 type Code uint8
 
-// The codes. Those up to TooManyConnections guarantee that no effect of the caller's attempt
-// is kept.
+// The codes. Busy, Aborted, Lagging, NotPrimary, Misrouted and TooManyConnections guarantee that no
+// effect of the caller's attempt is kept.
 const (
 	// Busy means that no member or connection could take the statement in time.
 	Busy Code = iota
--- a/internal/gateway/restore_test.go
+++ b/internal/gateway/restore_test.go
@@ -310,8 +310,8 @@
 			t.Fatal("the role was not acquired again")
 		}
 		m.promote(context.Background(), "b", successorChoice{})
-		if orders := s.promotionOrders(); len(orders) > 0 {
-			t.Errorf("promotions %v were requested", orders)
+		if requests := s.promotionOrders(); len(requests) > 0 {
+			t.Errorf("promotions %v were requested", requests)
 		}
 	})
 }
--- a/internal/gateway/serving_test.go
+++ b/internal/gateway/serving_test.go
@@ -35,8 +35,8 @@
 	})
 }
 
-// A session writes and then reads, both through another host, while the replicas have not applied the write. The session's
-// mark must be sent with the read, so that it runs on the primary.
+// A session writes and then reads, both through another host, while the replicas have not applied the write. The position
+// of the session's last write must be sent with the read, so that it runs on the primary.
 func TestForwardedReadSeesOwnWrite(t *testing.T) {
 	withFleet(t, 30, 20, freshness.OwnWrites{}, func(s *fakeSite, f *fakeFleet) {
 		for _, id := range []string{"b", "c"} {
@@ -46,7 +46,7 @@
 		session := openSession(t, others[0])
 		execIn(session, Write{})
 		if session.lastWrite == (group.Position{}) {
-			t.Error("the session has no mark after its write")
+			t.Error("the session does not know the position of its write")
 		}
 		if got := joinedRows(execIn(session, Read{})); got != "a" {
 			t.Errorf("the read after the write ran on %q", got)
--- a/internal/gateway/session.go
+++ b/internal/gateway/session.go
@@ -130,8 +130,8 @@
 	return reply
 }
 
-// chargeQuota takes a token from the account's quota for an operation that begins with the
-// request: a transaction, or a statement outside one. Operations of another host's callers were
+// chargeQuota charges the account's quota for an operation that begins with the request: a
+// transaction, or a statement outside one. Operations of another host's callers were
 // charged there.
 func (s *Session) chargeQuota(ctx context.Context, r Request, arrived time.Time) *Failure {
 	if s.origin != nil || s.state != Idle {
--- a/internal/gateway/session_test.go
+++ b/internal/gateway/session_test.go
@@ -97,7 +97,7 @@
 	})
 }
 
-// A route accepts data of up to two seconds' age. While the replicas are further behind, the
+// A route accepts data of a maximum age of two seconds. While the replicas are further behind, the
 // primary must answer.
 func TestMaxAgeHoldsOnLaggingReplicas(t *testing.T) {
 	withHost(t, freshness.MaxAge{Age: 2 * time.Second}, func(s *fakeSite, h *Host) {
@@ -111,11 +111,11 @@
 		exec(h, Write{})
 		exec(h, Write{})
 		if got := joinedRows(exec(h, Read{})); got == "a" {
-			t.Error("a replica within the age was not used")
+			t.Error("a replica within the maximum age was not used")
 		}
 		time.Sleep(2500 * time.Millisecond)
 		if got := joinedRows(exec(h, Read{})); got != "a" {
-			t.Errorf("data older than the accepted age came from %q", got)
+			t.Errorf("data older than the maximum age came from %q", got)
 		}
 	})
 }
--- a/internal/gateway/startup_test.go
+++ b/internal/gateway/startup_test.go
@@ -26,7 +26,7 @@
 	return f
 }
 
-// stopAll stops all hosts and waits until timers of the store and of orders have expired.
+// stopAll stops all hosts and waits until timers of the store and of promotion requests have expired.
 func (f *fakeFleet) stopAll() {
 	for _, stop := range f.stops {
 		stop()
@@ -45,7 +45,7 @@
 		f.wantConfigInForce(t, 1)
 		f.site.mu.Lock()
 		defer f.site.mu.Unlock()
-		// Counting the hosts reads one page per look. A list of the whole store takes ten.
+		// A host reads one page each time it counts the hosts, and ten pages to list the whole store.
 		if read := f.site.pages; read > 120*4 {
 			t.Errorf("120 hosts read %d pages", read)
 		}
--- a/internal/gateway/state.go
+++ b/internal/gateway/state.go
@@ -30,7 +30,7 @@
 	Term    group.Term
 	// Waiting is how many statements wait for a connection.
 	Waiting int
-	// SampleAge is the age of the newest sample that confirmed the primary, or negative if there is none.
+	// SampleAge is the age of the newest known position of the primary's log, or negative if none is known.
 	SampleAge time.Duration
 	// Share is the host's share of each member's connections.
 	Share   int
--- a/internal/gateway/store_changes.go
+++ b/internal/gateway/store_changes.go
@@ -12,10 +12,10 @@
 
 // applyChanges applies an update from the store or from another host. It may be called from several goroutines. The error is
 // that of the store view, which rejects stale and incomplete updates.
-func (h *Host) applyChanges(n follow.News) error {
+func (h *Host) applyChanges(update follow.News) error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	applied, err := h.storeView.Apply(n)
+	applied, err := h.storeView.Apply(update)
 	if err != nil {
 		return err
 	}
--- a/internal/gateway/switchover.go
+++ b/internal/gateway/switchover.go
@@ -7,8 +7,9 @@
 	"pearlatch/internal/pause"
 )
 
-// switchOver replaces a leaving primary, or another one that still serves, while it continues to serve. All replicas but
-// the switchover target are fenced, so that every later write is acknowledged by the target.
+// switchOver replaces a primary that still serves, but is leaving, missing from the store or overloaded. The primary continues
+// to serve meanwhile. All replicas but the switchover target are fenced, so that every later write is acknowledged by the
+// target.
 func (w *groupMonitor) switchOver(ctx context.Context, primary controlResult, replicas []controlResult) {
 	started := w.host.now()
 	target, ok := switchoverTarget(replicas)
@@ -40,7 +41,7 @@
 	}
 }
 
-// switchoverTarget returns the replica that is to replace a leaving primary: of those that answered and are not leaving,
+// switchoverTarget returns the replica that is to replace the primary: of those that answered and are not leaving,
 // the one with the longest log.
 func switchoverTarget(replicas []controlResult) (Member, bool) {
 	var best controlResult
@@ -65,9 +66,9 @@
 // maxCatchUpRounds bounds the wait, in polls, for the target to receive what other members have.
 const maxCatchUpRounds = 10
 
-// awaitCatchUp waits until the target holds everything that the fenced replicas hold, and a demoted primary whose log ends at
-// end if that is not nil. It returns false if the target does not answer, is still behind after maxCatchUpRounds, or ctx
-// ends.
+// awaitCatchUp waits until the target holds everything that the fenced replicas hold. If end is not nil, it is the end of a
+// demoted primary's log, which the target must also reach. It returns false if the target does not answer, is still behind
+// after maxCatchUpRounds, or ctx ends.
 func (w *groupMonitor) awaitCatchUp(ctx context.Context, target Member, end *group.Position, fenced []controlResult) bool {
 	for range maxCatchUpRounds {
 		s, err := w.group.control(target, Probe{}, controlTimeout)
@@ -88,7 +89,7 @@
 	return false
 }
 
-// demoteForSwitchover demotes a leaving primary if a replica doesn't answer, since it is then unknown what that replica has
+// demoteForSwitchover demotes the primary if a replica doesn't answer, since it is then unknown what that replica has
 // acknowledged. It reports whether the target has received everything that the demoted primary holds. If it has not, the
 // old primary is promoted again.
 func (w *groupMonitor) demoteForSwitchover(ctx context.Context, term group.Term, target Member, fenced []controlResult) bool {
--- a/internal/gateway/transaction.go
+++ b/internal/gateway/transaction.go
@@ -255,7 +255,8 @@
 }
 
 // beginForCommit begins on a member a transaction that has run no statement yet, so that its
-// commit can be sent. It returns true if the commit was already answered by that.
+// commit can be sent. It returns true if the begin failed or another host has answered the commit. The
+// reply is then the reply to the commit.
 func (s *Session) beginForCommit(ctx context.Context, r Request, arrived time.Time) (Reply, bool) {
 	for s.tx.conn == nil {
 		err := s.beginOnMember(ctx)
