--- a/internal/gateway/ports.go
+++ b/internal/gateway/ports.go
@@ -20,7 +20,8 @@
 	// Incarnation is the start time of this run of the member as the member reports it, or zero. It distinguishes runs and must
 	// not be compared with the host's clock.
 	Incarnation int64
-	// Sequence is the number of entries that this run of the member has written, or zero if the member does not report it.
+	// Sequence is the number of times that this run of the member has written its entry in the store, or zero if the member
+	// does not report it.
 	Sequence int64
 	// Slots is the number of statements that the member runs concurrently.
 	Slots int
@@ -49,13 +50,13 @@
 	Close() error
 }
 
-// Command is a statement for a member. Its implementations are Forward, OpenTransaction,
+// Command is a statement for a member. Its implementations are RunStatement, OpenTransaction,
 // Abort, Assign, Define and Reset.
 type Command interface{ isCommand() }
 
 type (
-	// Forward runs a caller's statement.
-	Forward struct {
+	// RunStatement runs a caller's statement.
+	RunStatement struct {
 		Request Request
 		// After is the position that the member must have, or zero.
 		After group.Position
@@ -80,15 +81,15 @@
 	Reset struct{}
 )
 
-func (Forward) isCommand()         {}
+func (RunStatement) isCommand()    {}
 func (OpenTransaction) isCommand() {}
 func (Abort) isCommand()           {}
 func (Assign) isCommand()          {}
 func (Define) isCommand()          {}
 func (Reset) isCommand()           {}
 
-// ControlCommand is an order to a member, as opposed to a statement. Its implementations are Probe, Fence, Release and
-// Demote.
+// ControlCommand is a command that controls a member, as opposed to a statement. Its implementations are Probe, Fence,
+// Release and Demote.
 type ControlCommand interface{ isControlCommand() }
 
 type (
@@ -143,7 +144,7 @@
 // Promoter requests promotions from the platform.
 type Promoter interface {
 	// Promote makes a member the primary of its group. holder is the host that requests it, and token its fencing token.
-	// ErrPromotionRefused means that a higher token was used before. After any other error the promotion may or may not take place, even
+	// ErrFenced means that a higher token was used before. After any other error the promotion may or may not take place, even
 	// seconds later.
 	Promote(ctx context.Context, holder string, token int64, groupName, memberID string) error
 	// RaiseToken makes the platform reject promotions of the group with older tokens and has no other effect. It is used if the
--- a/internal/gateway/state.go
+++ b/internal/gateway/state.go
@@ -30,7 +30,7 @@
 	Term    group.Term
 	// Waiting is how many statements wait for a connection.
 	Waiting int
-	// SampleAge is the age of the newest sample that confirmed the primary, or negative if there is none.
+	// SampleAge is the age of the newest known position of the primary's log, or negative if none is known.
 	SampleAge time.Duration
 	// Share is the host's share of each member's connections.
 	Share   int
@@ -82,7 +82,7 @@
 		load := m.poolMember.Load()
 		out.Members = append(out.Members, MemberState{
 			ID: m.ID, Zone: m.Zone, Leaving: m.Leaving, Missing: !m.missingSince.IsZero(),
-			Suspect: now.Before(m.suspectUntil), Applied: m.applied, LastReplyAge: elapsedSince(now, m.heardAt),
+			Suspect: now.Before(m.suspectUntil), Applied: m.applied, LastReplyAge: elapsedSince(now, m.statementAnsweredAt),
 			Connections: load.Open, InUse: load.InUse, Running: load.Running, Idle: load.Idle,
 			Window: load.Window, Latency: load.Latency,
 		})
