--- a/core/quota/removal_test.go
+++ b/core/quota/removal_test.go
@@ -19,8 +19,8 @@
 		t.Skip("takes minutes: go test ./core/quota -run Removals -removals")
 	}
 	for _, c := range []struct{ name, file, from, to string }{
-		{"requests to earlier and later granters are rejected", "granter.go", "req.Token < g.firstToken || req.Token > g.token ||", ""},
-		{"only the last response is accepted", "limiter.go", "!l.pending || id != l.lastRequest || token != l.token", "false"},
+		{"requests to earlier and later granters are rejected", "granter.go", "req.FencingToken < g.firstFencingToken || req.FencingToken > g.fencingToken ||", ""},
+		{"only the last response is accepted", "limiter.go", "!l.pending || id != l.lastRequest || token != l.fencingToken", "false"},
 		{"late responses are rejected", "limiter.go", "|| now.Sub(l.requestedAt) > ResponseTimeout {", "{"},
 		{"late requests are rejected", "granter.go", "req.ID <= h.lastRequest ||", ""},
 		{"unreported holdings count", "granter.go", "return !now.Before(g.holdingsKnownAt())", "return true"},
