--- a/core/leadership/checker_test.go
+++ b/core/leadership/checker_test.go
@@ -52,10 +52,10 @@
 }
 
 // allFaults makes TestProtocolInvariants combine kinds of faults, which takes minutes.
-var allFaults = flag.Bool("all", false, "explore combinations of faults, such as partitions, crashes and duty expirations")
+var allFaults = flag.Bool("all", false, "explore combinations of faults, such as partitions, crashes and role expirations")
 
 // A member crashes and restarts with or without its log, a partition separates the primary and a host from the
-// rest, the duty changes hands, or promotion orders are executed late, in any order. No read may miss an
+// rest, the role changes hands, or promotion orders are executed late, in any order. No read may miss an
 // acknowledged write, and no promoted member may lack one.
 func TestProtocolInvariants(t *testing.T) {
 	cases := []faultBounds{{1, 0, 0, 0, 0}, {0, 1, 0, 0, 0}, {0, 0, 1, 0, 0}, {0, 0, 0, 1, 0}, {0, 0, 0, 0, 1}}
@@ -79,16 +79,16 @@
 		disable func(*safeguards)
 	}{
 		{"failover waits for leases", faultBounds{1, 0, 0, 0, 0}, func(s *safeguards) { s.waitForLeases = false }},
-		{"leases end with the duty", faultBounds{1, 0, 1, 0, 0}, func(s *safeguards) { s.boundByRole = false }},
+		{"leases end with the role", faultBounds{1, 0, 1, 0, 0}, func(s *safeguards) { s.boundByRole = false }},
 		{"replicas are fenced", faultBounds{0, 0, 0, 0, 0}, func(s *safeguards) { s.fenceReplicas = false }},
 		{"fenced replicas are rechecked", faultBounds{0, 1, 0, 0, 0}, func(s *safeguards) { s.recheckReplicas = false }},
 		{"successor has the floor", faultBounds{0, 1, 0, 0, 0}, func(s *safeguards) { s.requireFloor = false }},
 		{"restarts are detected", faultBounds{0, 1, 0, 0, 0}, func(s *safeguards) { s.detectRestarts = false }},
 		{"promotion orders are recorded", faultBounds{1, 0, 1, 0, 0}, func(s *safeguards) { s.recordOrder = false }},
 		{"writes without a lease are confirmed", faultBounds{1, 0, 0, 0, 0}, func(s *safeguards) { s.confirmWrites = false }},
-		{"failover waits for a holder whose duty was revoked", faultBounds{1, 0, 0, 1, 0}, func(s *safeguards) { s.waitForFormerHolder = false }},
+		{"failover waits for a coordinator whose role was removed", faultBounds{1, 0, 0, 1, 0}, func(s *safeguards) { s.waitForFormerHolder = false }},
 		{"record is remembered over a restore of the store", faultBounds{1, 0, 0, 0, 1}, func(s *safeguards) { s.rememberRecord = false }},
-		{"failover waits for a holder missing from the restored store", faultBounds{1, 0, 0, 0, 1}, func(s *safeguards) { s.waitForFormerHolder = false }},
+		{"failover waits for a coordinator missing from the restored store", faultBounds{1, 0, 0, 0, 1}, func(s *safeguards) { s.waitForFormerHolder = false }},
 		{"all other members confirm the primary", faultBounds{2, 1, 0, 0, 0}, func(s *safeguards) { s.proveByAll = false }},
 	} {
 		t.Run(c.name, func(t *testing.T) {
--- a/core/leadership/claim_test.go
+++ b/core/leadership/claim_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// When a fleet starts, a thousand duties are vacant, and hosts learn after 1.2 s who has claimed them. Of the
-// nine hosts that may claim each duty, eight still regarded it as vacant after their delays of 150 ms to 1.2 s,
+// When a fleet starts, a thousand roles are vacant, and hosts learn after 1.2 s who has claimed them. Of the
+// nine hosts that may claim each role, eight still regarded it as vacant after their delays of 150 ms to 1.2 s,
 // and sent some six thousand claims that failed.
 func TestClaimDelayCoversReplicationLag(t *testing.T) {
 	const lag = 1200 * time.Millisecond
--- a/core/leadership/grants.go
+++ b/core/leadership/grants.go
@@ -7,12 +7,13 @@
 )
 
 const (
-	// RoleValidity is how long after a renewal of its duty a holder relies on it, so that two renewals may fail.
-	// The platform may remove the entry long before its lease ends without the holder being told. The next
-	// holder therefore waits as long before it replaces a primary on which the former one may grant leases.
+	// RoleValidity is how long after a renewal of its role a coordinator relies on it, so that two renewals may
+	// fail. The platform may remove the entry long before its lease ends without the coordinator being told. The
+	// next coordinator therefore waits as long before it replaces a primary on which the former one may grant
+	// leases.
 	RoleValidity = 1800 * time.Millisecond
 	// LeaseDuration bounds a lease. A primary counts as lost after about 0.6 s of silence. A lease that ends 1 s
-	// after the last reply delays a promotion by 0.4 s at most, and only if its host can't be reached.
+	// after the last answered request delays a promotion by 0.4 s at most, and only if its host can't be reached.
 	LeaseDuration = time.Second
 	// minLease is the shortest lease worth granting: two round trips within a region and a pause of the
 	// requesting host.
@@ -21,8 +22,8 @@
 	maxClockDrift = 20 * time.Millisecond
 )
 
-// Grants are the leases that the holder of a duty has granted. The zero value is ready for use. It is not safe
-// for concurrent use.
+// Grants are the leases that a coordinator has granted. The zero value is ready for use. It is not safe for
+// concurrent use.
 type Grants struct {
 	// byHost holds the ends of the leases of each host.
 	byHost map[string]grantEnds
@@ -34,17 +35,16 @@
 	fullUntil, anyUntil time.Time
 }
 
-// GrantLimits is the state of the holder that limits a lease it may grant.
+// GrantLimits is the state of the coordinator that limits a lease it may grant.
 type GrantLimits struct {
-	// LastAnsweredRequest is when the holder sent the last request that the primary answered. A lease ends at most
-	// LeaseDuration later, so that the lease of a host that can't be reached expires while the holder makes sure
-	// that the primary is lost.
+	// LastAnsweredRequest is when the coordinator sent the last request that the primary answered. A lease ends at
+	// most LeaseDuration later, so that the lease of a host that can't be reached expires while the coordinator
+	// makes sure that the primary is lost.
 	LastAnsweredRequest time.Time
-	// RoleUntil is when the duty may pass to another host. No lease outlasts it, so a new holder need not know
-	// the leases of its predecessor.
+	// RoleUntil is when the role may pass to another host. No lease outlasts it, so a new coordinator need not
+	// know the leases of its predecessor.
 	RoleUntil time.Time
-	// InSwitchover is true during a planned change of primary. The lease then covers writes only, see
-	// Lease.WritesOnly.
+	// InSwitchover is true during a switchover. The lease then covers writes only, see Lease.WritesOnly.
 	InSwitchover bool
 }
 
@@ -78,7 +78,7 @@
 	return b
 }
 
-// Revoke records that a host has returned its lease.
+// Revoke records that a host no longer relies on its leases.
 func (g *Grants) Revoke(host string) { delete(g.byHost, host) }
 
 // Downgrade records that a host keeps its lease for writes only.
--- a/core/leadership/inherit_test.go
+++ b/core/leadership/inherit_test.go
@@ -14,9 +14,9 @@
 	for _, c := range []struct {
 		name               string
 		stored, remembered StoredRecord
-		taken              kv.Epoch
+		claimEpoch         kv.Epoch
 		holder             string
-		grantees           []string
+		portionHolders     []string
 		certain, handed    bool
 	}{
 		{"no record, first epoch", StoredRecord{}, StoredRecord{}, 0, "", nil, true, false},
@@ -28,8 +28,8 @@
 		{"stored record of this epoch before the remembered one", record("c", 1, 31, true), record("b", 0, 37, false), 1, "c", []string{"c"}, true, true},
 		{"record of an intermediate epoch remembered", record("a", 0, 30, false), record("b", 1, 12, true), 2, "b", []string{"a", "b"}, false, false},
 	} {
-		got, certain := Inherit(c.stored, c.remembered, c.taken)
-		if got.Holder != c.holder || certain != c.certain || got.HandedBack != c.handed || !slices.Equal(got.PortionHolders, c.grantees) {
+		got, certain := Inherit(c.stored, c.remembered, c.claimEpoch)
+		if got.Holder != c.holder || certain != c.certain || got.HandedBack != c.handed || !slices.Equal(got.PortionHolders, c.portionHolders) {
 			t.Errorf("%s: %+v, certain %v", c.name, got, certain)
 		}
 	}
--- a/core/leadership/leadership_test.go
+++ b/core/leadership/leadership_test.go
@@ -23,9 +23,9 @@
 	}{
 		{"primary answered just now", 0, GrantLimits{LastAnsweredRequest: timeAt(0), RoleUntil: timeAt(5000)}, LeaseDuration},
 		{"primary answered 300 ms ago", 300, GrantLimits{LastAnsweredRequest: timeAt(0), RoleUntil: timeAt(5000)}, LeaseDuration - 300*time.Millisecond},
-		{"duty ends first", 0, GrantLimits{LastAnsweredRequest: timeAt(0), RoleUntil: timeAt(400)}, 400 * time.Millisecond},
+		{"role ends first", 0, GrantLimits{LastAnsweredRequest: timeAt(0), RoleUntil: timeAt(400)}, 400 * time.Millisecond},
 		{"shorter than minLease", 950, GrantLimits{LastAnsweredRequest: timeAt(0), RoleUntil: timeAt(5000)}, 0},
-		{"duty has ended", 500, GrantLimits{LastAnsweredRequest: timeAt(500), RoleUntil: timeAt(400)}, 0},
+		{"role has ended", 500, GrantLimits{LastAnsweredRequest: timeAt(500), RoleUntil: timeAt(400)}, 0},
 		{"primary answered after the request arrived", 0, GrantLimits{LastAnsweredRequest: timeAt(200), RoleUntil: timeAt(5000)}, LeaseDuration},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -57,29 +57,29 @@
 	}
 }
 
-// The host counts a lease from its request, and the holder from the arrival of the request. The lease ends on
+// The host counts a lease from its request, and the coordinator from the arrival of the request. The lease ends on
 // the host first, so no promotion can happen while the host still relies on the lease.
 func TestLeaseEndsAtHostFirst(t *testing.T) {
 	var g Grants
 	granted := g.Grant("h", timeAt(40), GrantLimits{LastAnsweredRequest: timeAt(40), RoleUntil: timeAt(5000)})
 	l := Lease{}.Extend(newLease("m", 1, 0, granted))
 	if !g.LastEnd().After(l.Until) {
-		t.Errorf("the holder waits until %v, but the host relies on the lease until %v", g.LastEnd(), l.Until)
+		t.Errorf("the coordinator waits until %v, but the host relies on the lease until %v", g.LastEnd(), l.Until)
 	}
 }
 
-// In a planned change of primary, the host keeps its lease for writes. Its reads need another proof, and an
-// unplanned change by another holder must wait for this lease too.
+// In a switchover, the host keeps its lease for writes. Its reads need another proof, and a failover by another
+// coordinator must wait for this lease too.
 func TestDowngradedLease(t *testing.T) {
 	var g Grants
 	g.Grant("h", timeAt(0), GrantLimits{LastAnsweredRequest: timeAt(0), RoleUntil: timeAt(5000)})
 	g.Downgrade("h")
 	if len(g.OutstandingFull(timeAt(500))) > 0 || len(g.Outstanding(timeAt(500))) != 1 {
-		t.Errorf("reading %v, outstanding %v", g.OutstandingFull(timeAt(500)), g.Outstanding(timeAt(500)))
+		t.Errorf("full %v, outstanding %v", g.OutstandingFull(timeAt(500)), g.Outstanding(timeAt(500)))
 	}
 	g.Grant("h", timeAt(500), GrantLimits{LastAnsweredRequest: timeAt(500), RoleUntil: timeAt(5000), InSwitchover: true})
 	if len(g.OutstandingFull(timeAt(600))) > 0 || len(g.Outstanding(timeAt(1400))) != 1 {
-		t.Errorf("reading %v, outstanding %v", g.OutstandingFull(timeAt(600)), g.Outstanding(timeAt(1400)))
+		t.Errorf("full %v, outstanding %v", g.OutstandingFull(timeAt(600)), g.Outstanding(timeAt(1400)))
 	}
 	l := newLease("m", 1, 0, time.Second).Downgraded()
 	if l.CoversReads("m", timeAt(500)) || !l.CoversWrites("m", timeAt(500)) || l.CoversWrites("m", timeAt(1000)) {
--- a/core/leadership/lease.go
+++ b/core/leadership/lease.go
@@ -12,9 +12,9 @@
 	// Member is the primary, and Term the term in which it leads.
 	Member string
 	Term   group.Term
-	// WritesOnly is true during a planned change of primary. Writes that the member acknowledges are kept, since
-	// only its successor receives them. The successor may become the primary at any moment, so reads from the
-	// member may be stale.
+	// WritesOnly is true during a switchover. Writes that the member acknowledges are kept, since only the
+	// switchover target receives them. The target may become the primary at any moment, so reads from the member
+	// may be stale.
 	WritesOnly bool
 	// From is when the host requested the first lease of an unbroken sequence, and Until when the last one ends,
 	// by the clock of the host that has the lease.
@@ -40,8 +40,8 @@
 }
 
 // Extend returns the lease after next was granted. If next continues l, the result starts at l.From; otherwise
-// it is next. The start of next is the time of the request. The holder counts from the arrival of the request,
-// so the lease ends earlier on this host than on the holder.
+// it is next. The start of next is the time of the request. The coordinator counts from the arrival of the
+// request, so the lease ends on this host before it ends for the coordinator.
 func (l Lease) Extend(next Lease) Lease {
 	if l.Member != next.Member || l.Term != next.Term || l.WritesOnly != next.WritesOnly || next.From.After(l.Until) {
 		return next
--- a/core/leadership/proof.go
+++ b/core/leadership/proof.go
@@ -16,14 +16,14 @@
 
 // PrimaryConfirmed reports whether the results of all other members prove that primary was the primary in the
 // term when they were probed: none of them leads, and none knows of a later term. Every one of them must have
-// answered, unless its process has ended. One that is silent may lead, and one that was restarted has lost its
-// fence, so the replies of some are not enough.
+// answered, unless its process has ended, and at least one must have answered. The replies of some are not
+// enough: a silent member may lead, and a restarted one has lost its fence.
 func PrimaryConfirmed(primary string, term group.Term, members []string, results []ProbeResult) bool {
 	byMember := make(map[string]ProbeResult, len(results))
 	for _, r := range results {
 		byMember[r.Member] = r
 	}
-	anyFollows := false
+	anyAnswered := false
 	for _, m := range members {
 		r := byMember[m]
 		switch {
@@ -31,18 +31,20 @@
 		case !r.Answered || r.Leads || r.Term > term:
 			return false
 		default:
-			anyFollows = true
+			anyAnswered = true
 		}
 	}
-	return anyFollows
+	return anyAnswered
 }
 
-// WriteConfirmed reports whether the results of the other members prove that a write is kept which the primary
-// acknowledged in the term before they were probed. A holder that replaces the primary fences all replicas
-// before it determines the position that a successor must have. If all replicas follow and none has a fence of a
-// later term, no replacement has started. A member that did not answer may have been promoted, even if its
-// process has ended since: the promotion removes the fences of the other replicas, which then receive from the
-// old primary if a partition separates them and the old primary from the new one.
+// WriteConfirmed reports whether the results of the other members prove that a failover keeps every write that the
+// primary acknowledged in the term before they were probed. A coordinator that replaces the primary first fences
+// all replicas and then determines the position that the new primary must have. If all replicas follow and none has
+// a fence of a later term, no replacement has started.
+//
+// Every other member must have answered, even one whose process has ended: it may have been promoted before it
+// ended. The promotion removed the fences of the other replicas. If a partition then separated the new primary from
+// the other members, these receive from the old primary again and look as if nothing had happened.
 func WriteConfirmed(primary string, term group.Term, members []string, results []ProbeResult) bool {
 	for _, r := range results {
 		if r.Member != primary && (!r.Answered || r.FenceTerm > term) {
--- a/core/leadership/duty_test.go
+++ b/core/leadership/role_test.go
@@ -14,7 +14,7 @@
 		state RoleState
 		want  RoleStep
 	}{
-		{"duty held", held, KeepRole},
+		{"role held", held, KeepRole},
 		{"claimed by another host", with(held, func(d *RoleState) { d.EntryRevision, d.OwnEntry = 39, false }), LoseToHolder},
 		{"entry removed", with(held, func(d *RoleState) { d.EntryRevision = 0 }), LoseToRemoval},
 		{"store data older than the claim", with(held, func(d *RoleState) { d.EntryRevision, d.StoreRevision = 0, 36 }), KeepRole},
@@ -25,7 +25,7 @@
 		{"record not read yet", with(held, func(d *RoleState) { d.RecordInherited = false }), InheritRecord},
 		{"entry of an earlier process", RoleState{EntryRevision: 30, OwnEntry: true, StoreRevision: 40, MayClaim: true}, ReclaimRole},
 		{"lost in a restore, with its own entry in the copy", RoleState{Token: 37, EntryRevision: kv.NewRevision(1, 30), OwnEntry: true, StoreRevision: kv.NewRevision(1, 30), MayClaim: true}, ReclaimRole},
-		{"its own entry after it resigned", RoleState{Token: 37, EntryRevision: 37, OwnEntry: true, StoreRevision: 40, MayClaim: true}, ForgetVacancy},
+		{"its own entry after it handed back the role", RoleState{Token: 37, EntryRevision: 37, OwnEntry: true, StoreRevision: 40, MayClaim: true}, ForgetVacancy},
 		{"held by another host", RoleState{EntryRevision: 30, StoreRevision: 40, MayClaim: true}, ForgetVacancy},
 		{"vacant", RoleState{StoreRevision: 40, MayClaim: true, Candidate: true, UpToDate: true}, ClaimRole},
 		{"vacant in outdated store data", RoleState{StoreRevision: 40, MayClaim: true, Candidate: true}, ForgetVacancy},
