--- a/core/leadership/change_test.go
+++ b/core/leadership/change_test.go
@@ -4,7 +4,7 @@
 	"pearlatch/core/group"
 )
 
-// changePrimary adds the steps by which the holder of the duty replaces the primary.
+// changePrimary adds the steps by which the coordinator replaces the primary.
 func (e *explorer) changePrimary(st modelState) {
 	e.adoptPrimary(st)
 	e.sampleFloor(st)
@@ -15,10 +15,10 @@
 	e.executePromotion(st)
 }
 
-// adoptPrimary makes the holder treat as primary the member with the highest term that leads and that it can
-// reach, unless a promotion order is pending.
+// adoptPrimary makes the coordinator treat a member as the primary: of the members that lead and that it can reach,
+// the one with the highest term. It does not do so while a promotion of another member is pending.
 func (e *explorer) adoptPrimary(st modelState) {
-	d := &st.coordinator
+	c := &st.coordinator
 	best := none
 	for m := range st.nodes {
 		n := &st.nodes[m]
@@ -27,37 +27,37 @@
 			best = m
 		}
 	}
-	if best == none || d.stage == revoking || d.stage == fencing || d.primary == int8(best) && d.stage == granting {
+	if best == none || c.stage == revoking || c.stage == fencing || c.primary == int8(best) && c.stage == granting {
 		return
 	}
 	pending := st.recordedOrder != none && e.safeguards.recordOrder
-	if pending && st.recordedOrder != int8(best) || d.stage == ordered && d.target != int8(best) {
+	if pending && st.recordedOrder != int8(best) || c.stage == ordered && c.target != int8(best) {
 		return
 	}
 	switch {
-	case d.stage == ordered && !d.memberLeft:
+	case c.stage == ordered && !c.memberLeft:
 		// The successor was chosen by its log, so earlier departures of members do not matter.
-		d.floor = d.fencedLength[best]
-	case d.primary != none && d.primary != int8(best) && !st.nodes[d.primary].listed:
-		d.floor = none // the previous primary has left; it was not a replica when the floor was set
+		c.floor = c.fencedLength[best]
+	case c.primary != none && c.primary != int8(best) && !st.nodes[c.primary].listed:
+		c.floor = none // the previous primary has left; it was not a replica when the floor was set
 	}
-	d.primary, d.stage, d.target, d.rechecked = int8(best), granting, none, false
-	d.fenced, d.fencedLength = [memberCount]bool{}, [memberCount]int8{}
+	c.primary, c.stage, c.target, c.rechecked = int8(best), granting, none, false
+	c.fenced, c.fencedLength = [memberCount]bool{}, [memberCount]int8{}
 	st.recordedOrder, st.recordedTerm = none, max(st.recordedTerm, st.nodes[best].term)
 	e.add("adopt "+memberName(best), st, "")
 }
 
 // sampleFloor sets the floor for a successor to the primary's position.
 func (e *explorer) sampleFloor(st modelState) {
-	d := &st.coordinator
-	if d.stage != granting || d.primary == none || d.floor != none || !st.coordinatorReaches(int(d.primary)) || !st.nodes[d.primary].up {
+	c := &st.coordinator
+	if c.stage != granting || c.primary == none || c.floor != none || !st.coordinatorReaches(int(c.primary)) || !st.nodes[c.primary].up {
 		return
 	}
-	d.floor = st.nodes[d.primary].length
+	c.floor = st.nodes[c.primary].length
 	e.add("sample floor", st, "")
 }
 
-// startFailover makes the holder start to replace the primary, whether or not it has failed.
+// startFailover makes the coordinator start to replace the primary, whether or not it has failed.
 func (e *explorer) startFailover(st modelState) {
 	if st.coordinator.stage != granting || st.coordinator.primary == none || st.recordedOrder != none && e.safeguards.recordOrder {
 		return
@@ -69,35 +69,35 @@
 	e.add("suspect", st, "")
 }
 
-// revokeLeases recalls leases from reachable hosts, and starts to fence once no lease is left.
+// revokeLeases revokes the leases of reachable hosts, and starts to fence once no lease is left.
 func (e *explorer) revokeLeases(st modelState) {
-	d := &st.coordinator
-	if d.stage != revoking {
+	c := &st.coordinator
+	if c.stage != revoking {
 		return
 	}
 	for h := range st.hosts {
-		if d.leased[h] && st.hosts[h].partition == st.hosts[d.host].partition {
+		if c.leased[h] && st.hosts[h].partition == st.hosts[c.host].partition {
 			next := st
-			next.hosts[h].lease, next.hosts[h].revokedPrimary = none, d.primary
+			next.hosts[h].lease, next.hosts[h].revokedPrimary = none, c.primary
 			next.coordinator.leased[h] = false
-			e.add("recall", next, "")
+			e.add("revoke", next, "")
 		}
 	}
-	if d.leased == [hostCount]bool{} && !(e.safeguards.waitForFormerCoordinator && st.former.active) {
-		d.stage = fencing
+	if c.leased == [hostCount]bool{} && !(e.safeguards.waitForFormerCoordinator && st.former.active) {
+		c.stage = fencing
 		e.add("all leases ended", st, "")
 	}
 }
 
 // fenceReplicas fences a reachable replica and records the length of its log.
 func (e *explorer) fenceReplicas(st modelState) {
-	d := &st.coordinator
-	if d.stage != fencing {
+	c := &st.coordinator
+	if c.stage != fencing {
 		return
 	}
 	for m := range st.nodes {
 		n := &st.nodes[m]
-		if int8(m) == d.primary || d.fenced[m] || d.rechecked || !n.up || !st.coordinatorReaches(m) || n.leads {
+		if int8(m) == c.primary || c.fenced[m] || c.rechecked || !n.up || !st.coordinatorReaches(m) || n.leads {
 			continue
 		}
 		next := st
@@ -107,7 +107,7 @@
 		next.coordinator.fenced[m], next.coordinator.fencedLength[m] = true, n.length
 		e.add("fence "+memberName(m), next, "")
 	}
-	if e.safeguards.recheckReplicas && e.safeguards.fenceReplicas && !d.rechecked && d.fenced != [memberCount]bool{} {
+	if e.safeguards.recheckReplicas && e.safeguards.fenceReplicas && !c.rechecked && c.fenced != [memberCount]bool{} {
 		e.recheckReplicas(st)
 	}
 }
@@ -115,16 +115,16 @@
 // recheckReplicas probes the replicas again after all reachable ones were fenced. One that has lost its fence
 // was restarted in between.
 func (e *explorer) recheckReplicas(st modelState) {
-	d := &st.coordinator
-	d.rechecked = true
+	c := &st.coordinator
+	c.rechecked = true
 	for m := range st.nodes {
 		n := &st.nodes[m]
-		if d.fenced[m] && (!n.up || !st.coordinatorReaches(m) || n.fenceTerm <= n.term) {
-			d.fenced[m] = false
+		if c.fenced[m] && (!n.up || !st.coordinatorReaches(m) || n.fenceTerm <= n.term) {
+			c.fenced[m] = false
 		}
-		d.fencedLength[m] = 0
-		if d.fenced[m] {
-			d.fencedLength[m] = n.length
+		c.fencedLength[m] = 0
+		if c.fenced[m] {
+			c.fencedLength[m] = n.length
 		}
 	}
 	e.add("recheck replicas", st, "")
@@ -133,14 +133,14 @@
 // chooseSuccessor orders the promotion of a replica that has every acknowledged write, or resumes with the old
 // primary.
 func (e *explorer) chooseSuccessor(st modelState) {
-	d := &st.coordinator
-	if d.stage != fencing {
+	c := &st.coordinator
+	if c.stage != fencing {
 		return
 	}
 	resumed := st
 	resumed.coordinator.stage, resumed.coordinator.rechecked = granting, false
 	resumed.coordinator.fenced, resumed.coordinator.fencedLength = [memberCount]bool{}, [memberCount]int8{}
-	if p := d.primary; st.nodes[p].up && st.nodes[p].leads && st.coordinatorReaches(int(p)) {
+	if p := c.primary; st.nodes[p].up && st.nodes[p].leads && st.coordinatorReaches(int(p)) {
 		for m := range resumed.nodes {
 			if resumed.coordinatorReaches(m) {
 				resumed.nodes[m].fenceTerm = 0
@@ -149,27 +149,27 @@
 		e.add("resume", resumed, "")
 	}
 	best, ok := group.Successor(nil, st.standbys(e.safeguards))
-	if !ok || st.platformOrder != none || e.safeguards.recheckReplicas && e.safeguards.fenceReplicas && !d.rechecked {
+	if !ok || st.platformOrder != none || e.safeguards.recheckReplicas && e.safeguards.fenceReplicas && !c.rechecked {
 		return
 	}
 	target := int8(best.Member[0] - 'a')
-	d.stage, d.target, d.memberLeft, st.platformOrder, st.recordedOrder = ordered, target, false, target, target
+	c.stage, c.target, c.memberLeft, st.platformOrder, st.recordedOrder = ordered, target, false, target, target
 	e.add("order "+best.Member, st, "")
 }
 
-// standbys returns the replicas as the holder knows them.
+// standbys returns the replicas as the coordinator knows them.
 func (st *modelState) standbys(safe safeguards) []group.Standby {
 	var out []group.Standby
-	d := &st.coordinator
+	c := &st.coordinator
 	for m := range st.nodes {
 		n := &st.nodes[m]
-		departed := !d.fenced[m] && !n.listed && !n.up && st.coordinatorReaches(m)
-		if int8(m) == d.primary || departed {
+		departed := !c.fenced[m] && !n.listed && !n.up && st.coordinatorReaches(m)
+		if int8(m) == c.primary || departed {
 			continue
 		}
 		out = append(out, group.Standby{
-			Member: memberName(m), Answered: d.fenced[m], Fenced: d.fenced[m], Received: logPosition(d.fencedLength[m]),
-			Complete: !safe.requireFloor || d.floor != none && d.fencedLength[m] >= d.floor,
+			Member: memberName(m), Answered: c.fenced[m], Fenced: c.fenced[m], Received: logPosition(c.fencedLength[m]),
+			Complete: !safe.requireFloor || c.floor != none && c.fencedLength[m] >= c.floor,
 		})
 	}
 	return out
@@ -190,9 +190,9 @@
 	}
 	st.platformOrder = none
 	n := &st.nodes[m]
-	fault := ""
+	violation := ""
 	if missing := st.missingWrite(n); missing != "" && !n.leads {
-		fault = "promoted without an acknowledged write"
+		violation = "promoted without an acknowledged write"
 	}
 	n.leads, n.term, n.fenceTerm = true, top+1, 0
 	for i := range st.nodes {
@@ -201,7 +201,7 @@
 			st.nodes[i].follow(n)
 		}
 	}
-	e.add("promote "+memberName(int(m)), st, fault)
+	e.add("promote "+memberName(int(m)), st, violation)
 }
 
 // follow makes the node a replica of a primary with a later term.
--- a/core/leadership/model_test.go
+++ b/core/leadership/model_test.go
@@ -6,7 +6,7 @@
 	"pearlatch/core/group"
 )
 
-// One write and three terms suffice to show the fault that each safeguard prevents.
+// One write and three terms suffice to show the violation that each safeguard prevents.
 const (
 	writeCount  = 1
 	memberCount = 3
@@ -39,20 +39,22 @@
 
 // hostState is a host that serves clients.
 type hostState struct {
-	partition             int8
+	partition int8
+	// lease is the member on which the host has a lease, or none. revokedPrimary is the member of the lease that was
+	// last revoked, to which the host sends nothing until it gets another lease, or none.
 	lease, revokedPrimary int8
-	// fromFormerCoordinator is true if the lease comes from a holder whose duty was fromFormerCoordinator.
+	// fromFormerCoordinator is true if the lease comes from a former coordinator.
 	fromFormerCoordinator bool
 }
 
-// formerCoordinator is a holder whose duty the platform revoked early. It continues to grant leases until its own
-// validity of the duty ends.
+// formerCoordinator is a coordinator that lost its role without noticing: the platform removed the role's entry, or
+// the store was restored. It continues to grant leases until RoleValidity has passed since its last renewal.
 type formerCoordinator struct {
 	active        bool
 	host, primary int8
 }
 
-// stage is the progress of the holder in replacing the primary.
+// stage is the progress of the coordinator in replacing the primary.
 type stage int8
 
 const (
@@ -62,7 +64,7 @@
 	ordered
 )
 
-// coordinatorState is the state of the holder of the duty.
+// coordinatorState is the state of the coordinator.
 type coordinatorState struct {
 	host, primary int8
 	stage         stage
@@ -100,16 +102,17 @@
 	coordinator coordinatorState
 	former      formerCoordinator
 	writes      [writeCount]write
-	// platformOrder is the member of an order that the platform may execute at any time.
+	// platformOrder is the member of an order that the platform may execute at any time, or none.
 	platformOrder int8
-	// recordedOrder is the member of the order in the store, and recordedTerm the highest term there.
+	// recordedOrder is the member of the order in the stored record, or none. recordedTerm is the highest term
+	// there.
 	recordedOrder, recordedTerm int8
 	// faultsLeft are the faults that may still occur.
 	faultsLeft faultBounds
 }
 
-// faultBounds bounds how often the network is partitioned, a member crashes, the duty expires, the duty is
-// revoked early, and the store is restored from an older copy.
+// faultBounds bounds how often the network is partitioned, a member crashes, the role expires, the role's entry is
+// removed early, and the store is restored from an older copy.
 type faultBounds struct{ partitions, crashes, expirations, removals, restores int8 }
 
 func newModelState(b faultBounds) modelState {
@@ -161,7 +164,7 @@
 // logPosition returns the position of the end of a log.
 func logPosition(length int8) group.Position { return group.Position{Term: 1, LSN: group.LSN(length)} }
 
-// coordinatorReaches reports whether the holder and the member are on the same side of a partition.
+// coordinatorReaches reports whether the coordinator and the member are on the same side of a partition.
 func (st *modelState) coordinatorReaches(m int) bool {
 	return st.hosts[st.coordinator.host].partition == st.nodes[m].partition
 }
--- a/core/leadership/steps_test.go
+++ b/core/leadership/steps_test.go
@@ -17,8 +17,8 @@
 	out        []transition
 }
 
-func (e *explorer) add(what string, next modelState, fault string) {
-	e.out = append(e.out, transition{what, next, fault})
+func (e *explorer) add(action string, next modelState, violation string) {
+	e.out = append(e.out, transition{action, next, violation})
 }
 
 // next returns all transitions from a state. The slice is valid until the next call.
@@ -79,11 +79,11 @@
 		return
 	}
 	it.state = acknowledged
-	fault := ""
+	violation := ""
 	if l := st.newestPrimary(); l != none && st.missingWrite(&st.nodes[l]) != "" {
-		fault = "acknowledged by a replaced primary"
+		violation = "acknowledged by a replaced primary"
 	}
-	e.add("acknowledge", st, fault)
+	e.add("acknowledge", st, violation)
 }
 
 // readLatest reads the latest data, under a lease or with the confirmation of the other members.
@@ -102,7 +102,7 @@
 	}
 }
 
-// confirmedBySome is a faulty variant of PrimaryConfirmed that is content with the members that answer.
+// confirmedBySome is a faulty variant of PrimaryConfirmed that ignores the members that do not answer.
 func confirmedBySome(primary string, term group.Term, answers []ProbeResult) bool {
 	ok := false
 	for _, a := range answers {
@@ -141,14 +141,14 @@
 	}
 }
 
-// leaseSteps adds that a lease is granted, that it ends on its host, and that it then ends for the holder, in
-// this order.
+// leaseSteps adds the steps in the life of a lease: it is granted, ends on its host, and only then ends for the
+// coordinator. It also adds the steps by which the coordinator loses its role.
 func (e *explorer) leaseSteps(st modelState) {
-	d := &st.coordinator
+	c := &st.coordinator
 	for h := range st.hosts {
-		if d.stage == granting && d.primary != none && st.hosts[h].partition == st.hosts[d.host].partition && st.hosts[h].lease != d.primary {
+		if c.stage == granting && c.primary != none && st.hosts[h].partition == st.hosts[c.host].partition && st.hosts[h].lease != c.primary {
 			next := st
-			next.hosts[h].lease, next.hosts[h].revokedPrimary, next.hosts[h].fromFormerCoordinator = d.primary, none, false
+			next.hosts[h].lease, next.hosts[h].revokedPrimary, next.hosts[h].fromFormerCoordinator = c.primary, none, false
 			next.coordinator.leased[h] = true
 			e.add("grant", next, "")
 		}
@@ -157,10 +157,10 @@
 			next.hosts[h].lease, next.hosts[h].fromFormerCoordinator = none, false
 			e.add("lease ends on host", next, "")
 		}
-		if d.leased[h] && st.hosts[h].lease == none {
+		if c.leased[h] && st.hosts[h].lease == none {
 			next := st
 			next.coordinator.leased[h] = false
-			e.add("lease ends for holder", next, "")
+			e.add("lease ends for coordinator", next, "")
 		}
 	}
 	e.expireRole(st)
@@ -169,7 +169,8 @@
 	e.formerCoordinatorSteps(st)
 }
 
-// removeRole takes the duty from its holder before its validity ends. The holder is not told.
+// removeRole gives the role to the other host before the coordinator's validity of it ends. The coordinator is not
+// told.
 func (e *explorer) removeRole(st modelState) {
 	if st.faultsLeft.removals == 0 || st.coordinator.stage != granting || st.coordinator.primary == none {
 		return
@@ -180,12 +181,12 @@
 		st.hosts[h].fromFormerCoordinator = st.hosts[h].lease != none
 	}
 	st.coordinator = coordinatorState{host: 1 - st.coordinator.host, primary: none, floor: st.coordinator.floor, target: none}
-	e.add("duty is revoked", st, "")
+	e.add("role is removed", st, "")
 }
 
-// restoreStore restores the store from a copy in which the other host has the duty and no order is recorded. The
-// old holder does not know yet, and continues to grant leases. The new holder remembers the record that it read
-// before the restore.
+// restoreStore restores the store from a copy in which the other host has the role and no order is recorded. The
+// old coordinator does not know yet, and continues to grant leases. The new coordinator remembers the record that it
+// read before the restore.
 func (e *explorer) restoreStore(st modelState) {
 	if st.faultsLeft.restores == 0 || st.former.active {
 		return
@@ -197,7 +198,7 @@
 			st.hosts[h].fromFormerCoordinator = st.hosts[h].lease != none
 		}
 	} else if st.coordinator.leased != [hostCount]bool{} {
-		return // leases that a failover waits for end before the next holder has finished its own wait
+		return // leases that a failover waits for end before the next coordinator has finished its own wait
 	}
 	floor := st.coordinator.floor
 	for m := range st.nodes {
@@ -212,7 +213,7 @@
 	e.add("store is restored", st, "")
 }
 
-// formerCoordinatorSteps adds the leases that a former holder grants. They end with its validity of the duty.
+// formerCoordinatorSteps adds the leases that a former coordinator grants. They end with its validity of the role.
 func (e *explorer) formerCoordinatorSteps(st modelState) {
 	f := &st.former
 	if !f.active {
@@ -222,7 +223,7 @@
 		if s := &st.hosts[h]; s.partition == st.hosts[f.host].partition && s.lease != f.primary {
 			next := st
 			next.hosts[h].lease, next.hosts[h].revokedPrimary, next.hosts[h].fromFormerCoordinator = f.primary, none, true
-			e.add("former holder grants lease", next, "")
+			e.add("former coordinator grants lease", next, "")
 		}
 	}
 	f.active = false
@@ -231,10 +232,10 @@
 			st.hosts[h].lease, st.hosts[h].fromFormerCoordinator = none, false
 		}
 	}
-	e.add("former holder's validity ends", st, "")
+	e.add("former coordinator's validity ends", st, "")
 }
 
-// expireRole passes the duty on to the other host. Leases end before the duty does.
+// expireRole passes the role on to the other host. Leases end before the role does.
 func (e *explorer) expireRole(st modelState) {
 	if st.faultsLeft.expirations == 0 || e.safeguards.boundByRole && st.coordinator.leased != [hostCount]bool{} {
 		return
@@ -247,5 +248,5 @@
 		}
 	}
 	st.coordinator = coordinatorState{host: 1 - st.coordinator.host, primary: none, floor: floor, target: none}
-	e.add("duty expires", st, "")
+	e.add("role expires", st, "")
 }
--- a/core/quota/bucket.go
+++ b/core/quota/bucket.go
@@ -6,17 +6,17 @@
 	"pearlatch/core/account"
 )
 
-// Portion is a host's part of an account's quota for the time in which the host does not reach the granter.
+// Portion is a host's part of an account's quota, for use while the host can't reach the granter.
 type Portion struct {
 	// Serial distinguishes the portions of one host and account. Zero means no portion.
 	Serial uint64
-	// Rate is the number of tokens per second that the portion yields while it is active. Cap is the most tokens that
-	// the host may store.
+	// Rate is the number of tokens per second that the portion yields while it is active. Cap is the largest number of
+	// tokens that the host may store.
 	Rate, Cap float64
 }
 
-// Bucket holds a host's tokens of one account. The zero Bucket is empty. Its portion yields tokens from activeAt on,
-// which the methods are given: the time at which the host's portions become active.
+// Bucket holds a host's tokens of one account. The zero Bucket is empty. Its methods are passed activeAt, the time at
+// which the host's portions become active: the portion yields tokens from then on.
 type Bucket struct {
 	portion Portion
 	// expiresAt is when the portion expires, and the remaining tokens with it.
--- a/core/quota/granter.go
+++ b/core/quota/granter.go
@@ -12,12 +12,13 @@
 // Granter distributes the tokens of a group of accounts, and tracks what it has granted. Use NewGranter. It is not safe
 // for concurrent use.
 type Granter struct {
-	// firstFencingToken and fencingToken are the fencing tokens of the start of this granter's duty and the latest one. All tokens
-	// in between belong to this granter too.
+	// firstFencingToken is the fencing token with which this granter started, and fencingToken its current one. Requests
+	// with a token in this range are for this granter.
 	firstFencingToken, fencingToken int64
 	tolerance                       Tolerance
 	startedAt                       time.Time
-	// soleUntil is the time before which no successor can have started. endsAt is when this granter's term ends.
+	// soleUntil is the time before which no successor can have started. endsAt is when this granter stops answering
+	// requests.
 	soleUntil, endsAt time.Time
 	// formerGranters holds the hosts that were granters before and may still believe that they are.
 	formerGranters map[string]bool
@@ -58,16 +59,16 @@
 }
 
 // NewGranter returns a granter with the given fencing token that starts now. The hosts in mayHold may hold portions
-// from earlier granters, and the hosts in before may have been granters.
-func NewGranter(token int64, t Tolerance, now time.Time, mayHold, before []string) *Granter {
+// from earlier granters. The hosts in formerGranters were granters before and may still believe that they are.
+func NewGranter(fencingToken int64, t Tolerance, now time.Time, mayHold, formerGranters []string) *Granter {
 	g := &Granter{
-		firstFencingToken: token, fencingToken: token, tolerance: t, startedAt: now, scopeSince: now, formerGranters: map[string]bool{},
+		firstFencingToken: fencingToken, fencingToken: fencingToken, tolerance: t, startedAt: now, scopeSince: now, formerGranters: map[string]bool{},
 		hosts: map[string]*host{}, pools: map[string]*tokenPool{}, suspended: map[string]*host{},
 	}
-	for _, id := range before {
+	for _, id := range formerGranters {
 		g.formerGranters[id] = true
 	}
-	for _, id := range slices.Concat(mayHold, before) {
+	for _, id := range slices.Concat(mayHold, formerGranters) {
 		g.hosts[id] = &host{unreported: true, active: true, accounts: map[string]bool{}}
 	}
 	if g.unreportedCount = len(g.hosts); g.unreportedCount == 0 {
@@ -78,8 +79,8 @@
 	return g
 }
 
-// scopeAt returns what this granter may distribute at a time. A former granter may have lost the duty without knowing
-// it, so it is assumed to continue until it has reported, or for as long as it can rely on its duty.
+// scopeAt returns what this granter may distribute at a time. A former granter may have lost its role without knowing
+// it, so it is assumed to continue until it has reported, or for as long as it can rely on the role.
 func (g *Granter) scopeAt(now time.Time) distributionScope {
 	switch {
 	case !now.Before(g.soleUntil):
@@ -100,7 +101,7 @@
 		return
 	}
 	if s == scopeUnreserved {
-		clear(g.formerGranters) // they have certainly noticed that they lost the duty
+		clear(g.formerGranters) // they have certainly noticed that they lost the role
 	}
 	for _, pool := range g.pools {
 		pool.refill(now, min(s, g.scope))
@@ -112,18 +113,21 @@
 func (g *Granter) FencingToken() int64 { return g.fencingToken }
 
 // RaiseFencingToken records that the granter's fencing token has risen.
-func (g *Granter) RaiseFencingToken(token int64) { g.fencingToken = max(g.fencingToken, token) }
+func (g *Granter) RaiseFencingToken(fencingToken int64) {
+	g.fencingToken = max(g.fencingToken, fencingToken)
+}
 
-// Extend records that the granter held its duty at the given time, so that no successor starts within
-// leadership.Certainty of it. For the rest of PortionTTL the granter goes on with what its followers hold.
-func (g *Granter) Extend(held time.Time) {
-	g.soleUntil, g.endsAt = held.Add(leadership.RoleValidity), held.Add(PortionTTL)
+// Extend records that the granter held its role at the given time, so that no successor starts within
+// leadership.RoleValidity of it. For the rest of PortionTTL the granter distributes only what its followers'
+// portions leave unused.
+func (g *Granter) Extend(heldAt time.Time) {
+	g.soleUntil, g.endsAt = heldAt.Add(leadership.RoleValidity), heldAt.Add(PortionTTL)
 }
 
-// KnowsHost reports whether the host may be given portions: only hosts that a successor will ask for a report may.
+// KnowsHost reports whether the host may be given portions. Only hosts that a successor will query may be.
 func (g *Granter) KnowsHost(id string) bool { return g.hosts[id] != nil }
 
-// AddHosts allows more hosts to be given portions. The hosts must first be recorded where a successor finds them.
+// AddHosts allows more hosts to be given portions. The caller must first record the hosts where a successor finds them.
 func (g *Granter) AddHosts(ids ...string) {
 	for _, id := range ids {
 		if g.hosts[id] == nil {
@@ -199,9 +203,9 @@
 	TTL     time.Duration
 }
 
-// RecordReport records what a process of a host holds from earlier granters, from which it accepts nothing after the
-// report. The report must be the reply to a query by this granter, so that processes of a host are seen in the order in
-// which they ran.
+// RecordReport records what a process of a host holds from earlier granters. The process accepts nothing more from these
+// granters once it has reported. The report must be the reply to a query by this granter, so that processes of a host
+// are seen in the order in which they ran.
 func (g *Granter) RecordReport(id, process string, holds []Holding, now time.Time) {
 	h := g.hosts[id]
 	if h == nil {
@@ -268,8 +272,8 @@
 }
 
 // HandleRequest answers a request from a process of a host. It returns false if the host follows another granter, if the
-// process has not reported its holdings, if the request is not newer than the last one, or if this granter's term has
-// ended.
+// process has not reported its holdings, if the request is not newer than the last one, or if this granter has
+// stopped answering requests.
 func (g *Granter) HandleRequest(id, process string, req Request, now time.Time) (Response, bool) {
 	h := g.hosts[id]
 	if h == nil || h.unreported || h.process != process || req.ID <= h.lastRequest || req.FencingToken < g.firstFencingToken || req.FencingToken > g.fencingToken || !now.Before(g.endsAt) {
@@ -307,7 +311,7 @@
 	}
 }
 
-// activateExpired counts the portions of hosts as active whose suspension has expired.
+// activateExpired counts the portions of hosts whose suspension has expired as active.
 func (g *Granter) activateExpired(now time.Time) {
 	for id, h := range g.suspended {
 		if now.Before(h.suspendedUntil) {
@@ -330,8 +334,8 @@
 		pool.prune(now)
 	}
 	p := hostPortions{}
-	if known := pool.portions[id]; known != nil {
-		p = *known
+	if existing := pool.portions[id]; existing != nil {
+		p = *existing
 	}
 	p.active = h.active
 	p.applyRequest(req)
@@ -353,7 +357,7 @@
 	return out
 }
 
-// renewPortion offers the host a new portion.
+// renewPortion offers the host a new portion. known is true if the holdings of all hosts are known.
 func (g *Granter) renewPortion(pool *tokenPool, p *hostPortions, req AccountRequest, known bool, now time.Time) Grant {
 	p.offered = pool.nextPortion(p, known)
 	pool.lastSerial++
--- a/core/quota/granter_test.go
+++ b/core/quota/granter_test.go
@@ -60,7 +60,7 @@
 		{"another process of the host", "h1", "h1.2", 5, t0, false},
 		{"a host that has not reported", "h2", "h2.1", 5, t0, false},
 		{"a host that no successor would ask", "h3", "h3.1", 5, t0, false},
-		{"a follower after the granter's term", "h1", "h1.1", 5, t0.Add(PortionTTL), false},
+		{"a follower after the granter has stopped answering", "h1", "h1.1", 5, t0.Add(PortionTTL), false},
 	} {
 		if _, ok := g.HandleRequest(c.host, c.process, Request{ID: uint64(i + 1), FencingToken: c.token, Accounts: accounts}, c.at); ok != c.want {
 			t.Errorf("%s: answered = %v", c.what, ok)
@@ -152,7 +152,7 @@
 	}
 }
 
-// A granter loses its duty before its lease ends, and does not know. It goes on serving the callers on its side of a
+// A granter loses its role before its lease ends, and does not know. It goes on serving the callers on its side of a
 // network partition from the portions of its followers. Its successor has no report from them. Until the old granter must
 // have noticed the loss, the successor distributes only what its own followers leave unused, and after that also the
 // part that no host can hold.
@@ -190,7 +190,7 @@
 			t.Errorf("%s after the start: scope %d, %.1f/s, want %d and %.1f", c.after, next.scope, got, c.scope, c.rate)
 		}
 	}
-	// By then the old granter no longer relies on its duty.
+	// By then the old granter no longer relies on its role.
 	requestAccount(t, old, "h1", now.Add(time.Second), AccountRequest{Demand: 10, HeldSerial: 1})
 	if got := old.pools["a"].refillRate(old.scope); old.scope != scopeFollowers || got > portionRateFraction*quota40.Rate-held {
 		t.Errorf("the old granter distributes %.1f/s in scope %d while its successor's followers hold %.1f/s", got, old.scope, held)
--- a/core/quota/limiter.go
+++ b/core/quota/limiter.go
@@ -30,8 +30,7 @@
 // Limiter decides on one host which operations may begin, for the accounts that share a granter. It holds the host's
 // tokens. Use NewLimiter. It is not safe for concurrent use.
 type Limiter struct {
-	// fencingToken is the fencing fencingToken of the latest granter that this host knows of. The host accepts nothing from earlier
-	// ones.
+	// fencingToken is that of the latest granter that this host knows of. The host accepts nothing from earlier ones.
 	fencingToken int64
 	accounts     map[string]*localAccount
 	// lastRequest is the ID of the last request, sent at requestedAt. pending is true while its response is awaited.
@@ -49,7 +48,7 @@
 	demand demand
 	quota  account.Quota
 	// waiting is the number of operations that wait for a token, and ready the number of tokens received for them.
-	// returned is the number of tokens to return to the granter, of operations that have not run.
+	// returned is the number of tokens of operations that have not run, which are to be returned to the granter.
 	waiting, ready, returned int
 	// requestedAt is when the last request for the account was made.
 	requestedAt time.Time
@@ -66,13 +65,13 @@
 
 // Follow makes the host accept tokens only from the granter with the given fencing token, unless it knows of a later
 // granter.
-func (l *Limiter) Follow(token int64) { l.fencingToken = max(l.fencingToken, token) }
+func (l *Limiter) Follow(fencingToken int64) { l.fencingToken = max(l.fencingToken, fencingToken) }
 
-// Report returns what the host holds, and follows the granter that queries it. It returns false if the host knows of a
-// later granter. A response that is in transit will be rejected.
-func (l *Limiter) Report(token int64, now time.Time) ([]Holding, bool) {
-	l.Follow(token)
-	if l.fencingToken != token {
+// Report returns what the host holds, and makes it a follower of the granter with the given fencing token, which queries
+// it. It returns false if the host knows of a later granter. A response that is in transit will be rejected.
+func (l *Limiter) Report(fencingToken int64, now time.Time) ([]Holding, bool) {
+	l.Follow(fencingToken)
+	if l.fencingToken != fencingToken {
 		return nil, false
 	}
 	l.pending = false
@@ -146,7 +145,7 @@
 }
 
 // ReturnToken returns the token of an operation that has certainly not run. The token goes back to the granter with the
-// next request. If the host kept it, it might add to tokens that other hosts were granted since.
+// next request. If the host kept it, it would come on top of tokens that other hosts were granted since.
 func (l *Limiter) ReturnToken(name string) {
 	if a := l.accounts[name]; a != nil {
 		a.returned++
@@ -174,6 +173,7 @@
 	ID uint64
 	// LastAnswered is the ID of the last request that was answered.
 	LastAnswered uint64
+	// FencingToken is that of the granter that the host follows.
 	FencingToken int64
 	// Accounts may be empty. Such a request only shows that the host reaches the granter.
 	Accounts []AccountRequest
@@ -238,8 +238,8 @@
 
 // HandleResponse applies the response to a request. It returns false, and changes nothing, if the request is not the last
 // one, if the response is later than ResponseTimeout, or if the host follows another granter.
-func (l *Limiter) HandleResponse(id uint64, token int64, resp Response, now time.Time) bool {
-	if !l.pending || id != l.lastRequest || token != l.fencingToken || now.Sub(l.requestedAt) > ResponseTimeout {
+func (l *Limiter) HandleResponse(id uint64, fencingToken int64, resp Response, now time.Time) bool {
+	if !l.pending || id != l.lastRequest || fencingToken != l.fencingToken || now.Sub(l.requestedAt) > ResponseTimeout {
 		return false
 	}
 	l.pending, l.lastAnswered = false, id
--- a/core/quota/removal_test.go
+++ b/core/quota/removal_test.go
@@ -20,13 +20,13 @@
 	}
 	for _, c := range []struct{ name, file, from, to string }{
 		{"requests to earlier and later granters are rejected", "granter.go", "req.FencingToken < g.firstFencingToken || req.FencingToken > g.fencingToken ||", ""},
-		{"only the last response is accepted", "limiter.go", "!l.pending || id != l.lastRequest || token != l.fencingToken", "false"},
+		{"only the last response is accepted", "limiter.go", "!l.pending || id != l.lastRequest || fencingToken != l.fencingToken", "false"},
 		{"late responses are rejected", "limiter.go", "|| now.Sub(l.requestedAt) > ResponseTimeout {", "{"},
 		{"late requests are rejected", "granter.go", "req.ID <= h.lastRequest ||", ""},
 		{"unreported holdings count", "granter.go", "return !now.Before(g.holdingsKnownAt())", "return true"},
 		{"a host that reports to a later granter stops granting", "shard.go", "s.granter = nil", "_ = 0"},
 		{"portions are not moved while holdings are unknown", "token_pool.go", "if !v.known {\n\t\treturn p.held", "if false {\n\t\treturn p.held"},
-		{"portions end with the granter's term", "granter.go", "ttl := min(PortionTTL, g.endsAt.Sub(now))", "ttl := PortionTTL"},
+		{"portions expire before the granter stops answering", "granter.go", "ttl := min(PortionTTL, g.endsAt.Sub(now))", "ttl := PortionTTL"},
 		{"portions expire at the host", "bucket.go", "if !now.Before(b.expiresAt) {", "if false {"},
 		{"a portion counts until the host is known to hold a smaller one", "token_pool.go", "return max(p.held.Rate, p.offered.Rate)", "return p.offered.Rate"},
 		{"tokens that hosts may store are not in the pool", "token_pool.go", "b.quota.Burst-b.sums.gathered)", "b.quota.Burst)"},
--- a/core/quota/shard.go
+++ b/core/quota/shard.go
@@ -19,12 +19,12 @@
 // SetGranter makes the host the granter. With nil the host stops being the granter.
 func (s *Shard) SetGranter(g *Granter) { s.granter = g }
 
-// Report returns what the host holds, and follows the granter that queries it. If this host is itself an earlier granter,
-// it stops, since a host that has reported to a granter must take part in no earlier one. Report returns false if the
-// host knows of a later granter.
-func (s *Shard) Report(token int64, now time.Time) ([]Holding, bool) {
-	if s.granter != nil && s.granter.FencingToken() < token {
+// Report returns what the host holds, and makes it a follower of the granter with the given fencing token, which queries
+// it. If this host was a granter with an earlier token itself, it stops: once it has reported, it must not distribute
+// tokens under the earlier one. Report returns false if the host knows of a later granter.
+func (s *Shard) Report(fencingToken int64, now time.Time) ([]Holding, bool) {
+	if s.granter != nil && s.granter.FencingToken() < fencingToken {
 		s.granter = nil
 	}
-	return s.Limiter.Report(token, now)
+	return s.Limiter.Report(fencingToken, now)
 }
--- a/core/quota/simulation_test.go
+++ b/core/quota/simulation_test.go
@@ -9,16 +9,16 @@
 	"pearlatch/core/account"
 )
 
-// simulation simulates hosts, their granters, the duty, and a network that partitions and loses or delays messages. It
-// records when operations start. The hosts run the package's own Shard; the simulation only transports messages.
+// simulation simulates hosts, their granters, the coordinator role, and a network that partitions and loses or delays
+// messages. It records when operations start. The hosts run the package's own Shard; the simulation only transports messages.
 type simulation struct {
 	random    *rand.Rand
 	tolerance Tolerance
 	quota     account.Quota
 	now       time.Time
 	hosts     []*simHost
-	// latestToken is the fencing token of the duty's holder. mayHold and formerGranters are the hosts that it has recorded
-	// in the store for its successor.
+	// latestToken is the fencing token of the present coordinator. mayHold and formerGranters are the hosts that it has
+	// recorded in the store for its successor.
 	latestToken             int64
 	mayHold, formerGranters []string
 	// lossRate is the fraction of messages that are lost, and delayRate the fraction of the others that are delayed.
@@ -49,12 +49,12 @@
 	up, unresponsive bool
 	// partition is the network partition that the host is in.
 	partition int
-	// granterHost and holderToken are the granterHost of the duty and its fencing token, as far as this host knows.
+	// granterHost is the host that this host takes for the granter, and granterToken that host's fencing token.
 	granterHost  *simHost
 	granterToken int64
-	// fencingToken is the fencing fencingToken of this host's own duty, or zero.
+	// fencingToken is the one with which this host became coordinator, or zero if it did not.
 	fencingToken int64
-	// renewedAt is when the host last renewed its duty.
+	// renewedAt is when the host last renewed its role.
 	renewedAt time.Time
 	// storeUnreachable is true while the host can't reach the store.
 	storeUnreachable bool
@@ -81,10 +81,10 @@
 	s.trace = append(s.trace, fmt.Sprintf("%6d ms ", s.now.Sub(time.UnixMilli(1_000_000)).Milliseconds())+fmt.Sprintf(format, args...))
 }
 
-// acquireRole makes the host the holder of the duty.
+// acquireRole makes the host the coordinator.
 func (s *simulation) acquireRole(h *simHost) {
 	s.latestToken++
-	s.logf("%s takes the duty with fencing token %d", h.id, s.latestToken)
+	s.logf("%s acquires the role with fencing token %d", h.id, s.latestToken)
 	h.fencingToken, h.renewedAt = s.latestToken, s.now
 	h.shard.SetGranter(NewGranter(s.latestToken, s.tolerance, s.now, s.mayHold, s.formerGranters))
 	if !slices.Contains(s.formerGranters, h.id) {
@@ -93,22 +93,22 @@
 	s.announceGranter()
 }
 
-// announceGranter tells the hosts that reach the store who holds the duty.
+// announceGranter tells the hosts that reach the store which host is the coordinator.
 func (s *simulation) announceGranter() {
 	for _, h := range s.hosts {
 		for _, o := range s.hosts {
 			if h.up && !h.unresponsive && !h.storeUnreachable && o.fencingToken == s.latestToken {
 				h.granterHost, h.granterToken = o, o.fencingToken
 				if h != o {
-					h.shard.SetGranter(nil) // it learns that it has lost the duty
+					h.shard.SetGranter(nil) // it learns that it has lost the role
 				}
 			}
 		}
 	}
 }
 
-// learnGranter lets a host that has just started learn the holder of the duty from another host that it reaches. That
-// host's knowledge may be out of date.
+// learnGranter lets a host that has just started learn the granter from another host that it reaches. That host's
+// knowledge may be out of date.
 func (s *simulation) learnGranter(h *simHost) {
 	o := s.hosts[s.random.IntN(len(s.hosts))]
 	if h.granterHost == nil && o.granterHost != nil && s.reachable(h, o) {
@@ -149,7 +149,7 @@
 	}
 }
 
-// runGranter renews the granter's duty and queries hosts for their holdings.
+// runGranter renews the granter's role and queries hosts for their holdings.
 func (s *simulation) runGranter(g *simHost) {
 	granter := g.shard.Granter()
 	if g.fencingToken == s.latestToken && !g.storeUnreachable {
@@ -209,8 +209,8 @@
 	}
 }
 
-// startOperation records the start of an operation. One in ten action not run, as if its upstream had refused it, and
-// returns its token.
+// startOperation records the start of an operation. One in ten operations is not run, as if its upstream had refused it,
+// and returns its token.
 func (s *simulation) startOperation(h *simHost) {
 	if s.random.IntN(10) == 0 {
 		h.shard.ReturnToken("a")
@@ -329,8 +329,8 @@
 	s.faults[s.random.IntN(len(s.faults))](s, h)
 }
 
-// splitNetwork separates the holder of the duty and some other hosts from the store, and some of them also from the
-// other hosts. It then moves the duty to the given host, before or after the holder's lease has ended.
+// splitNetwork separates the coordinator and some other hosts from the store, and some of them also from the other
+// hosts. It then moves the role to the given host, before or after the coordinator's lease has ended.
 func (s *simulation) splitNetwork(h *simHost) {
 	for _, o := range s.hosts {
 		o.storeUnreachable = o != h && (o.fencingToken == s.latestToken || s.random.IntN(2) == 0)
@@ -343,23 +343,23 @@
 	s.transferRole(h)
 }
 
-// transferRole moves the duty to the host: because the holder resigned, because its entry was removed without its
-// knowledge, or because it has not renewed its lease in time.
+// transferRole moves the role to the host: because the coordinator handed it back, because the role's entry was removed
+// without the coordinator's knowledge, or because the coordinator has not renewed its lease in time.
 func (s *simulation) transferRole(h *simHost) {
 	if !h.up || h.unresponsive || h.storeUnreachable {
 		return
 	}
-	var before *simHost
+	var former *simHost
 	for _, o := range s.hosts {
 		if o.fencingToken == s.latestToken {
-			before = o
+			former = o
 		}
 	}
-	if before == h {
+	if former == h {
 		return
 	}
-	if before != nil && !before.storeUnreachable && s.random.IntN(2) == 0 {
-		before.shard.SetGranter(nil) // it resigned
+	if former != nil && !former.storeUnreachable && s.random.IntN(2) == 0 {
+		former.shard.SetGranter(nil) // it handed back the role
 	}
 	s.acquireRole(h)
 }
--- a/core/quota/token_pool.go
+++ b/core/quota/token_pool.go
@@ -13,8 +13,8 @@
 	// ask for on most days, so either part covers about a usual day's callers.
 	portionRateFraction = 0.6
 	portionCapFraction  = 0.6
-	// perHostFraction bounds the rate and the capacity of a single host's portion. The portion of a host that is lost without a report is
-	// unavailable to callers until it must have expired.
+	// perHostFraction bounds the rate and the capacity of a single host's portion. The portion of a host that is lost
+	// without a report is unavailable to callers until it must have expired.
 	perHostFraction = portionRateFraction / 2
 	// portionHeadroom is the ratio of a host's portion to its demand, where the quota allows it. Demand is an average,
 	// so a portion must exceed it.
@@ -39,7 +39,7 @@
 	initialTokens float64
 	// unreportedCount is the number of hosts that have not reported their holdings to the granter.
 	unreportedCount int
-	// portions holds what hosts may hold, by host ID.
+	// portions holds, by host ID, what hosts may hold.
 	portions map[string]*hostPortions
 	// totals is the sum over portions.
 	totals     portionTotals
@@ -48,8 +48,9 @@
 	prunedAt time.Time
 }
 
-// portionTotals holds sums over the portions of a pool: the rates of active portions and of all portions, the most
-// tokens that hosts may store now and in any case, and the demand.
+// portionTotals holds sums over the portions of a pool. activeRate is the rate of the active portions, rate that of all
+// portions, and demand that of the hosts' callers. stored bounds the tokens that hosts may store now, and caps those
+// that they could store if all portions were active.
 type portionTotals struct{ activeRate, rate, stored, caps, demand float64 }
 
 func (s *portionTotals) add(p *hostPortions, sign float64) {
@@ -68,7 +69,8 @@
 // it since, which it may or may not have received.
 type hostPortions struct {
 	held, offered Portion
-	// active is true if the host's portion may yield tokens. While it is false, the host has at most tokens.
+	// active is true if the host's portion may yield tokens. While it is false, the host has at most the number in
+	// tokens.
 	active bool
 	tokens float64
 	// expiresAt is when both portions have certainly expired.
@@ -81,8 +83,8 @@
 func (p *hostPortions) rate() float64 { return max(p.held.Rate, p.offered.Rate) }
 func (p *hostPortions) cap() float64  { return max(p.held.Cap, p.offered.Cap) }
 
-// applyRequest records what a request says that the host holds. Granted tokens that the request does not include were
-// lost together with the portion that came with them.
+// applyRequest records what the host holds according to its request. Tokens that were granted but are not in the request
+// were lost with a response, and so was the portion in the same response.
 func (p *hostPortions) applyRequest(req AccountRequest) {
 	p.demand = req.Demand
 	switch req.HeldSerial {
@@ -96,7 +98,7 @@
 }
 
 // distributionScope is the part of an account's quota that a granter may distribute. While two granters do not hear from
-// each other, both may believe that they are the only one. Their scopes then add up to the quota.
+// each other, each may believe that it is the only one. Their scopes then add up to the quota.
 type distributionScope uint8
 
 const (
@@ -142,7 +144,7 @@
 	t.setPortions(host, changed)
 }
 
-// refill adds the tokens for the time until now that active portions do not yield.
+// refill adds the tokens for the time until now: those within the scope that active portions do not yield.
 func (t *tokenPool) refill(now time.Time, scope distributionScope) {
 	if scope != scopeEntire {
 		t.pruneNow(now) // tokens of expired portions are not this granter's to distribute
@@ -162,8 +164,8 @@
 	return max(0, t.quota.Rate-t.totals.activeRate-t.unreportedMax(scope, portionRateFraction, t.quota.Rate, t.totals.rate))
 }
 
-// unreportedMax returns the most that unreported hosts may hold of a quota's rate or burst, of which the known portions
-// hold reported. All hosts together hold at most the given fraction of the quota, and each at most perHostFraction.
+// unreportedMax returns how much of quota, a rate or a burst, unreported hosts may hold. reported is how much of it the
+// known portions hold. All hosts together hold at most the given fraction of quota, and each at most perHostFraction.
 func (t *tokenPool) unreportedMax(scope distributionScope, fraction, quota, reported float64) float64 {
 	if scope == scopeEntire {
 		return 0
@@ -201,7 +203,8 @@
 	}
 }
 
-// takeTokens takes tokens for waiting operations, then at most half of the rest as prefetched tokens, up to prefetch.
+// takeTokens takes tokens for waiting operations, and then at most half of the remaining tokens, up to prefetch, for
+// later ones.
 func (t *tokenPool) takeTokens(waiting int, prefetch float64) (tokens int, prefetched float64) {
 	tokens = max(0, min(int(t.tokens), waiting))
 	t.tokens -= float64(tokens)
@@ -210,9 +213,9 @@
 	return tokens, prefetched
 }
 
-// nextPortion returns the portion to offer to the host. While the holdings of other hosts are unknown, the host keeps the
-// portion that it reported until that expires: earlier granters that do not know of this one may then grant to other
-// hosts what they had granted to this one.
+// nextPortion returns the portion to offer to the host. known is true if the holdings of all hosts are known. Until then
+// the host keeps the portion that it reported, until that expires: an earlier granter that does not know of this one may
+// then grant the same part of the quota to another host.
 func (t *tokenPool) nextPortion(p *hostPortions, known bool) Portion {
 	if !known {
 		return p.held
@@ -239,7 +242,7 @@
 	return max(minRetryAfter, min(maxRetryAfter, time.Duration((1-t.tokens)/rate*float64(time.Second))))
 }
 
-// minRetryAfter and maxRetryAfter bound the result of retryAfter. The minimum is one or two round trips, the maximum is
+// minRetryAfter and maxRetryAfter bound the result of retryAfter. The minimum is one or two round trips. The maximum is
 // the time in which portions follow demand.
 const (
 	minRetryAfter = 20 * time.Millisecond
--- a/core/quota/tolerance.go
+++ b/core/quota/tolerance.go
@@ -13,9 +13,8 @@
 	PortionTTL = 13 * time.Second
 	// maxClockDrift is how far two clocks may drift apart within PortionTTL.
 	maxClockDrift = 50 * time.Millisecond
-	// activateAfter is the time from when a host sends the last request that the granter answers until its portions
-	// become active. assumeActiveAfter is the time from when the granter receives that request until it counts them as
-	// active. The difference allows for the request's time in transit.
+	// A host's portions become active activateAfter after it sent its last answered request. The granter counts them as
+	// active assumeActiveAfter after it received that request. The difference allows for the request's time in transit.
 	activateAfter     = 1400 * time.Millisecond
 	assumeActiveAfter = 1100 * time.Millisecond
 	// ResponseTimeout is how long after a request its response may be accepted.
--- a/core/quota/window_test.go
+++ b/core/quota/window_test.go
@@ -11,7 +11,7 @@
 var seeds = flag.Int("seeds", 300, "number of seeds that are simulated")
 
 // Simulates callers that ask for the whole quota on each host, while hosts restart, become unresponsive and lose contact
-// with each other and with the store, the granter's duty moves with and without its holder's knowledge, and messages are
+// with each other and with the store, the granter's role moves with and without its holder's knowledge, and messages are
 // lost or delayed. In no time window may more operations start than the quota and its tolerance allow.
 func TestNoWindowExceedsTheQuota(t *testing.T) {
 	for _, c := range []struct {
