--- a/core/account/account.go
+++ b/core/account/account.go
@@ -4,7 +4,8 @@
 type Account struct {
 	// Name is unique. Members receive it, but never a key.
 	Name string
-	// KeyFingerprints are the fingerprints of the keys that callers may present. Nobody can use an account without keys.
+	// KeyFingerprints are the fingerprints of the keys that callers may present. An account that has no keys can't be
+	// used.
 	KeyFingerprints []Fingerprint
 	// Priority is 0 for the most important accounts.
 	Priority int
--- a/core/account/directory.go
+++ b/core/account/directory.go
@@ -9,12 +9,12 @@
 // Directory holds the accounts of a configuration. Use NewDirectory. It is immutable and safe for concurrent use.
 type Directory struct {
 	byName map[string]*Account
-	// byKeyPrefix holds the keys by the first eight bytes of their fingerprint. Callers' keys are then compared by the
-	// whole fingerprint in constant time.
+	// byKeyPrefix holds the fingerprints of the keys by their first eight bytes. A lookup then compares whole
+	// fingerprints in constant time.
 	byKeyPrefix map[uint64][]keyEntry
 }
 
-// keyEntry is a key and its account.
+// keyEntry is the fingerprint of a key, and the account of the key.
 type keyEntry struct {
 	fingerprint Fingerprint
 	account     *Account
@@ -30,8 +30,8 @@
 	for i := range accounts {
 		a := &accounts[i]
 		d.byName[a.Name] = a
-		for _, k := range a.KeyFingerprints {
-			d.byKeyPrefix[k.prefix()] = append(d.byKeyPrefix[k.prefix()], keyEntry{k, a})
+		for _, f := range a.KeyFingerprints {
+			d.byKeyPrefix[f.prefix()] = append(d.byKeyPrefix[f.prefix()], keyEntry{f, a})
 		}
 	}
 	return d, nil
@@ -39,11 +39,11 @@
 
 func (f Fingerprint) prefix() uint64 { return binary.BigEndian.Uint64(f[:]) }
 
-// AccountForKey returns the account that the key belongs to, or nil.
-func (d *Directory) AccountForKey(key Fingerprint) *Account {
-	for _, h := range d.byKeyPrefix[key.prefix()] {
-		if h.fingerprint.Equal(key) {
-			return h.account
+// AccountForKey returns the account of the key with the given fingerprint, or nil.
+func (d *Directory) AccountForKey(fingerprint Fingerprint) *Account {
+	for _, e := range d.byKeyPrefix[fingerprint.prefix()] {
+		if e.fingerprint.Equal(fingerprint) {
+			return e.account
 		}
 	}
 	return nil
--- a/core/account/validate.go
+++ b/core/account/validate.go
@@ -53,7 +53,7 @@
 // validate returns all errors in the accounts as FieldErrors, or nil.
 func validate(accounts []Account) error {
 	var errs FieldErrors
-	names, keys := map[string]int{}, map[Fingerprint]string{}
+	names, fingerprints := map[string]int{}, map[Fingerprint]string{}
 	for i, a := range accounts {
 		field := fmt.Sprintf("accounts[%d]", i)
 		if first, ok := names[a.Name]; ok && a.Name != "" {
@@ -66,13 +66,13 @@
 		if a.Priority < 0 || a.Priority > maxPriority {
 			errs.Add(field+".priority", "%d, must be between 0 and %d", a.Priority, maxPriority)
 		}
-		for j, k := range a.KeyFingerprints {
+		for j, f := range a.KeyFingerprints {
 			path := fmt.Sprintf("%s.keys[%d]", field, j)
-			if first, ok := keys[k]; ok {
+			if first, ok := fingerprints[f]; ok {
 				errs.Add(path, "is the same key as %s", first)
 				continue
 			}
-			keys[k] = path
+			fingerprints[f] = path
 		}
 	}
 	return errs.Err()
@@ -89,8 +89,8 @@
 	}
 }
 
-// isSpaceOrControl reports whether a character is an ASCII space or control character. Such a character would end a name in
-// a member's protocol.
+// isSpaceOrControl reports whether a character is an ASCII space or control character. Such a character would end a name
+// in a member's protocol.
 func isSpaceOrControl(r rune) bool { return r <= ' ' || r == 0x7f }
 
 func validateQuota(errs *FieldErrors, field string, q Quota) {
--- a/core/admission/admission_test.go
+++ b/core/admission/admission_test.go
@@ -54,7 +54,7 @@
 func TestQueueIsBounded(t *testing.T) {
 	q := NewQueue[string](1)
 	w, ok := q.Push("a", config.High, time.Now())
-	if _, full := q.Push("b", config.High, time.Now()); !ok || full {
+	if _, second := q.Push("b", config.High, time.Now()); !ok || second {
 		t.Fatal("the limit of the queue was not applied")
 	}
 	if !q.Remove(w) || q.Remove(w) || q.Len() != 0 {
--- a/core/admission/wait_estimator.go
+++ b/core/admission/wait_estimator.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// sampleWeight is the weight of a new sample in the moving average of Estimate.
+// sampleWeight is the weight of a new sample in the moving average of WaitEstimator.
 const sampleWeight = 0.1
 
 // WaitEstimator predicts how long a new request waits, from the mean time for which
--- a/core/joining/joiner.go
+++ b/core/joining/joiner.go
@@ -10,15 +10,15 @@
 
 const (
 	// initialReadProbability is the probability that a host reads the store in its first round while it does not
-	// know the size of the fleet. It doubles with each round, so that the first hosts read early in a large
-	// fleet, and after seconds in a small one whose seeds are gone.
+	// know the size of the fleet. It doubles with each round. Some hosts of a large fleet therefore read early, and
+	// those of a small fleet whose seeds are gone do so after seconds.
 	initialReadProbability = 1.0 / 1024
-	// hostsPerRound is the number of hosts asked between two pauses.
+	// hostsPerRound is the largest number of hosts asked in a round.
 	hostsPerRound = 3
 	// maxDrawsPerAddress bounds the random draws for each address to ask.
 	maxDrawsPerAddress = 8
-	// initialBackoff and maxBackoff bound the pause between two rounds, which doubles with each round. Jitter of
-	// up to half the pause is added or subtracted, so that hosts that started together do not retry together.
+	// initialBackoff and maxBackoff bound the backoff between two rounds, which doubles with each round. Jitter of
+	// up to half the backoff is added or subtracted, so that hosts that started together do not retry together.
 	initialBackoff = 200 * time.Millisecond
 	maxBackoff     = 800 * time.Millisecond
 )
@@ -33,9 +33,9 @@
 	seeds  []netip.AddrPort
 	random func() float64
 
-	// listedHosts are the hosts that the store lists. selfListed is true if an earlier process of this host is
-	// among them. The list is then not one that a starting fleet has just begun to fill, and its length tells
-	// the size of the fleet.
+	// listedHosts are the hosts that the store lists. selfListed is true if this host is among them, from an earlier
+	// process. The list then stems from before the start and its length tells the size of the fleet. Otherwise a
+	// fleet that starts for the first time may have just begun to fill it.
 	listedHosts []netip.AddrPort
 	selfListed  bool
 	// referrals are hosts with the contents that a busy host named.
@@ -89,7 +89,7 @@
 	return append([]Step{first}, j.askSteps()...)
 }
 
-// askSteps returns the steps that ask other hosts in this round, and the pause after them. Hosts known to have
+// askSteps returns the steps that ask other hosts in this round, and the backoff after them. Hosts known to have
 // the contents come first.
 func (j *Joiner) askSteps() []Step {
 	var out []Step
@@ -115,7 +115,7 @@
 // sample returns up to n of the addresses, drawn at random, without those of this host.
 func (j *Joiner) sample(addrs []netip.AddrPort, n int) []netip.AddrPort {
 	var out []netip.AddrPort
-	// A draw that hits an address again counts too, so that the result may lack one of a few addresses.
+	// A draw of an address that was drawn before counts against the limit too, so the result may be incomplete.
 	for tries := maxDrawsPerAddress * n; tries > 0 && len(out) < min(n, len(addrs)); tries-- {
 		a := addrs[int(j.random()*float64(len(addrs)))]
 		if a != j.self && a.IsValid() && !slices.Contains(out, a) {
@@ -125,8 +125,8 @@
 	return out
 }
 
-// backoff returns the pause after this round, with jitter.
+// backoff returns the backoff after this round, with jitter.
 func (j *Joiner) backoff() Backoff {
-	pause := min(initialBackoff<<min(j.round-1, 4), maxBackoff)
-	return Backoff{time.Duration((0.5 + j.random()) * float64(pause))}
+	backoff := min(initialBackoff<<min(j.round-1, 4), maxBackoff)
+	return Backoff{time.Duration((0.5 + j.random()) * float64(backoff))}
 }
--- a/core/joining/step.go
+++ b/core/joining/step.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Step is an action for the host to execute. Its implementations are ReadStore, ListHosts, AskHost and Pause.
+// Step is an action for the host to execute. Its implementations are ReadStore, ListHosts, AskHost and Backoff.
 type Step interface{ isStep() }
 
 type (
--- a/core/outage/doc.go
+++ b/core/outage/doc.go
@@ -1,3 +1,3 @@
-// Package outage estimates how long an unavailable component stays unavailable, so that a caller whose deadline
-// ends before its return is refused at once and told when to retry.
+// Package outage estimates how long an unavailable component stays unavailable. A caller whose deadline ends before
+// the component is available again can then be refused at once and told when to retry.
 package outage
--- a/core/outage/estimator.go
+++ b/core/outage/estimator.go
@@ -19,7 +19,7 @@
 }
 
 // Remaining estimates how much longer an outage lasts that has lasted for elapsed. Below the average length it
-// returns the rest of the average. Beyond the average, or before any outage was observed, it returns elapsed: an
+// returns the time left until the average. Beyond the average, or before any outage was observed, it returns elapsed: an
 // outage of seconds does not end within milliseconds, and one that has just begun may end at once.
 func (e *Estimator) Remaining(elapsed time.Duration) time.Duration {
 	if elapsed < e.average {
--- a/core/placement/member.go
+++ b/core/placement/member.go
@@ -19,8 +19,8 @@
 	// crossZoneCost is the cost of a member in another availability zone: two network hops of about 1 ms each at
 	// the users' sites, and the price of the traffic.
 	crossZoneCost = 3 * time.Millisecond
-	// primaryCost keeps reads off the primary, the only member that takes writes, while a replica is slower by
-	// no more than about one statement.
+	// primaryCost keeps reads off the primary, the only member that takes writes, unless the replicas are slower
+	// than the primary by more than about the time of one statement.
 	primaryCost = 12 * time.Millisecond
 	// suspectCost ranks a member that failed to answer behind all others.
 	suspectCost = time.Second
--- a/core/serving/candidates.go
+++ b/core/serving/candidates.go
@@ -46,7 +46,7 @@
 }
 
 // IsCandidate reports whether the host set by TrackCandidates is among the first hosts of its availability zone for the
-// group, so that it may serve the group or hold its duty, now or after the loss of other hosts. It returns false for a
+// group, so that it may serve the group or hold its role, now or after the loss of other hosts. It returns false for a
 // group that is not tracked.
 func (t *Table) IsCandidate(group string) bool {
 	rank := t.selfRanks.groups[group]
--- a/core/serving/candidates_test.go
+++ b/core/serving/candidates_test.go
@@ -10,7 +10,7 @@
 )
 
 // The counted ranks must agree with the full ranking after any sequence of host lists. Otherwise a host that is ranked for
-// a group may neither serve it nor take its duty.
+// a group may neither serve it nor acquire its coordinator role.
 func TestIsCandidateMatchesRanking(t *testing.T) {
 	random := rand.New(rand.NewPCG(3, 4))
 	all := testHosts(90, 3)
--- a/core/serving/cores_test.go
+++ b/core/serving/cores_test.go
@@ -20,8 +20,8 @@
 	return hosts
 }
 
-// In a fleet of 1,000 groups every host held some duty and renewed a lease of its own. The hosts with the most cores must
-// hold all duties, spread evenly, and the others must take them over when those hosts are gone.
+// In a fleet of 1,000 groups every host held some coordinator role and renewed a lease of its own. The hosts with the most
+// cores must hold all roles, spread evenly, and the others must acquire them when those hosts are gone.
 func TestRolesGoToHostsWithMostCores(t *testing.T) {
 	hosts := unevenHosts(500, 5)
 	table := newTable(hosts)
@@ -29,21 +29,21 @@
 	for i := range 1000 {
 		first := table.RankedCoordinators(fmt.Sprint("group-", i))[0]
 		if first.Cores < 1 {
-			t.Fatalf("group-%d: duty is held by %+v, want a host with 1.6 cores", i, first)
+			t.Fatalf("group-%d: role is held by %+v, want a host with 1.6 cores", i, first)
 		}
 		held[first.ID]++
 	}
 	if len(held) != 50 {
-		t.Errorf("%d hosts hold duties, want 50", len(held))
+		t.Errorf("%d hosts hold roles, want 50", len(held))
 	}
 	for id, n := range held {
 		if n > 45 {
-			t.Errorf("%s holds %d of 1,000 duties, its share is 20", id, n)
+			t.Errorf("%s holds %d of 1,000 roles, its share is 20", id, n)
 		}
 	}
 	table.Update(hosts[50:])
 	if first := table.RankedCoordinators("group-0"); len(first) == 0 {
-		t.Error("no host takes the duty after the hosts with the most cores are gone")
+		t.Error("no host acquires the role after the hosts with the most cores are gone")
 	}
 }
 
--- a/core/serving/table.go
+++ b/core/serving/table.go
@@ -56,7 +56,7 @@
 	// zones holds the first rankedPerZone active hosts of each availability zone, or all of
 	// them if there are fewer, in order of rank.
 	zones map[string][]scoredHost
-	// ranked and rankedCoordinators cache the results of Ranked and RankedForDuty. They are nil after
+	// ranked and rankedCoordinators cache the results of Ranked and RankedCoordinators. They are nil after
 	// a change.
 	ranked, rankedCoordinators []membership.Host
 }
@@ -147,9 +147,9 @@
 	return r.ranked
 }
 
-// RankedCoordinators returns the hosts of Ranked in the order in which they take the group's duty: those with more cores first,
-// and those with equal cores in the order of Ranked. The cost of duties grows with the number of hosts that hold any, so
-// a few hosts hold many duties each. Later calls do not modify the slice, and the caller must not change it.
+// RankedCoordinators returns the hosts of Ranked in the order in which they acquire the group's coordinator role: those
+// with more cores first, and those with equal cores in the order of Ranked. The cost of roles grows with the number of
+// hosts that hold any, so a few hosts hold many roles each. Later calls do not modify the slice, and the caller must not change it.
 func (t *Table) RankedCoordinators(group string) []membership.Host {
 	ranked := t.Ranked(group)
 	r := t.ranking(group)
