--- a/core/admission/admission_test.go
+++ b/core/admission/admission_test.go
@@ -54,7 +54,7 @@
 func TestQueueIsBounded(t *testing.T) {
 	q := NewQueue[string](1)
 	w, ok := q.Push("a", config.High, time.Now())
-	if _, full := q.Push("b", config.High, time.Now()); !ok || full {
+	if _, second := q.Push("b", config.High, time.Now()); !ok || second {
 		t.Fatal("the limit of the queue was not applied")
 	}
 	if !q.Remove(w) || q.Remove(w) || q.Len() != 0 {
@@ -74,8 +74,8 @@
 	}
 }
 
-func TestEstimate(t *testing.T) {
-	var e Estimate
+func TestWaitEstimator(t *testing.T) {
+	var e WaitEstimator
 	if e.ExpectedWait(10, 2) != 0 {
 		t.Error("expected a wait of 0 without observations")
 	}
--- a/core/leadership/model_test.go
+++ b/core/leadership/model_test.go
@@ -6,7 +6,7 @@
 	"pearlatch/core/group"
 )
 
-// One write and three terms suffice to show the fault that each safeguard prevents.
+// One write and three terms suffice to show the violation that each safeguard prevents.
 const (
 	writeCount  = 1
 	memberCount = 3
@@ -16,7 +16,7 @@
 
 // safeguards are the rules on which the protocol relies. The checker disables them one by one.
 type safeguards struct {
-	waitForLeases, boundByDuty, confirmWrites, fenceReplicas, requireFloor, detectRestarts, recordOrder, proveByAll, recheckReplicas, waitForFormerHolder, rememberRecord bool
+	waitForLeases, boundByRole, confirmWrites, fenceReplicas, requireFloor, detectRestarts, recordOrder, proveByAll, recheckReplicas, waitForFormerCoordinator, rememberRecord bool
 }
 
 func allSafeguards() safeguards {
@@ -39,31 +39,33 @@
 
 // hostState is a host that serves clients.
 type hostState struct {
-	partition       int8
-	lease, recalled int8
-	// revoked is true if the lease comes from a holder whose duty was revoked.
-	revoked bool
+	partition int8
+	// lease is the member on which the host has a lease, or none. revokedPrimary is the member of the lease that was
+	// last revoked, to which the host sends nothing until it gets another lease, or none.
+	lease, revokedPrimary int8
+	// fromFormerCoordinator is true if the lease comes from a former coordinator.
+	fromFormerCoordinator bool
 }
 
-// formerHolder is a holder whose duty the platform revoked early. It continues to grant leases until its own
-// validity of the duty ends.
-type formerHolder struct {
+// formerCoordinator is a coordinator that lost its role without noticing: the platform removed the role's entry, or
+// the store was restored. It continues to grant leases until RoleValidity has passed since its last renewal.
+type formerCoordinator struct {
 	active        bool
 	host, primary int8
 }
 
-// stage is the progress of the holder in replacing the primary.
+// stage is the progress of the coordinator in replacing the primary.
 type stage int8
 
 const (
 	granting stage = iota
-	recalling
+	revoking
 	fencing
 	ordered
 )
 
-// holderState is the state of the holder of the duty.
-type holderState struct {
+// coordinatorState is the state of the coordinator.
+type coordinatorState struct {
 	host, primary int8
 	stage         stage
 	// leased hosts may have a lease.
@@ -95,32 +97,33 @@
 // modelState is a state of the whole system. It is comparable, so that the checker can recognize states that it
 // has visited.
 type modelState struct {
-	nodes  [memberCount]node
-	hosts  [hostCount]hostState
-	duty   holderState
-	former formerHolder
-	writes [writeCount]write
-	// pendingOrder is the member of an order that the platform may execute at any time.
-	pendingOrder int8
-	// recordedOrder is the member of the order in the store, and recordedTerm the highest term there.
+	nodes       [memberCount]node
+	hosts       [hostCount]hostState
+	coordinator coordinatorState
+	former      formerCoordinator
+	writes      [writeCount]write
+	// platformOrder is the member of an order that the platform may execute at any time, or none.
+	platformOrder int8
+	// recordedOrder is the member of the order in the stored record, or none. recordedTerm is the highest term
+	// there.
 	recordedOrder, recordedTerm int8
 	// faultsLeft are the faults that may still occur.
 	faultsLeft faultBounds
 }
 
-// faultBounds bounds how often the network is partitioned, a member crashes, the duty expires, the duty is
-// revoked early, and the store is restored from an older copy.
-type faultBounds struct{ partitions, crashes, expirations, revocations, restores int8 }
+// faultBounds bounds how often the network is partitioned, a member crashes, the role expires, the role's entry is
+// removed early, and the store is restored from an older copy.
+type faultBounds struct{ partitions, crashes, expirations, removals, restores int8 }
 
 func newModelState(b faultBounds) modelState {
-	st := modelState{pendingOrder: none, recordedOrder: none, faultsLeft: b}
+	st := modelState{platformOrder: none, recordedOrder: none, faultsLeft: b}
 	for i := range st.nodes {
 		st.nodes[i] = node{up: true, leads: i == 0, term: 1, listed: true}
 	}
 	for i := range st.hosts {
-		st.hosts[i] = hostState{lease: none, recalled: none}
+		st.hosts[i] = hostState{lease: none, revokedPrimary: none}
 	}
-	st.duty = holderState{floor: none, target: none}
+	st.coordinator = coordinatorState{floor: none, target: none}
 	return st
 }
 
@@ -161,9 +164,9 @@
 // logPosition returns the position of the end of a log.
 func logPosition(length int8) group.Position { return group.Position{Term: 1, LSN: group.LSN(length)} }
 
-// holderReaches reports whether the holder and the member are on the same side of a partition.
-func (st *modelState) holderReaches(m int) bool {
-	return st.hosts[st.duty.host].partition == st.nodes[m].partition
+// coordinatorReaches reports whether the coordinator and the member are on the same side of a partition.
+func (st *modelState) coordinatorReaches(m int) bool {
+	return st.hosts[st.coordinator.host].partition == st.nodes[m].partition
 }
 
 // probeResults returns the results that the host gets when it probes the members.
--- a/core/leadership/steps_test.go
+++ b/core/leadership/steps_test.go
@@ -17,8 +17,8 @@
 	out        []transition
 }
 
-func (e *explorer) add(what string, next modelState, fault string) {
-	e.out = append(e.out, transition{what, next, fault})
+func (e *explorer) add(action string, next modelState, violation string) {
+	e.out = append(e.out, transition{action, next, violation})
 }
 
 // next returns all transitions from a state. The slice is valid until the next call.
@@ -37,7 +37,7 @@
 	for h := range st.hosts {
 		for m := range st.nodes {
 			n := &st.nodes[m]
-			if !n.up || n.partition != st.hosts[h].partition || st.hosts[h].recalled == int8(m) {
+			if !n.up || n.partition != st.hosts[h].partition || st.hosts[h].revokedPrimary == int8(m) {
 				continue
 			}
 			if n.leads {
@@ -79,11 +79,11 @@
 		return
 	}
 	it.state = acknowledged
-	fault := ""
+	violation := ""
 	if l := st.newestPrimary(); l != none && st.missingWrite(&st.nodes[l]) != "" {
-		fault = "acknowledged by a replaced primary"
+		violation = "acknowledged by a replaced primary"
 	}
-	e.add("acknowledge", st, fault)
+	e.add("acknowledge", st, violation)
 }
 
 // readLatest reads the latest data, under a lease or with the confirmation of the other members.
@@ -102,7 +102,7 @@
 	}
 }
 
-// confirmedBySome is a faulty variant of PrimaryConfirmed that is content with the members that answer.
+// confirmedBySome is a faulty variant of PrimaryConfirmed that ignores the members that do not answer.
 func confirmedBySome(primary string, term group.Term, answers []ProbeResult) bool {
 	ok := false
 	for _, a := range answers {
@@ -141,79 +141,80 @@
 	}
 }
 
-// leaseSteps adds that a lease is granted, that it ends on its host, and that it then ends for the holder, in
-// this order.
+// leaseSteps adds the steps in the life of a lease: it is granted, ends on its host, and only then ends for the
+// coordinator. It also adds the steps by which the coordinator loses its role.
 func (e *explorer) leaseSteps(st modelState) {
-	d := &st.duty
+	c := &st.coordinator
 	for h := range st.hosts {
-		if d.stage == granting && d.primary != none && st.hosts[h].partition == st.hosts[d.host].partition && st.hosts[h].lease != d.primary {
+		if c.stage == granting && c.primary != none && st.hosts[h].partition == st.hosts[c.host].partition && st.hosts[h].lease != c.primary {
 			next := st
-			next.hosts[h].lease, next.hosts[h].recalled, next.hosts[h].revoked = d.primary, none, false
-			next.duty.leased[h] = true
+			next.hosts[h].lease, next.hosts[h].revokedPrimary, next.hosts[h].fromFormerCoordinator = c.primary, none, false
+			next.coordinator.leased[h] = true
 			e.add("grant", next, "")
 		}
 		if st.hosts[h].lease != none {
 			next := st
-			next.hosts[h].lease, next.hosts[h].revoked = none, false
+			next.hosts[h].lease, next.hosts[h].fromFormerCoordinator = none, false
 			e.add("lease ends on host", next, "")
 		}
-		if d.leased[h] && st.hosts[h].lease == none {
+		if c.leased[h] && st.hosts[h].lease == none {
 			next := st
-			next.duty.leased[h] = false
-			e.add("lease ends for holder", next, "")
+			next.coordinator.leased[h] = false
+			e.add("lease ends for coordinator", next, "")
 		}
 	}
-	e.expireDuty(st)
-	e.revokeDuty(st)
+	e.expireRole(st)
+	e.removeRole(st)
 	e.restoreStore(st)
-	e.formerHolderSteps(st)
+	e.formerCoordinatorSteps(st)
 }
 
-// revokeDuty takes the duty from its holder before its validity ends. The holder is not told.
-func (e *explorer) revokeDuty(st modelState) {
-	if st.faultsLeft.revocations == 0 || st.duty.stage != granting || st.duty.primary == none {
+// removeRole gives the role to the other host before the coordinator's validity of it ends. The coordinator is not
+// told.
+func (e *explorer) removeRole(st modelState) {
+	if st.faultsLeft.removals == 0 || st.coordinator.stage != granting || st.coordinator.primary == none {
 		return
 	}
-	st.faultsLeft.revocations--
-	st.former = formerHolder{active: true, host: st.duty.host, primary: st.duty.primary}
+	st.faultsLeft.removals--
+	st.former = formerCoordinator{active: true, host: st.coordinator.host, primary: st.coordinator.primary}
 	for h := range st.hosts {
-		st.hosts[h].revoked = st.hosts[h].lease != none
+		st.hosts[h].fromFormerCoordinator = st.hosts[h].lease != none
 	}
-	st.duty = holderState{host: 1 - st.duty.host, primary: none, floor: st.duty.floor, target: none}
-	e.add("duty is revoked", st, "")
+	st.coordinator = coordinatorState{host: 1 - st.coordinator.host, primary: none, floor: st.coordinator.floor, target: none}
+	e.add("role is removed", st, "")
 }
 
-// restoreStore restores the store from a copy in which the other host has the duty and no order is recorded. The
-// old holder does not know yet, and continues to grant leases. The new holder remembers the record that it read
-// before the restore.
+// restoreStore restores the store from a copy in which the other host has the role and no order is recorded. The
+// old coordinator does not know yet, and continues to grant leases. The new coordinator remembers the record that it
+// read before the restore.
 func (e *explorer) restoreStore(st modelState) {
 	if st.faultsLeft.restores == 0 || st.former.active {
 		return
 	}
 	st.faultsLeft.restores--
-	if st.duty.stage == granting && st.duty.primary != none {
-		st.former = formerHolder{active: true, host: st.duty.host, primary: st.duty.primary}
+	if st.coordinator.stage == granting && st.coordinator.primary != none {
+		st.former = formerCoordinator{active: true, host: st.coordinator.host, primary: st.coordinator.primary}
 		for h := range st.hosts {
-			st.hosts[h].revoked = st.hosts[h].lease != none
+			st.hosts[h].fromFormerCoordinator = st.hosts[h].lease != none
 		}
-	} else if st.duty.leased != [hostCount]bool{} {
-		return // leases that a failover waits for end before the next holder has finished its own wait
+	} else if st.coordinator.leased != [hostCount]bool{} {
+		return // leases that a failover waits for end before the next coordinator has finished its own wait
 	}
-	floor := st.duty.floor
+	floor := st.coordinator.floor
 	for m := range st.nodes {
 		if !st.nodes[m].listed {
 			floor = none // the floor of the record is valid only for the members that it names
 		}
 	}
-	st.duty = holderState{host: 1 - st.duty.host, primary: none, floor: floor, target: none}
+	st.coordinator = coordinatorState{host: 1 - st.coordinator.host, primary: none, floor: floor, target: none}
 	if !e.safeguards.rememberRecord {
 		st.recordedOrder, st.recordedTerm = none, 0
 	}
 	e.add("store is restored", st, "")
 }
 
-// formerHolderSteps adds the leases that a former holder grants. They end with its validity of the duty.
-func (e *explorer) formerHolderSteps(st modelState) {
+// formerCoordinatorSteps adds the leases that a former coordinator grants. They end with its validity of the role.
+func (e *explorer) formerCoordinatorSteps(st modelState) {
 	f := &st.former
 	if !f.active {
 		return
@@ -221,31 +222,31 @@
 	for h := range st.hosts {
 		if s := &st.hosts[h]; s.partition == st.hosts[f.host].partition && s.lease != f.primary {
 			next := st
-			next.hosts[h].lease, next.hosts[h].recalled, next.hosts[h].revoked = f.primary, none, true
-			e.add("former holder grants lease", next, "")
+			next.hosts[h].lease, next.hosts[h].revokedPrimary, next.hosts[h].fromFormerCoordinator = f.primary, none, true
+			e.add("former coordinator grants lease", next, "")
 		}
 	}
 	f.active = false
 	for h := range st.hosts {
-		if st.hosts[h].revoked {
-			st.hosts[h].lease, st.hosts[h].revoked = none, false
+		if st.hosts[h].fromFormerCoordinator {
+			st.hosts[h].lease, st.hosts[h].fromFormerCoordinator = none, false
 		}
 	}
-	e.add("former holder's validity ends", st, "")
+	e.add("former coordinator's validity ends", st, "")
 }
 
-// expireDuty passes the duty on to the other host. Leases end before the duty does.
-func (e *explorer) expireDuty(st modelState) {
-	if st.faultsLeft.expirations == 0 || e.safeguards.boundByDuty && st.duty.leased != [hostCount]bool{} {
+// expireRole passes the role on to the other host. Leases end before the role does.
+func (e *explorer) expireRole(st modelState) {
+	if st.faultsLeft.expirations == 0 || e.safeguards.boundByRole && st.coordinator.leased != [hostCount]bool{} {
 		return
 	}
 	st.faultsLeft.expirations--
-	floor := st.duty.floor
+	floor := st.coordinator.floor
 	for m := range st.nodes {
 		if !st.nodes[m].listed {
 			floor = none // the floor of the record is valid only for the members that it names
 		}
 	}
-	st.duty = holderState{host: 1 - st.duty.host, primary: none, floor: floor, target: none}
-	e.add("duty expires", st, "")
+	st.coordinator = coordinatorState{host: 1 - st.coordinator.host, primary: none, floor: floor, target: none}
+	e.add("role expires", st, "")
 }
--- a/core/quota/simulation_test.go
+++ b/core/quota/simulation_test.go
@@ -9,17 +9,17 @@
 	"pearlatch/core/account"
 )
 
-// simulation simulates hosts, their granters, the duty, and a network that partitions and loses or delays messages. It
-// records when operations start. The hosts run the package's own Shard; the simulation only transports messages.
+// simulation simulates hosts, their granters, the coordinator role, and a network that partitions and loses or delays
+// messages. It records when operations start. The hosts run the package's own Shard; the simulation only transports messages.
 type simulation struct {
 	random    *rand.Rand
 	tolerance Tolerance
 	quota     account.Quota
 	now       time.Time
 	hosts     []*simHost
-	// dutyToken is the fencing token of the duty's holder. mayHold and formerGranters are the hosts that it has recorded
-	// in the store for its successor.
-	dutyToken               int64
+	// latestToken is the fencing token of the present coordinator. mayHold and formerGranters are the hosts that it has
+	// recorded in the store for its successor.
+	latestToken             int64
 	mayHold, formerGranters []string
 	// lossRate is the fraction of messages that are lost, and delayRate the fraction of the others that are delayed.
 	lossRate, delayRate float64
@@ -49,12 +49,12 @@
 	up, unresponsive bool
 	// partition is the network partition that the host is in.
 	partition int
-	// holder and holderToken are the holder of the duty and its fencing token, as far as this host knows.
-	holder      *simHost
-	holderToken int64
-	// token is the fencing token of this host's own duty, or zero.
-	token int64
-	// renewedAt is when the host last renewed its duty.
+	// granterHost is the host that this host takes for the granter, and granterToken that host's fencing token.
+	granterHost  *simHost
+	granterToken int64
+	// fencingToken is the one with which this host became coordinator, or zero if it did not.
+	fencingToken int64
+	// renewedAt is when the host last renewed its role.
 	renewedAt time.Time
 	// storeUnreachable is true while the host can't reach the store.
 	storeUnreachable bool
@@ -73,7 +73,7 @@
 	for _, i := range s.random.Perm(len(allFaults))[:2+s.random.IntN(4)] {
 		s.faults = append(s.faults, allFaults[i])
 	}
-	s.takeDuty(s.hosts[0])
+	s.acquireRole(s.hosts[0])
 	return s
 }
 
@@ -81,38 +81,38 @@
 	s.trace = append(s.trace, fmt.Sprintf("%6d ms ", s.now.Sub(time.UnixMilli(1_000_000)).Milliseconds())+fmt.Sprintf(format, args...))
 }
 
-// takeDuty makes the host the holder of the duty.
-func (s *simulation) takeDuty(h *simHost) {
-	s.dutyToken++
-	s.logf("%s takes the duty with fencing token %d", h.id, s.dutyToken)
-	h.token, h.renewedAt = s.dutyToken, s.now
-	h.shard.SetGranter(NewGranter(s.dutyToken, s.tolerance, s.now, s.mayHold, s.formerGranters))
+// acquireRole makes the host the coordinator.
+func (s *simulation) acquireRole(h *simHost) {
+	s.latestToken++
+	s.logf("%s acquires the role with fencing token %d", h.id, s.latestToken)
+	h.fencingToken, h.renewedAt = s.latestToken, s.now
+	h.shard.SetGranter(NewGranter(s.latestToken, s.tolerance, s.now, s.mayHold, s.formerGranters))
 	if !slices.Contains(s.formerGranters, h.id) {
 		s.formerGranters = append(s.formerGranters, h.id)
 	}
-	s.announceHolder()
+	s.announceGranter()
 }
 
-// announceHolder tells the hosts that reach the store who holds the duty.
-func (s *simulation) announceHolder() {
+// announceGranter tells the hosts that reach the store which host is the coordinator.
+func (s *simulation) announceGranter() {
 	for _, h := range s.hosts {
 		for _, o := range s.hosts {
-			if h.up && !h.unresponsive && !h.storeUnreachable && o.token == s.dutyToken {
-				h.holder, h.holderToken = o, o.token
+			if h.up && !h.unresponsive && !h.storeUnreachable && o.fencingToken == s.latestToken {
+				h.granterHost, h.granterToken = o, o.fencingToken
 				if h != o {
-					h.shard.SetGranter(nil) // it learns that it has lost the duty
+					h.shard.SetGranter(nil) // it learns that it has lost the role
 				}
 			}
 		}
 	}
 }
 
-// learnHolder lets a host that has just started learn the holder of the duty from another host that it reaches. That
-// host's knowledge may be out of date.
-func (s *simulation) learnHolder(h *simHost) {
+// learnGranter lets a host that has just started learn the granter from another host that it reaches. That host's
+// knowledge may be out of date.
+func (s *simulation) learnGranter(h *simHost) {
 	o := s.hosts[s.random.IntN(len(s.hosts))]
-	if h.holder == nil && o.holder != nil && s.reachable(h, o) {
-		h.holder, h.holderToken = o.holder, o.holderToken
+	if h.granterHost == nil && o.granterHost != nil && s.reachable(h, o) {
+		h.granterHost, h.granterToken = o.granterHost, o.granterToken
 	}
 }
 
@@ -126,7 +126,7 @@
 func (s *simulation) restart(h *simHost) {
 	s.logf("%s is restarted", h.id)
 	h.process++
-	h.shard, h.token, h.holder, h.up = NewShard(), 0, nil, true
+	h.shard, h.fencingToken, h.granterHost, h.up = NewShard(), 0, nil, true
 }
 
 func (h *simHost) processName() string { return fmt.Sprint(h.id, ".", h.process) }
@@ -135,7 +135,7 @@
 // their granters.
 func (s *simulation) advance() {
 	s.now = s.now.Add(stepDuration)
-	s.announceHolder()
+	s.announceGranter()
 	s.deliver()
 	for _, g := range s.hosts {
 		if g.shard.Granter() != nil && g.up && !g.unresponsive {
@@ -149,10 +149,10 @@
 	}
 }
 
-// runGranter renews the granter's duty and queries hosts for their holdings.
+// runGranter renews the granter's role and queries hosts for their holdings.
 func (s *simulation) runGranter(g *simHost) {
 	granter := g.shard.Granter()
-	if g.token == s.dutyToken && !g.storeUnreachable {
+	if g.fencingToken == s.latestToken && !g.storeUnreachable {
 		g.renewedAt = s.now
 		granter.Extend(s.now)
 		s.formerGranters = append(granter.FormerGranters(), g.id)
@@ -163,7 +163,7 @@
 		}
 		switch {
 		case s.reachable(g, h):
-			holds, ok := h.shard.Report(g.token, s.now)
+			holds, ok := h.shard.Report(g.fencingToken, s.now)
 			if ok && s.delivered() {
 				granter.RecordReport(h.id, h.processName(), holds, s.now)
 			}
@@ -182,7 +182,7 @@
 
 // serveCallers simulates the requests of the host's callers in one step, and the host's request to the granter.
 func (s *simulation) serveCallers(h *simHost) {
-	s.learnHolder(h)
+	s.learnGranter(h)
 	n := int(h.loadPerStep)
 	if s.random.Float64() < h.loadPerStep-float64(n) {
 		n++
@@ -209,8 +209,8 @@
 	}
 }
 
-// startOperation records the start of an operation. One in ten action not run, as if its upstream had refused it, and
-// returns its token.
+// startOperation records the start of an operation. One in ten operations is not run, as if its upstream had refused it,
+// and returns its token.
 func (s *simulation) startOperation(h *simHost) {
 	if s.random.IntN(10) == 0 {
 		h.shard.ReturnToken("a")
@@ -247,11 +247,11 @@
 // request sends a request to the granter that the host knows. Without an immediate response the host may send another in
 // the next step.
 func (s *simulation) request(h *simHost) {
-	g := h.holder
+	g := h.granterHost
 	if g == nil {
 		return
 	}
-	h.shard.Follow(h.holderToken)
+	h.shard.Follow(h.granterToken)
 	req, ok := h.shard.NextRequest(s.now)
 	if !ok {
 		return
@@ -268,7 +268,7 @@
 		}
 		s.send(g, h, func() {
 			if h.process == process && h.up && !h.unresponsive {
-				shard.HandleResponse(req.ID, req.Token, response, s.now)
+				shard.HandleResponse(req.ID, req.FencingToken, response, s.now)
 			}
 		})
 	})
@@ -284,7 +284,7 @@
 		for _, each := range s.hosts {
 			s.restart(each)
 		}
-		s.takeDuty(h)
+		s.acquireRole(h)
 	},
 	func(s *simulation, h *simHost) {
 		if h.up = !h.up; h.up {
@@ -312,7 +312,7 @@
 		h.loadPerStep = s.random.Float64() * 3 * s.quota.Rate * stepDuration.Seconds()
 		s.logf("%s gets %.2f operations per step", h.id, h.loadPerStep)
 	},
-	func(s *simulation, h *simHost) { s.transferDuty(h) },
+	func(s *simulation, h *simHost) { s.transferRole(h) },
 	func(s *simulation, h *simHost) { s.splitNetwork(h) },
 	func(s *simulation, _ *simHost) {
 		for _, each := range s.hosts {
@@ -329,39 +329,39 @@
 	s.faults[s.random.IntN(len(s.faults))](s, h)
 }
 
-// splitNetwork separates the holder of the duty and some other hosts from the store, and some of them also from the
-// other hosts. It then moves the duty to the given host, before or after the holder's lease has ended.
+// splitNetwork separates the coordinator and some other hosts from the store, and some of them also from the other
+// hosts. It then moves the role to the given host, before or after the coordinator's lease has ended.
 func (s *simulation) splitNetwork(h *simHost) {
 	for _, o := range s.hosts {
-		o.storeUnreachable = o != h && (o.token == s.dutyToken || s.random.IntN(2) == 0)
+		o.storeUnreachable = o != h && (o.fencingToken == s.latestToken || s.random.IntN(2) == 0)
 		o.partition = 0
 		if o.storeUnreachable && s.random.IntN(3) > 0 {
 			o.partition = 1
 		}
 	}
 	s.logf("%s is separated from some of the other hosts", h.id)
-	s.transferDuty(h)
+	s.transferRole(h)
 }
 
-// transferDuty moves the duty to the host: because the holder resigned, because its entry was removed without its
-// knowledge, or because it has not renewed its lease in time.
-func (s *simulation) transferDuty(h *simHost) {
+// transferRole moves the role to the host: because the coordinator handed it back, because the role's entry was removed
+// without the coordinator's knowledge, or because the coordinator has not renewed its lease in time.
+func (s *simulation) transferRole(h *simHost) {
 	if !h.up || h.unresponsive || h.storeUnreachable {
 		return
 	}
-	var before *simHost
+	var former *simHost
 	for _, o := range s.hosts {
-		if o.token == s.dutyToken {
-			before = o
+		if o.fencingToken == s.latestToken {
+			former = o
 		}
 	}
-	if before == h {
+	if former == h {
 		return
 	}
-	if before != nil && !before.storeUnreachable && s.random.IntN(2) == 0 {
-		before.shard.SetGranter(nil) // it resigned
+	if former != nil && !former.storeUnreachable && s.random.IntN(2) == 0 {
+		former.shard.SetGranter(nil) // it handed back the role
 	}
-	s.takeDuty(h)
+	s.acquireRole(h)
 }
 
 // busiestWindow returns the largest number of operations that started within one window, and the start of that window.
