--- a/core/group/assess.go
+++ b/core/group/assess.go
@@ -33,9 +33,9 @@
 // each member.
 //
 // The primary of a term is the member that is out of recovery and has written
-// the term's record. Being out of recovery is not enough, since a replaced
-// primary is out of recovery too: it stores an older fence, or it has accepted
-// the new fence without writing the new term's record.
+// the term record of the term. Being out of recovery is not enough, since a
+// replaced primary is out of recovery too: it stores an older fence, or it has
+// accepted the new fence without writing the new term record.
 func FindPrimary(samples []Sample) Leadership {
 	var highest Term
 	for _, s := range samples {
--- a/core/group/confirm.go
+++ b/core/group/confirm.go
@@ -10,8 +10,9 @@
 type Confirmation struct {
 	// LSN is the highest log sequence number held by a majority.
 	LSN LSN
-	// AsOf is the earliest send time among the probes whose answers form the
-	// majority. The term was still current at that time.
+	// AsOf is the latest time such that a majority, including the primary,
+	// answered probes sent at or after it. The term was still current at that
+	// time. This majority may differ from the one that holds LSN.
 	AsOf time.Time
 }
 
@@ -32,26 +33,26 @@
 		held = append(held, s.Status.Received)
 		sentAt = append(sentAt, s.SentAt)
 	}
-	majority := Majority(len(samples))
-	if len(held) < majority {
+	majoritySize := Majority(len(samples))
+	if len(held) < majoritySize {
 		return Confirmation{}, false
 	}
 	slices.SortFunc(held, func(a, b LSN) int { return -compareLSN(a, b) })
-	return Confirmation{LSN: held[majority-1], AsOf: majorityAsOf(sentAt, majority)}, true
+	return Confirmation{LSN: held[majoritySize-1], AsOf: majorityAsOf(sentAt, majoritySize)}, true
 }
 
-// majorityAsOf returns the latest time such that a majority, given as its
-// number of members, was probed at or after it. The first entry of sentAt is
-// the primary's send time: there is no majority without the primary.
-func majorityAsOf(sentAt []time.Time, majority int) time.Time {
+// majorityAsOf returns the latest time such that majoritySize members,
+// including the primary, were probed at or after it. The first entry of sentAt
+// is the time at which the primary was probed.
+func majorityAsOf(sentAt []time.Time, majoritySize int) time.Time {
 	primary := sentAt[0]
 	rest := slices.Clone(sentAt[1:])
 	slices.SortFunc(rest, func(a, b time.Time) int { return b.Compare(a) })
-	if majority == 1 {
+	if majoritySize == 1 {
 		return primary
 	}
-	if slowest := rest[majority-2]; slowest.Before(primary) {
-		return slowest
+	if earliest := rest[majoritySize-2]; earliest.Before(primary) {
+		return earliest
 	}
 	return primary
 }
--- a/core/group/relief_test.go
+++ b/core/group/overload_test.go
@@ -10,8 +10,8 @@
 // slots while both replicas lag. Statements take 5 ms, and the probes found 1,
 // 0, 0, 1, 1, 1, 0, 0, 1, 0, 0, 3 and 0 of them running. When only these
 // numbers counted, each round below the limit reset the count of overloaded
-// rounds, although statements were waiting all
-// the time. The fault was seen on a machine with one processor.
+// rounds, although statements were waiting all the time. The fault was seen on
+// a machine with one processor.
 func TestOverloadDetectedByQueuedStatements(t *testing.T) {
 	var d OverloadDetector
 	at := time.Unix(100, 0)
--- a/core/group/position.go
+++ b/core/group/position.go
@@ -10,7 +10,8 @@
 )
 
 // Term numbers the period in which one primary leads. Each promotion takes a
-// term higher than any that a majority of the members has seen. Term zero means
+// term higher than every term reported by a majority of the members. A new
+// primary first writes a term record, which holds its term. Term zero means
 // that pearlatch has not yet promoted a member of the group.
 type Term uint64
 
--- a/core/group/promote.go
+++ b/core/group/promote.go
@@ -5,7 +5,8 @@
 type FenceAck struct {
 	// Member is the index of the member.
 	Member int
-	// LogTerm is the term of the last record that the member holds.
+	// LogTerm is the Status.LogTerm of the member once it receives nothing
+	// more. It is then the term of the last record in the member's log.
 	LogTerm Term
 	// Received is the end of the member's log.
 	Received LSN
--- a/core/group/status.go
+++ b/core/group/status.go
@@ -31,7 +31,7 @@
 	// Timeline is the timeline of the last record written or received.
 	Timeline uint32
 	// LogTerm is the term of the newest term record that the member has
-	// applied.
+	// applied, or zero. See Term.
 	LogTerm Term
 	// Received is the end of the log that the member holds durably.
 	Received LSN
--- a/core/group/successor.go
+++ b/core/group/successor.go
@@ -15,7 +15,8 @@
 	// grow while the replica is fenced.
 	Received Position
 	// Complete is true if the replica holds everything that the primary held at
-	// some time after the last departed member had left the group.
+	// some time after the latest departure of a member. So it lacks no write
+	// that a departed member had acknowledged.
 	Complete bool
 	// Leaving is true if the replica is about to leave the group together with
 	// its log. It is not promoted.
--- a/core/group/successor_test.go
+++ b/core/group/successor_test.go
@@ -42,7 +42,7 @@
 	}
 }
 
-// Guards against losing an acknowledged write in a failover. A draining replica
+// Guards against losing an acknowledged write in a failover. A leaving replica
 // acknowledged it while the other replica received nothing, and then left the
 // group with its log. The other replica is the only one left to answer, so its
 // log is the longest of those that remain.
--- a/core/pool/member.go
+++ b/core/pool/member.go
@@ -53,8 +53,8 @@
 
 // Load is the load of a host's connections to a member.
 type Load struct {
-	// ConnCount is the number of connections: InUse of them are in use, of which
-	// Running run statements, and Idle are not in use.
+	// ConnCount is the number of connections. InUse of them are in use, of
+	// which Running run statements, and Idle are not in use.
 	ConnCount, InUse, Running, Idle int
 	// Window is how many statements of the host may run on the member at once.
 	Window int
--- a/core/pool/open.go
+++ b/core/pool/open.go
@@ -23,11 +23,11 @@
 // openForWaiters opens connections for waiting statements, in the order in
 // which they are served.
 func (p *Pool) openForWaiters(waiters []*Waiter, now time.Time) {
-	dialing := map[string]int{} // by account
+	opening := map[string]int{} // by account
 	for _, m := range p.sorted {
 		m.burst.grow(now, len(waiters) > 0 && len(m.idle) == 0 && m.connCount >= p.MaxConns(m))
 		for account, n := range m.opening {
-			dialing[account] += n
+			opening[account] += n
 		}
 	}
 	waiting := map[string]bool{}
@@ -35,8 +35,8 @@
 		waiting[w.Request.Account] = true
 	}
 	for _, w := range waiters {
-		if dialing[w.Request.Account] > 0 {
-			dialing[w.Request.Account]--
+		if opening[w.Request.Account] > 0 {
+			opening[w.Request.Account]--
 			continue
 		}
 		if m := p.openTarget(w.Request, waiting, now); m != nil {
@@ -102,8 +102,8 @@
 	}
 }
 
-// Prewarm opens a connection to the member for an account if none exists or is
-// being opened.
+// Prewarm opens a connection to the member for the given account if the host
+// has no connection to the member, of any account, and is opening none.
 func (p *Pool) Prewarm(m *Member, account string, now time.Time) {
 	if m.Unconnected() && p.MaxConns(m) > 0 && !now.Before(m.openBlockedUntil) {
 		p.startOpen(m, account)
--- a/core/pool/pool.go
+++ b/core/pool/pool.go
@@ -22,8 +22,8 @@
 	// is kept. It is short, so that other hosts find room.
 	burstIdleTimeout = 300 * time.Millisecond
 	// shareIdleTimeout is how long an unused connection within the share is kept,
-	// after which a busier host may open one in its place. For the users' sites
-	// of 7 and 8 hosts, lending connections gains more than reopening them costs.
+	// after which a busier host may open one in its place. On sites of 7 and 8
+	// hosts, lending connections gains more than reopening them costs.
 	// manyHostsIdleTimeout applies to more than ManyHosts hosts, each of which
 	// sends a member about one statement per second.
 	shareIdleTimeout     = time.Second
@@ -38,7 +38,7 @@
 	// IDs.
 	members map[string]*Member
 	sorted  []*Member
-	// waiters are ordered by priority, then by arrival.
+	// waiters are ordered by rank, then by arrival.
 	waiters []*Waiter
 	// actions are those that the owner has not fetched yet.
 	actions []Action
@@ -117,8 +117,9 @@
 	}
 }
 
-// TakeAnyIdle takes an idle connection to the member of any account, for a
-// query of the host's own. It returns nil if there is none.
+// TakeAnyIdle takes an idle connection to the member, opened for whatever
+// account, for a query that the host itself makes. It returns nil if there is
+// none.
 func (p *Pool) TakeAnyIdle(m *Member) *Conn {
 	if len(m.idle) == 0 {
 		return nil
--- a/core/pool/queue.go
+++ b/core/pool/queue.go
@@ -21,7 +21,8 @@
 	return w
 }
 
-// Dequeue removes a statement from the queue.
+// Dequeue removes a statement from the queue, because it was served or has
+// stopped waiting.
 func (p *Pool) Dequeue(w *Waiter) {
 	p.waiters = slices.DeleteFunc(p.waiters, func(o *Waiter) bool { return o == w })
 }
@@ -29,16 +30,16 @@
 // Waiting returns the number of waiting statements.
 func (p *Pool) Waiting() int { return len(p.waiters) }
 
-// lifoThreshold is how long the oldest statement of a priority may have waited
+// lifoThreshold is how long the oldest statement of a rank may have waited
 // before newer ones are served first. While statements arrive faster than they
 // are served, serving the oldest first would make all of them wait until most
-// miss their deadlines. Serving the newest first keeps those that are served in
-// time. The threshold is half the users' shortest latency objective.
+// miss their deadlines. If the newest are served first, those that are served
+// meet theirs. The threshold is half of 100 ms, the shortest latency objective.
 const lifoThreshold = 50 * time.Millisecond
 
 // servingOrder returns the waiters in the order in which they are served: by
-// priority, then by arrival. Within a priority whose oldest statement has
-// waited longer than lifoThreshold, the order of arrival is reversed.
+// rank, then by arrival. Within a rank whose oldest statement has waited longer
+// than lifoThreshold, the order of arrival is reversed.
 func (p *Pool) servingOrder(now time.Time) []*Waiter {
 	out := slices.Clone(p.waiters)
 	for from := 0; from < len(out); {
--- a/core/pool/request.go
+++ b/core/pool/request.go
@@ -20,12 +20,13 @@
 	// Avoid is the identifier of a member that has just failed the statement,
 	// or empty.
 	Avoid string
-	// Rank is the rank of the statement in the queue. The most important
-	// statements have 0.
+	// Rank is the rank of the statement in the queue. Statements of rank 0 are
+	// served first. Unlike config.Priority, whose zero value is the normal
+	// priority, it increases as the importance decreases.
 	Rank int
 	// ArrivedAt is when the statement arrived.
 	ArrivedAt time.Time
-	// Deadline is until when the statement may wait.
+	// Deadline is when the statement stops waiting.
 	Deadline time.Time
 }
 
@@ -56,8 +57,8 @@
 	// MayExceedShare reports whether the host may open more connections than
 	// its share while the member has any left.
 	MayExceedShare() bool
-	// Alive reports whether the member is not known to have closed the
-	// connection.
+	// Alive reports whether the connection may be used. It returns false once
+	// the member is known to have closed the connection.
 	Alive(c *Conn) bool
 }
 
--- a/core/pool/window.go
+++ b/core/pool/window.go
@@ -26,8 +26,8 @@
 }
 
 const (
-	// initialWindow is a host's first window. The users' members have two or
-	// three slots, which a few hosts share.
+	// initialWindow is a host's first window. It suits members with two or
+	// three slots that a few hosts share.
 	initialWindow = 3
 	// maxWindow lets a single host fill half of a member's queue of 16.
 	maxWindow = 8
@@ -57,9 +57,10 @@
 }
 
 // ManyHosts is the number of hosts above which refusals at a window of one
-// cause a backoff. With one statement each, this many hosts fill the shortest
-// queue of the users' members. Fewer hosts do not need the backoff and lose by
-// it: after all hosts restart, members refuse statements only for a moment.
+// cause a backoff. With one statement each, this many hosts fill a member's
+// queue of 16, the shortest in use. Fewer hosts do not need the backoff and lose
+// by it: after all hosts restart, members refuse statements only for a moment.
+// Above ManyHosts, unused connections are also kept for manyHostsIdleTimeout.
 const ManyHosts = 16
 
 // Shrink records a refusal. hosts is the number of hosts that share the member.
