--- a/core/freshness/requirement.go
+++ b/core/freshness/requirement.go
@@ -10,9 +10,10 @@
 type Requirement struct {
 	// Class is the freshness class of the route.
 	Class Class
-	// Position is the position that the member must have replayed: the higher of
-	// the session's mark and the owner's floor, or zero for a session that is
-	// known never to have written.
+	// Position is the position that the member must have replayed, or zero for a
+	// session that is known never to have written. It is the higher of the
+	// session's mark and a position that includes every write acknowledged under
+	// earlier owners.
 	Position group.Position
 }
 
--- a/core/statement/classify.go
+++ b/core/statement/classify.go
@@ -7,15 +7,15 @@
 
 // Traits are the properties of a statement that its text shows.
 type Traits struct {
-	// Kind is Read only if the statement starts like a read.
+	// Kind is Read if the statement is recognized as a read, and else Write.
 	Kind Kind
 	// ControlsTransaction is true if the statement opens or ends a transaction.
 	ControlsTransaction bool
 	// Pins is true if the statement changes session state that outlives its
 	// transaction.
 	Pins bool
-	// RequestID is the request identifier from a leading or trailing comment of
-	// the form /* pearlatch.request='ID' */.
+	// RequestID is the identifier that the client gave the statement in a
+	// comment of the form /* pearlatch.request='ID' */, or empty.
 	RequestID string
 }
 
--- a/core/statement/classify_test.go
+++ b/core/statement/classify_test.go
@@ -4,11 +4,11 @@
 
 func TestClassify(t *testing.T) {
 	for _, c := range []struct {
-		sql    string
-		kind   Kind
-		pins   bool
-		begins bool
-		id     string
+		sql                 string
+		kind                Kind
+		pins                bool
+		controlsTransaction bool
+		id                  string
 	}{
 		{"SELECT 1", Read, false, false, ""},
 		{"  -- why\n /* and */ select 1", Read, false, false, ""},
@@ -38,7 +38,7 @@
 		{"", Write, false, false, ""},
 	} {
 		got := Classify(c.sql)
-		if want := (Traits{Kind: c.kind, Pins: c.pins, ControlsTransaction: c.begins, RequestID: c.id}); got != want {
+		if want := (Traits{Kind: c.kind, Pins: c.pins, ControlsTransaction: c.controlsTransaction, RequestID: c.id}); got != want {
 			t.Errorf("Classify(%q) = %+v, want %+v", c.sql, got, want)
 		}
 	}
--- a/core/statement/refusal.go
+++ b/core/statement/refusal.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// Refusal is an error with which pearlatch itself answers a unit.
+// Refusal is an error with which pearlatch itself answers a unit. Its text calls
+// the unit a request.
 type Refusal struct {
 	// Code is the SQLSTATE sent to the client.
 	Code string
--- a/core/statement/unit.go
+++ b/core/statement/unit.go
@@ -15,8 +15,9 @@
 	Process, Secret uint32
 }
 
-// Request opens an exchange, which runs the units from the first statement of a
-// transaction to its end.
+// Request holds the parameters of an exchange, which runs the units from the
+// first statement of a transaction to its end. Unit.RequestID does not identify
+// a Request.
 type Request struct {
 	// Route and Group are the names of the client's route and of its group.
 	Route, Group string
@@ -28,12 +29,12 @@
 	NeverWrote bool
 	// Class is the freshness that the reads require.
 	Class freshness.Class
-	// Priority is the priority of the request in the group's queue.
+	// Priority is the priority of the units in the group's queue.
 	Priority config.Priority
 	// Idempotent is true if every unit may be run more than once.
 	Idempotent bool
 	// ReplicaWait is how long a read waits for a replica before it is sent to
-	// the primary.
+	// the primary. It is the route's Patience in the configuration.
 	ReplicaWait time.Duration
 	// CancelKey identifies the client's connection in cancel requests.
 	CancelKey CancelKey
@@ -47,7 +48,7 @@
 	Parse []byte
 }
 
-//go:generate go tool stringer -type=Kind,Expect -linecomment -output=unit_string.go
+//go:generate go tool stringer -type=Kind,ReplyEnd -linecomment -output=unit_string.go
 
 // Kind tells where a unit may run. The zero value is Write, which is always
 // correct.
@@ -84,7 +85,7 @@
 	Data []byte
 	// ReplyEnd tells how the end of the answer is recognized.
 	ReplyEnd ReplyEnd
-	// Replies is the number of replies due if Expect is ExpectReplies.
+	// Replies is the number of replies due if ReplyEnd is EndsAfterReplies.
 	Replies int
 	// Prepared lists the named statements that Data refers to, each once.
 	Prepared []Prepared
@@ -93,8 +94,8 @@
 	// Pins is true if the unit may leave session state that outlives its
 	// transaction.
 	Pins bool
-	// RequestID is the identifier under which the unit runs at most once, or
-	// empty.
+	// RequestID is the client's identifier of the unit, under which it runs at
+	// most once, or empty. It has no effect within a transaction.
 	RequestID string
 	// Deadline is when the client stops waiting.
 	Deadline time.Time
