--- a/core/config/document.go
+++ b/core/config/document.go
@@ -145,9 +145,9 @@
 	return nil, false
 }
 
-// SameUpstreams reports whether g and o have the same members and connection
-// settings, so that the owner of g can continue with o. The Leaving field of members
-// and the group names are not compared.
+// SameUpstreams reports whether g and o have the same members and the same settings
+// for them. The owner of g can then continue with o. The names of the groups and the
+// Leaving fields of the members are not compared.
 func (g Group) SameUpstreams(o *Group) bool {
 	if g.Slots != o.Slots || g.Connections != o.Connections || g.Database != o.Database ||
 		g.Credential != o.Credential || g.Timing != o.Timing || len(g.Members) != len(o.Members) {
--- a/core/config/yaml.go
+++ b/core/config/yaml.go
@@ -119,8 +119,8 @@
 	Fields []Field
 }
 
-// Field is a field of an edited section. It holds a value or, if Lists is not nil, a list of
-// sections.
+// Field is a field of an edited section. If Sections is nil, the field has the scalar Value.
+// Otherwise its value is the list of Sections, each given by its fields.
 type Field struct {
 	Name     string
 	Value    string
--- a/core/kv/doc.go
+++ b/core/kv/doc.go
@@ -1,5 +1,5 @@
-// Package kv holds a host's view of a key-value store. The store keeps what it has
-// acknowledged, except that it may be restored from an older backup.
+// Package kv holds a host's view of a key-value store. The store loses a change that it has
+// acknowledged only if it is restored from an older backup.
 //
 // A restore loses the changes made since the backup, with their leases, and the store assigns
 // their revision numbers again to other changes. So a number may identify two different changes,
--- a/core/kv/history.go
+++ b/core/kv/history.go
@@ -13,8 +13,8 @@
 	start Revision
 }
 
-// minKeptChanges is the minimum number of changes kept: more than a restart of all hosts
-// causes at the users' sites. A host that lacks more receives a full update.
+// minKeptChanges is the minimum number of changes kept. A restart of all hosts of a site
+// makes fewer changes. A host that lacks more receives a full update.
 const minKeptChanges = 512
 
 func (h *history) add(i Item) {
--- a/core/kv/revision.go
+++ b/core/kv/revision.go
@@ -9,8 +9,8 @@
 // ordered like the changes, across all epochs. Those of the first epoch equal the store's own numbers. Zero is before all
 // changes.
 //
-// The revision at which a holder wrote its key is the holder's fencing token, since it is unique and exceeds all earlier
-// revisions.
+// If the holder of a lease or of a role writes a key to acquire it, the revision of that write is the holder's fencing
+// token, since it is unique and exceeds all earlier revisions.
 type Revision int64
 
 // EpochBits is the maximum number of bits of an epoch.
--- a/core/kv/view_test.go
+++ b/core/kv/view_test.go
@@ -13,7 +13,7 @@
 	return Update{Snapshot{items, at}, true}
 }
 
-// partialUpdate returns an update with changes up to a revision.
+// partialUpdate returns an update with only the changes up to a revision.
 func partialUpdate(at Revision, items ...Item) Update {
 	return Update{Snapshot{items, at}, false}
 }
@@ -51,7 +51,7 @@
 			}
 			got, err := v.Apply(c.update)
 			if !errors.Is(err, c.err) || got.Restored != c.restored {
-				t.Errorf("%v, restored %v", err, got.Restored)
+				t.Errorf("Apply returned error %v and restored %v, which differs from the case", err, got.Restored)
 			}
 			for i, key := range []string{"config", "plain", "gone"} {
 				if have, _ := v.Item(key); string(have.Value) != c.want[i] {
@@ -69,21 +69,21 @@
 	apply(t, v, fullUpdate(37, item("a", "1", 37)))
 	apply(t, v, partialUpdate(38, item("b", "1", 38)))
 	if u := v.Since(37); u.Full || len(u.Items) != 1 {
-		t.Errorf("%+v", u)
+		t.Errorf("Since returned %+v, want only the change of b", u)
 	}
 	apply(t, v, fullUpdate(NewRevision(1, 20), item("a", "1", NewRevision(1, 20))))
 	if u := v.Since(38); !u.Full || len(u.Items) != 1 {
-		t.Errorf("%+v", u)
+		t.Errorf("Since of an earlier epoch returned %+v, want a full update with one item", u)
 	}
 	apply(t, v, partialUpdate(NewRevision(1, 21), item("c", "1", NewRevision(1, 21))))
 	if u := v.Since(NewRevision(1, 20)); u.Full || len(u.Items) != 1 {
-		t.Errorf("%+v", u)
+		t.Errorf("Since within the epoch returned %+v, want only the change of c", u)
 	}
 }
 
-// When a fleet of a thousand hosts starts, six thousand keys are written within seconds. Hosts that lagged by more than the
-// kept changes received a full update for every request, which filled the memory of the sending host. They must receive each
-// key that changed since, once.
+// When a fleet of a thousand hosts starts, six thousand keys are written within seconds. If hosts that lag by more than the
+// kept changes received a full update for every request, this would fill the memory of the sending host. They must receive
+// each key that changed since, once.
 func TestSinceReturnsChangedKeysAfterHistoryOverflow(t *testing.T) {
 	const old, fresh = 20 * minKeptChanges, 4 * minKeptChanges
 	v := NewView(nil)
@@ -103,7 +103,7 @@
 	apply(t, v, partialUpdate(at, Item{Key: "old-7", Revision: at, Removed: true}))
 	u := v.Since(old)
 	if u.Full || len(u.Items) != fresh+1 || !slices.IsSortedFunc(u.Items, compareRevisions) {
-		t.Errorf("full %t, %d items, want %d", u.Full, len(u.Items), fresh+1)
+		t.Errorf("full %t with %d items, want %d changes in order of revision", u.Full, len(u.Items), fresh+1)
 	}
 	if last := u.Items[len(u.Items)-1]; last.Key != "old-7" || !last.Removed {
 		t.Errorf("the last change is %+v, want the removal of old-7", last)
@@ -138,10 +138,10 @@
 		at += 2
 	}
 	if u := v.Since(2); !u.Full || len(u.Items) != 1 {
-		t.Errorf("full %t, %d items", u.Full, len(u.Items))
+		t.Errorf("full %t with %d items, want a full update with 1 item", u.Full, len(u.Items))
 	}
 	if len(v.tombstones.revisions) > minKeptChanges {
-		t.Errorf("%d tombstones are kept", len(v.tombstones.revisions))
+		t.Errorf("%d tombstones are kept, want at most minKeptChanges", len(v.tombstones.revisions))
 	}
 }
 
@@ -156,10 +156,10 @@
 	}
 	slices.Sort(keys)
 	if !slices.Equal(keys, []string{"gone", "plain"}) {
-		t.Errorf("replaced items %v", keys)
+		t.Errorf("replaced items %v, want gone and plain", keys)
 	}
 	if len(got.Rejected) != 1 || got.Rejected[0].Received.Key != "config" {
-		t.Errorf("rejected items %v", got.Rejected)
+		t.Errorf("rejected items %v, want the received config", got.Rejected)
 	}
 }
 
--- a/core/membership/rank.go
+++ b/core/membership/rank.go
@@ -9,26 +9,27 @@
 
 // Rank returns the hosts in the order in which they own the group: the first one
 // is the owner. Leaving hosts come after all others. Rank uses rendezvous hashing:
-// a host's weight depends only on the group and the host, so the loss of a host
+// a host's score depends only on the group and the host, so the loss of a host
 // moves only the groups that it owned.
 //
 // The hosts after the first come from availability zones not used yet, as long as
-// there are any. They act as witnesses and must not fail together with the owner.
-// The successor of a lost host is the first one in the ranking without it.
+// there are any. The owner asks them, as witnesses, whether they reach a member, so
+// they must not fail together with the owner. The successor of a lost host is the
+// first one in the ranking without it.
 //
 // See Thaler and Ravishankar, "Using Name-Based Mappings to Increase Hit
 // Rates", IEEE/ACM Transactions on Networking 6(1), 1998.
 func Rank(group string, hosts []Host) []Host {
 	ranked := slices.Clone(hosts)
-	weights := make(map[string]uint64, len(ranked))
+	scores := make(map[string]uint64, len(ranked))
 	for _, h := range ranked {
-		weights[h.ID] = pairHash(group, h.ID)
+		scores[h.ID] = pairHash(group, h.ID)
 	}
 	slices.SortFunc(ranked, func(a, b Host) int {
 		if a.Leaving != b.Leaving {
 			return compareLeaving(a)
 		}
-		if c := cmp.Compare(weights[b.ID], weights[a.ID]); c != 0 {
+		if c := cmp.Compare(scores[b.ID], scores[a.ID]); c != 0 {
 			return c
 		}
 		return compareHosts(a, b)
@@ -36,8 +37,8 @@
 	return spreadZones(ranked)
 }
 
-// compareLeaving orders a leaving host after one that is not leaving. a is either of
-// them, compared with the other.
+// compareLeaving compares a with another host, where exactly one of them is leaving.
+// It orders the leaving host last.
 func compareLeaving(a Host) int {
 	if a.Leaving {
 		return 1
@@ -45,13 +46,14 @@
 	return -1
 }
 
-// pairHash returns the rendezvous pairHash of a host for a group.
-func pairHash(group, host string) uint64 {
+// pairHash returns a hash of two strings, in this order. The hash of a group and a
+// host is the host's rendezvous score for the group.
+func pairHash(first, second string) uint64 {
 	var d xxhash.Digest
 	d.Reset()
-	_, _ = d.WriteString(group)
+	_, _ = d.WriteString(first)
 	_, _ = d.Write([]byte{0})
-	_, _ = d.WriteString(host)
+	_, _ = d.WriteString(second)
 	return d.Sum64()
 }
 
--- a/core/membership/state.go
+++ b/core/membership/state.go
@@ -16,7 +16,7 @@
 	Dead // dead
 )
 
-// Status is the state of a host, as gossiped between hosts.
+// Status is a host with its state, as gossiped between hosts.
 type Status struct {
 	Host  Host
 	State State
--- a/core/membership/table.go
+++ b/core/membership/table.go
@@ -278,7 +278,7 @@
 }
 
 // selectNeighbours returns the neighbours of self among the live hosts: the next hosts
-// on the ring of all hosts ordered by hash, and the hosts with the highest weights for
+// on the ring of all hosts ordered by hash, and the hosts with the highest scores for
 // self.
 func selectNeighbours(self Host, live []Host) []Host {
 	hosts := slices.Clone(live)
--- a/core/serving/plan.go
+++ b/core/serving/plan.go
@@ -33,8 +33,8 @@
 	if allServe(connections, hosts) {
 		return max(1, hosts)
 	}
-	servers := min(max(zones, minServingHosts), connections/minServingConnections)
-	return min(max(1, servers), hosts)
+	servingHosts := min(max(zones, minServingHosts), connections/minServingConnections)
+	return min(max(1, servingHosts), hosts)
 }
 
 // allServe reports whether every host serves its own callers.
@@ -44,12 +44,13 @@
 
 // Plan says which hosts serve a group, as seen by one host. The zero value means that all hosts serve.
 type Plan struct {
-	// DedicatedServers is how many hosts serve for all, or zero if every host serves its own callers.
+	// DedicatedServers is how many hosts serve the group for all hosts, or zero if every host serves its
+	// own callers.
 	DedicatedServers int
 	// ServedByOthers is true if other hosts serve and this one does not.
 	ServedByOthers bool
-	// Ranked holds hosts in the order in which they serve the group: the first ServerCount of them
-	// serve, and the next ones replace those that can't be reached. It is empty if every host
+	// Ranked holds hosts in the order in which they serve the group: the first
+	// DedicatedServers of them serve, and the next ones replace those that can't be reached. It is empty if every host
 	// serves. It must not be changed.
 	Ranked []membership.Host
 	// LocalReadConnections is how many connections this host may keep to a replica in its own
@@ -70,12 +71,12 @@
 	}
 	ranked := t.Ranked(group)
 	p := Plan{DedicatedServers: min(ServingHostCount(connections, active, zones), len(ranked)), Ranked: ranked}
-	servers := ranked[:p.DedicatedServers]
-	p.ServedByOthers = !slices.ContainsFunc(servers, func(h membership.Host) bool { return h.ID == self.ID })
+	servingHosts := ranked[:p.DedicatedServers]
+	p.ServedByOthers = !slices.ContainsFunc(servingHosts, func(h membership.Host) bool { return h.ID == self.ID })
 	if p.ServedByOthers {
-		p.LocalReadConnections = t.localReadConnections(self.Zone, servers, connections)
+		p.LocalReadConnections = t.localReadConnections(self.Zone, servingHosts, connections)
 	} else {
-		p.ReservedReadConnections = t.reservedReadConnections(servers, connections)
+		p.ReservedReadConnections = t.reservedReadConnections(servingHosts, connections)
 	}
 	return p
 }
@@ -93,11 +94,11 @@
 	return all, active, zones
 }
 
-// ForwardingOrder returns the servers in the order in which the host self forwards to them:
+// ForwardingOrder returns the serving hosts in the order in which the host self forwards to them:
 // those of its own availability zone first. Within its zone and within the others the order
-// depends on the host's ID, which spreads the hosts over the servers.
-func ForwardingOrder(self membership.Host, servers []membership.Host) []membership.Host {
-	ranked := membership.Rank(self.ID, servers)
+// depends on the ID of self, so that the hosts spread over the serving hosts.
+func ForwardingOrder(self membership.Host, servingHosts []membership.Host) []membership.Host {
+	ranked := membership.Rank(self.ID, servingHosts)
 	out := make([]membership.Host, 0, len(ranked))
 	for _, sameZone := range []bool{true, false} {
 		for _, h := range ranked {
--- a/core/serving/serving_test.go
+++ b/core/serving/serving_test.go
@@ -62,11 +62,11 @@
 		}
 		for zone, n := range zones {
 			if n != 1 {
-				t.Fatalf("group-%d: %d servers in %s, want 1 (%v)", i, n, zone, zones)
+				t.Fatalf("group-%d: %d serving hosts in %s, want 1 (%v)", i, n, zone, zones)
 			}
 		}
 		if len(zones) != 5 {
-			t.Fatalf("group-%d: servers in %d zones", i, len(zones))
+			t.Fatalf("group-%d: serving hosts in %d zones, want 5", i, len(zones))
 		}
 	}
 }
@@ -99,23 +99,23 @@
 			}
 		}
 		if kept != len(before)-1 || len(after) != len(before) {
-			t.Errorf("%s: of %d other servers %d stayed", group, len(before)-1, kept)
+			t.Errorf("%s: of %d other serving hosts %d stayed, want all of them and one new host", group, len(before)-1, kept)
 		}
 	}
 }
 
 func TestForwardingOrderPrefersOwnZone(t *testing.T) {
-	servers := servingHostsOf(newTable(testHosts(60, 3)), "g", 60)
+	servingHosts := servingHostsOf(newTable(testHosts(60, 3)), "g", 60)
 	first := map[string]int{}
 	for _, self := range testHosts(60, 3) {
-		ordered := ForwardingOrder(self, servers)
+		ordered := ForwardingOrder(self, servingHosts)
 		if ordered[0].Zone != self.Zone {
 			t.Fatalf("%s of %s forwards to %s", self.ID, self.Zone, ordered[0].Zone)
 		}
 		first[ordered[0].ID]++
 	}
-	if len(first) != len(servers) {
-		t.Errorf("hosts forward to %d of %d servers", len(first), len(servers))
+	if len(first) != len(servingHosts) {
+		t.Errorf("hosts forward to %d of %d serving hosts, want all", len(first), len(servingHosts))
 	}
 }
 
@@ -162,10 +162,10 @@
 // A restarted host knows only itself and must not wait for other hosts.
 func TestLoneHostReadsStore(t *testing.T) {
 	self := membership.Host{ID: "one", Zone: "z", Peer: testPeer}
-	if f := newTable([]membership.Host{self}).UpdateSources(self); !f.StoreFirst || len(f.Hosts) != 0 {
-		t.Errorf("update sources of the only host: %+v", f)
+	if sources := newTable([]membership.Host{self}).UpdateSources(self); !sources.StoreFirst || len(sources.Hosts) != 0 {
+		t.Errorf("update sources of the only host are %+v, want only the store", sources)
 	}
-	if f := (&Table{}).UpdateSources(self); !f.StoreFirst {
-		t.Errorf("update sources of an unlisted host: %+v", f)
+	if sources := (&Table{}).UpdateSources(self); !sources.StoreFirst {
+		t.Errorf("update sources of an unlisted host are %+v, want the store first", sources)
 	}
 }
--- a/core/serving/table_test.go
+++ b/core/serving/table_test.go
@@ -59,8 +59,8 @@
 	}
 }
 
-// benchmarkSizes are the numbers of hosts of a small site, of the users' medium and large sites, of
-// the size they plan, and about ten times that.
+// benchmarkSizes are the numbers of hosts of a small, a medium and a large site, of the largest site
+// planned for, and about ten times that.
 var benchmarkSizes = []int{10, 75, 195, 1078, 10000}
 
 // BenchmarkUpdateAndPlan removes a host and adds it again, and computes the plans of twenty groups after
--- a/core/serving/update_sources.go
+++ b/core/serving/update_sources.go
@@ -31,9 +31,9 @@
 // zone reads from the store, and the others form a tree below it, so that the number of
 // calls to the store does not grow with the fleet.
 //
-// The parent is followed by other hosts of the zone with a lower rank, then by the first
-// hosts of other zones. A host that can't reach its zone, or that the store rejects, still
-// receives updates.
+// The parent is followed by the first hosts of the zone, nearest the root, then by the
+// roots of other zones. So a host that can't reach its zone, or that the store rejects,
+// still receives updates.
 func (t *Table) UpdateSources(self membership.Host) UpdateSources {
 	zone := t.treeOrder(self.Zone)
 	position := slices.IndexFunc(zone, func(s scoredHost) bool { return s.host.ID == self.ID })
