--- a/core/kv/view.go
+++ b/core/kv/view.go
@@ -55,7 +55,7 @@
 func (v *View) Apply(u Update) (ApplyResult, error) {
 	out := ApplyResult{PreviousRevision: v.revision}
 	// A restored store counts from a smaller number. If hosts rejected its lists as outdated, or its items as older than
-	// the known ones, they would serve removed routes until its number exceeds the old one.
+	// the known ones, they would serve removed routes until its number exceeded the old one.
 	switch known, received := v.revision.Epoch(), u.Revision.Epoch(); {
 	case received < known || u.Full && u.Revision < v.revision:
 		return ApplyResult{}, errors.Wrapf(ErrStale, "revision %v, and %v is known", u.Revision, v.revision)
--- a/core/serving/plan.go
+++ b/core/serving/plan.go
@@ -49,8 +49,8 @@
 	DedicatedServers int
 	// ServedByOthers is true if other hosts serve and this one does not.
 	ServedByOthers bool
-	// Ranked holds hosts in the order in which they serve the group: the first
-	// DedicatedServers of them serve, and the next ones replace those that can't be reached. It is empty if every host
+	// Ranked holds hosts in the order in which they serve the group: the first DedicatedServers of
+	// them serve, and the next ones replace those that can't be reached. It is empty if every host
 	// serves. It must not be changed.
 	Ranked []membership.Host
 	// LocalReadConnections is how many connections this host may keep to a replica in its own
