--- a/core/pool/request.go
+++ b/core/pool/request.go
@@ -6,8 +6,8 @@
 	"pearlatch/core/group"
 )
 
-// Request describes the connection that a statement needs.
-type Request struct {
+// ConnRequest describes the connection that a statement needs.
+type ConnRequest struct {
 	// Account is the client account of the statement, or empty where clients
 	// have no accounts.
 	Account string
@@ -20,24 +20,25 @@
 	// Avoid is the identifier of a member that has just failed the statement,
 	// or empty.
 	Avoid string
-	// Priority is the rank of the statement in the queue. The most important
-	// statements have 0.
-	Priority int
+	// Rank is the rank of the statement in the queue. Statements of rank 0 are
+	// served first. Unlike config.Priority, whose zero value is the normal
+	// priority, it increases as the importance decreases.
+	Rank int
 	// ArrivedAt is when the statement arrived.
 	ArrivedAt time.Time
-	// Deadline is until when the statement may wait.
+	// Deadline is when the statement stops waiting.
 	Deadline time.Time
 }
 
 // Waiter is a statement that waits for a connection.
-type Waiter struct{ Request Request }
+type Waiter struct{ Request ConnRequest }
 
 // MemberInfo is what the host knows of a member's location, role and health.
 type MemberInfo struct {
 	// SameZone is true if the member is in the host's availability zone.
 	SameZone bool
-	// Leads is true for the primary.
-	Leads bool
+	// IsPrimary is true for the primary.
+	IsPrimary bool
 	// Suspect is true if the member recently failed to answer.
 	Suspect bool
 }
@@ -46,7 +47,7 @@
 // them.
 type View interface {
 	// CanServe reports whether the member may serve the request now.
-	CanServe(member string, r Request, now time.Time) bool
+	CanServe(member string, r ConnRequest, now time.Time) bool
 	// Info returns what the host knows of the member.
 	Info(member string, now time.Time) MemberInfo
 	// KeepsIdle reports whether unused connections to the member are kept open.
@@ -56,8 +57,8 @@
 	// MayExceedShare reports whether the host may open more connections than
 	// its share while the member has any left.
 	MayExceedShare() bool
-	// Alive reports whether the member is not known to have closed the
-	// connection.
+	// Alive reports whether the connection may be used. It returns false once
+	// the member is known to have closed the connection.
 	Alive(c *Conn) bool
 }
 
--- a/core/serving/serving_test.go
+++ b/core/serving/serving_test.go
@@ -26,13 +26,13 @@
 	return t
 }
 
-// serversOf returns the hosts that serve a group where not all hosts serve.
-func serversOf(t *Table, group string, connections int) []membership.Host {
+// servingHostsOf returns the hosts that serve a group where not all hosts serve.
+func servingHostsOf(t *Table, group string, connections int) []membership.Host {
 	p := t.Plan(membership.Host{}, group, connections)
-	return p.Ranked[:p.ServerCount]
+	return p.Ranked[:p.DedicatedServers]
 }
 
-func TestServerCount(t *testing.T) {
+func TestHostCount(t *testing.T) {
 	for _, c := range []struct {
 		name                             string
 		connections, hosts, zones, count int
@@ -46,47 +46,47 @@
 		{"one host", 21, 1, 1, 1},
 		{"no known hosts", 21, 0, 0, 1},
 	} {
-		if got := ServerCount(c.connections, c.hosts, c.zones); got != c.count {
+		if got := HostCount(c.connections, c.hosts, c.zones); got != c.count {
 			t.Errorf("%s: %d serving hosts, want %d", c.name, got, c.count)
 		}
 	}
 }
 
 // Without a serving host in their zone, hosts would forward every statement to another zone.
-func TestOneServerPerZone(t *testing.T) {
+func TestOneServingHostPerZone(t *testing.T) {
 	table := newTable(testHosts(60, 5))
 	for i := range 50 {
 		zones := map[string]int{}
-		for _, h := range serversOf(table, fmt.Sprint("group-", i), 92) {
+		for _, h := range servingHostsOf(table, fmt.Sprint("group-", i), 92) {
 			zones[h.Zone]++
 		}
 		for zone, n := range zones {
 			if n != 1 {
-				t.Fatalf("group-%d: %d servers in %s, want 1 (%v)", i, n, zone, zones)
+				t.Fatalf("group-%d: %d serving hosts in %s, want 1 (%v)", i, n, zone, zones)
 			}
 		}
 		if len(zones) != 5 {
-			t.Fatalf("group-%d: servers in %d zones", i, len(zones))
+			t.Fatalf("group-%d: serving hosts in %d zones, want 5", i, len(zones))
 		}
 	}
 }
 
 // A leaving host must not change the other serving hosts of a group, since each change
 // opens a new set of connections to three members.
-func TestLeavingHostKeepsOtherServers(t *testing.T) {
+func TestLeavingHostKeepsOtherServingHosts(t *testing.T) {
 	hosts := testHosts(60, 3)
 	table := newTable(hosts)
 	for i := range 50 {
 		group := fmt.Sprint("group-", i)
 		table.Update(hosts)
-		before := serversOf(table, group, 32)
+		before := servingHostsOf(table, group, 32)
 		updated := make([]membership.Host, len(hosts))
 		copy(updated, hosts)
 		for j := range updated {
 			updated[j].Leaving = updated[j].ID == before[0].ID
 		}
 		table.Update(updated)
-		after := serversOf(table, group, 32)
+		after := servingHostsOf(table, group, 32)
 		kept := 0
 		for _, h := range after {
 			for _, o := range before[1:] {
@@ -99,23 +99,23 @@
 			}
 		}
 		if kept != len(before)-1 || len(after) != len(before) {
-			t.Errorf("%s: of %d other servers %d stayed", group, len(before)-1, kept)
+			t.Errorf("%s: of %d other serving hosts %d stayed, want all of them and one new host", group, len(before)-1, kept)
 		}
 	}
 }
 
 func TestForwardingOrderPrefersOwnZone(t *testing.T) {
-	servers := serversOf(newTable(testHosts(60, 3)), "g", 60)
+	servingHosts := servingHostsOf(newTable(testHosts(60, 3)), "g", 60)
 	first := map[string]int{}
 	for _, self := range testHosts(60, 3) {
-		ordered := ForwardingOrder(self, servers)
+		ordered := ForwardingOrder(self, servingHosts)
 		if ordered[0].Zone != self.Zone {
 			t.Fatalf("%s of %s forwards to %s", self.ID, self.Zone, ordered[0].Zone)
 		}
 		first[ordered[0].ID]++
 	}
-	if len(first) != len(servers) {
-		t.Errorf("hosts forward to %d of %d servers", len(first), len(servers))
+	if len(first) != len(servingHosts) {
+		t.Errorf("hosts forward to %d of %d serving hosts, want all", len(first), len(servingHosts))
 	}
 }
 
@@ -162,10 +162,10 @@
 // A restarted host knows only itself and must not wait for other hosts.
 func TestLoneHostReadsStore(t *testing.T) {
 	self := membership.Host{ID: "one", Zone: "z", Peer: testPeer}
-	if f := newTable([]membership.Host{self}).UpdateSources(self); !f.StoreFirst || len(f.Hosts) != 0 {
-		t.Errorf("update sources of the only host: %+v", f)
+	if sources := newTable([]membership.Host{self}).UpdateSources(self); !sources.StoreFirst || len(sources.Hosts) != 0 {
+		t.Errorf("update sources of the only host are %+v, want only the store", sources)
 	}
-	if f := (&Table{}).UpdateSources(self); !f.StoreFirst {
-		t.Errorf("update sources of an unlisted host: %+v", f)
+	if sources := (&Table{}).UpdateSources(self); !sources.StoreFirst {
+		t.Errorf("update sources of an unlisted host are %+v, want the store first", sources)
 	}
 }
