--- a/internal/follow/feeder.go
+++ b/internal/follow/feeder.go
@@ -13,38 +13,39 @@
 )
 
 const (
-	// heartbeatInterval is the longest pause between two messages of a feed. It tells the
-	// other side that the feed lives.
+	// heartbeatInterval is the longest time between two messages of a feed. A message without changes shows the
+	// receiver that the feed is alive.
 	heartbeatInterval = 400 * time.Millisecond
-	// maxFeeds is how many hosts a host passes news on to: those below it in the tree of feeds, and as many again that
-	// have lost their own source. mostLists is to how many at a time it sends the whole list, so that the last of them has
-	// it before it takes the feed for lost.
+	// maxFeeds bounds the hosts that a host forwards updates to: those below it in the tree of update sources, and as
+	// many again that have lost their own source. maxFullUpdates bounds the full updates that it sends at the same time,
+	// so that the last receiver has its update before it considers the feed lost.
 	maxFeeds       = 48
 	maxFullUpdates = 8
-	// maxReferrals is how many hosts are named to one that is turned away.
+	// maxReferrals is the number of hosts that are named to a redirected host.
 	maxReferrals = 4
-	// referralAge is the age of the news in the message that turns a host away. Hosts of a version that does not know of
-	// that turn to another source because of it.
+	// referralAge is the age stated in the message that redirects a host. Hosts of a version that does not know referrals
+	// switch to another source because of this age.
 	referralAge = time.Hour
 )
 
-// Feeder passes on what a host knows. Use NewFeeder.
+// Feeder forwards store updates to other hosts. Use NewFeeder to create one. Its methods may be called from several
+// goroutines.
 type Feeder struct {
 	view  *StoreView
 	fleet *fleet.Hosts
-	// stopping reports whether the host is about to end.
+	// stopping reports whether the host is shutting down.
 	stopping func() bool
-	// feeds counts the hosts that news are passed on to, and fullUpdates the whole fullUpdates that are being sent.
+	// feeds counts the open feeds, and fullUpdates the full updates that are being sent.
 	feeds, fullUpdates atomic.Int64
 }
 
-// NewFeeder returns a Feeder of what is known. stopping reports whether the host is about to end.
-func NewFeeder(known *StoreView, f *fleet.Hosts, stopping func() bool) *Feeder {
-	return &Feeder{view: known, fleet: f, stopping: stopping}
+// NewFeeder returns a Feeder that forwards the contents of view. stopping reports whether the host is shutting down.
+func NewFeeder(view *StoreView, f *fleet.Hosts, stopping func() bool) *Feeder {
+	return &Feeder{view: view, fleet: f, stopping: stopping}
 }
 
-// Feed passes on what changed in the store after the revision until ctx ends or send
-// fails.
+// Feed sends the changes of the store after the given revision until ctx ends or send fails. It returns an error at
+// once if too many feeds are open, after it has named other hosts to the receiver.
 func (f *Feeder) Feed(ctx context.Context, after kv.Revision, send func(StoreUpdate) error) error {
 	if f.feeds.Add(1) > maxFeeds {
 		f.feeds.Add(-1)
@@ -55,54 +56,55 @@
 		if f.stopping() {
 			return errNoUpdates
 		}
-		news, changed, err := f.view.UpdateSince(after)
+		update, changed, err := f.view.UpdateSince(after)
 		if err != nil {
 			return err
 		}
-		if err := f.sendUpdate(news, send); err != nil {
+		if err := f.sendUpdate(update, send); err != nil {
 			return err
 		}
-		after = max(after, news.Revision)
-		pause := time.NewTimer(heartbeatInterval)
+		after = max(after, update.Revision)
+		heartbeat := time.NewTimer(heartbeatInterval)
 		select {
 		case <-changed:
-		case <-pause.C:
+		case <-heartbeat.C:
 		case <-ctx.Done():
-			pause.Stop()
+			heartbeat.Stop()
 			return ctx.Err()
 		}
-		pause.Stop()
+		heartbeat.Stop()
 	}
 }
 
-// sendUpdate sends news, unless they are one whole list more than this host sends at a time.
-func (f *Feeder) sendUpdate(news StoreUpdate, send func(StoreUpdate) error) error {
-	if !news.Full {
-		return send(news)
+// sendUpdate sends the update, or redirects the receiver if the update is full and this host already sends as many full
+// updates as allowed.
+func (f *Feeder) sendUpdate(update StoreUpdate, send func(StoreUpdate) error) error {
+	if !update.Full {
+		return send(update)
 	}
 	defer f.fullUpdates.Add(-1)
 	if f.fullUpdates.Add(1) > maxFullUpdates {
 		return f.redirect(send)
 	}
-	return send(news)
+	return send(update)
 }
 
-// errTooManyFeeds ends a feed to a host that is to ask elsewhere.
-var errTooManyFeeds = errors.New("news are passed on to too many hosts")
+// errTooManyFeeds ends the feed of a host that is redirected to other hosts.
+var errTooManyFeeds = errors.New("updates are forwarded to too many hosts")
 
-// redirect names other hosts that have the news, if any are known.
+// redirect names other hosts from which the receiver can get updates, if any are known.
 func (f *Feeder) redirect(send func(StoreUpdate) error) error {
-	var elsewhere []netip.AddrPort
+	var referrals []netip.AddrPort
 	for _, o := range f.fleet.Sample(maxReferrals) {
-		elsewhere = append(elsewhere, o.Peer)
+		referrals = append(referrals, o.Peer)
 	}
-	if len(elsewhere) > 0 {
-		if err := send(StoreUpdate{Referrals: elsewhere, Age: referralAge}); err != nil {
+	if len(referrals) > 0 {
+		if err := send(StoreUpdate{Referrals: referrals, Age: referralAge}); err != nil {
 			return err
 		}
 	}
 	return errTooManyFeeds
 }
 
-// errNoUpdates means that a host has nothing to pass on, or is about to end.
-var errNoUpdates = errors.New("no news to pass on")
+// errNoUpdates means that a host has no view of the store yet, or is shutting down.
+var errNoUpdates = errors.New("no updates to forward")
--- a/internal/follow/follower.go
+++ b/internal/follow/follower.go
@@ -14,78 +14,77 @@
 )
 
 const (
-	// initialBackoff is the pause after all sources of news failed.
+	// initialBackoff is the pause after all update sources have failed. It doubles each time that they fail again.
 	initialBackoff = 100 * time.Millisecond
-	// MaxStoreBackoff bounds that pause for hosts that ask the store themselves, when the sources
-	// keep failing.
+	// MaxStoreBackoff bounds the backoff of hosts that read the store themselves.
 	MaxStoreBackoff = 400 * time.Millisecond
-	// maxHostBackoff bounds it for all others. While the store is away they wait for the hosts that
-	// ask it: at 195 hosts, an outage of six seconds cost 4,000 calls in which each looked for
-	// the store by itself, and seven feeds opened and dropped for each of these. It is within
-	// the time that hosts have to recover in.
+	// maxHostBackoff bounds the backoff of all other hosts. During a store outage they wait for the hosts that read the
+	// store. At 195 hosts, an outage of six seconds cost 4,000 store calls because each host looked for the store itself,
+	// and each of these calls came with seven feeds that were opened and closed. The bound is shorter than the time in
+	// which hosts must recover.
 	maxHostBackoff = 3 * time.Second
-	// maxReferralsTried is how many of the hosts are tried that a busy one has named.
+	// maxReferralsTried is the number of hosts tried of those that a busy host named.
 	maxReferralsTried = 2
-	// preferredRetryDelay is how long a host keeps to a source that it does not prefer.
+	// preferredRetryDelay is how long a host uses a source other than the preferred one before it retries that one.
 	preferredRetryDelay = 3 * time.Second
 )
 
-// Settings are what a Follower needs to know at its start.
+// Settings configure a Follower.
 type Settings struct {
-	// Self is the host's address for other hosts, and Seeds are those of some, which may be gone.
+	// Self is the host's address for other hosts. Seeds are the addresses of some hosts, which may no longer exist.
 	Self  netip.AddrPort
 	Seeds []netip.AddrPort
-	// HostsPrefix precedes the hosts' entries in the store.
+	// HostsPrefix is the prefix of the hosts' keys in the store.
 	HostsPrefix string
 }
 
-// Follower keeps a host's knowledge of the store up to date, from the store itself or from
-// another host. Use New.
+// Follower keeps a host's view of the store up to date, from the store itself or from another host. Use New to create
+// one. Sources may be called from several goroutines while Run runs.
 type Follower struct {
 	settings Settings
 	store    Store
-	// peers is nil for a host that learns from no other.
+	// peers is nil for a host that doesn't use other hosts as sources.
 	peers Peers
 	fleet *fleet.Hosts
 	view  *StoreView
-	// apply takes news over.
+	// apply applies an update to the host.
 	apply func(StoreUpdate) error
 	log   func(event string, fields ...any)
 	now   func() time.Time
 
-	// sourceIndex is the index of the source in use, and since when it is in use.
+	// sourceIndex is the index of the source in use, and sourceSince when its use began.
 	sourceIndex int
 	sourceSince time.Time
-	// failures counts sources that failed in a row, and reason says why the last of them did.
+	// failures counts consecutive failures of sources. reason is the kind of the last failure.
 	failures int
 	reason   string
-	// backoff is how long the preferred source is given once all have failed.
+	// backoff is how long the preferred source is used or awaited once all sources have failed.
 	backoff time.Duration
-	// watchFailed is true after a watch failed: what it watchFailed is to be asked for. The store was last asked for changes at
-	// watchedAt.
+	// watchFailed is true after a watch failed. The next one asks for the missed changes without waiting for new ones.
+	// watchedAt is when the last watch started.
 	watchFailed bool
 	watchedAt   time.Time
 }
 
-// Ports are a Follower's ways to the outside.
+// Ports are the external dependencies of a Follower.
 type Ports struct {
 	Store Store
-	// Peers is nil for a host that learns from no other.
+	// Peers is nil for a host that doesn't use other hosts as sources.
 	Peers Peers
-	// Apply takes news over.
+	// Apply applies an update to the host.
 	Apply func(StoreUpdate) error
 	Log   func(event string, fields ...any)
 }
 
-// New returns a Follower that does not run yet.
-func New(s Settings, p Ports, f *fleet.Hosts, known *StoreView, now func() time.Time) *Follower {
+// New returns a Follower. Run starts it.
+func New(s Settings, p Ports, f *fleet.Hosts, view *StoreView, now func() time.Time) *Follower {
 	return &Follower{
-		settings: s, store: p.Store, peers: p.Peers, apply: p.Apply, log: p.Log, fleet: f, view: known, now: now,
+		settings: s, store: p.Store, peers: p.Peers, apply: p.Apply, log: p.Log, fleet: f, view: view, now: now,
 		sourceSince: now(), backoff: initialBackoff,
 	}
 }
 
-// Run follows until ctx ends.
+// Run follows the update sources until ctx ends.
 func (f *Follower) Run(ctx context.Context) {
 	if f.peers != nil {
 		f.join(ctx)
@@ -101,23 +100,23 @@
 	}
 }
 
-// followPreferred keeps to the preferred source for a while after all have failed, though its news may be old: it
-// is the first to tell when the store is back.
+// followPreferred follows the preferred source for the backoff after all sources have failed, even if its updates are
+// old: it is the first to receive updates when the store is back.
 func (f *Follower) followPreferred(ctx context.Context, s Source) {
 	until := f.now().Add(f.backoff + rand.N(f.backoff/2))
 	if f.followSource(ctx, s, until.Sub(f.now())) {
 		return
 	}
-	longest := maxHostBackoff
-	if _, asks := s.(StoreSource); asks {
-		longest = MaxStoreBackoff
+	maxBackoff := maxHostBackoff
+	if _, ok := s.(StoreSource); ok {
+		maxBackoff = MaxStoreBackoff
 	}
-	f.backoff = min(2*f.backoff, longest)
+	f.backoff = min(2*f.backoff, maxBackoff)
 	pause.For(ctx, until.Sub(f.now()))
 }
 
-// followSource follows a source for a while, for as long as patience though its news are old. It returns false
-// if the source failed, and goes on to the next one.
+// followSource follows a source until it fails or another one should be used. Old updates are tolerated for the duration
+// patience. It returns false if the source failed, and moves on to the next one.
 func (f *Follower) followSource(ctx context.Context, s Source, patience time.Duration) bool {
 	err := s.follow(ctx, f, patience)
 	if busy := (*busyError)(nil); errors.As(err, &busy) {
@@ -139,9 +138,9 @@
 	return true
 }
 
-// followReferrals follows one of the hosts that a busy one has named for a while, and returns false if none has news.
+// followReferrals follows one of the hosts that a busy host named. It returns false if all that it tries fail.
 func (f *Follower) followReferrals(ctx context.Context, hosts []netip.AddrPort) bool {
-	f.sourceIndex++ // they are no preferred ones
+	f.sourceIndex++ // referrals are not preferred sources
 	defer func() { f.sourceIndex-- }()
 	for _, a := range hosts[:min(len(hosts), maxReferralsTried)] {
 		if s := (HostSource{a}); s.follow(ctx, f, 0) == nil {
@@ -151,7 +150,7 @@
 	return false
 }
 
-// logFailure writes a line when the first source fails, and whenever the next ones fail for another reason.
+// logFailure logs the first failure of a source, and after that each failure of another kind than the previous one.
 func (f *Follower) logFailure(ctx context.Context, s Source, err error) {
 	if ctx.Err() != nil {
 		return
@@ -166,17 +165,17 @@
 	f.reason = reason
 }
 
-// reasonOf names what kind of error a source failed with.
+// reasonOf returns the kind of an error of a source.
 func reasonOf(err error) string {
-	for _, known := range []error{kv.ErrStale, kv.ErrGap, errStaleUpdates, errNoUpdates, ErrCompacted} {
-		if errors.Is(err, known) {
-			return known.Error()
+	for _, kind := range []error{kv.ErrStale, kv.ErrGap, errStaleUpdates, errNoUpdates, ErrCompacted} {
+		if errors.Is(err, kind) {
+			return kind.Error()
 		}
 	}
-	return "it does not answer"
+	return "the source does not respond"
 }
 
-// recordSuccess records that a source brought news that are not old.
+// recordSuccess records that a source sent an update that is not too old.
 func (f *Follower) recordSuccess(s Source) {
 	if f.failures > 0 {
 		f.log("source_regained", "source", s.String(), "failures", f.failures)
--- a/internal/follow/follower_test.go
+++ b/internal/follow/follower_test.go
@@ -19,7 +19,7 @@
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(i)}), 1)
 }
 
-// newTestFleet returns what a host of an ID knows of n listed ones.
+// newTestFleet returns the view of host id on n listed hosts.
 func newTestFleet(id string, n int) *fleet.Hosts {
 	f := fleet.New(membership.Host{ID: id, Zone: "z0", Peer: hostAddr(250)})
 	for i := range n {
@@ -29,17 +29,17 @@
 	return f
 }
 
-// pagedStore holds items in pages of five. Each third page that is asked for fails.
+// pagedStore lists items in pages of five. Every third List call fails.
 type pagedStore struct {
 	items []kv.Item
-	pages int
+	calls int
 }
 
 var errRefused = errors.New("refused")
 
 func (s *pagedStore) List(_ context.Context, r kv.Range) (kv.Page, error) {
-	s.pages++
-	if s.pages%3 == 0 {
+	s.calls++
+	if s.calls%3 == 0 {
 		return kv.Page{}, errRefused
 	}
 	from := 0
@@ -55,13 +55,13 @@
 }
 
 func newTestFollower(f *fleet.Hosts, s Store, p Peers) *Follower {
-	known := NewStoreView(nil, time.Now)
-	apply := func(n StoreUpdate) error { _, err := known.Apply(n); return err }
-	return New(Settings{HostsPrefix: "hosts/"}, Ports{Store: s, Peers: p, Apply: apply, Log: func(string, ...any) {}}, f, known, time.Now)
+	view := NewStoreView(nil, time.Now)
+	apply := func(u StoreUpdate) error { _, err := view.Apply(u); return err }
+	return New(Settings{HostsPrefix: "hosts/"}, Ports{Store: s, Peers: p, Apply: apply, Log: func(string, ...any) {}}, f, view, time.Now)
 }
 
-// The store refuses each third call while a host reads a list of many pages. A list that begins again with each failure
-// would hardly ever end.
+// The store rejects every third call while a host reads a list of many pages. If each failure restarted the list, it
+// would hardly ever complete.
 func TestOnlyTheFailedPageIsRetried(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &pagedStore{}
@@ -72,34 +72,34 @@
 		if err != nil || len(list.Items) != 100 {
 			t.Errorf("%d items, %v", len(list.Items), err)
 		}
-		if s.pages > 40 {
-			t.Errorf("%d pages were read for a list of 20", s.pages)
+		if s.calls > 40 {
+			t.Errorf("%d pages were read for a list of 20", s.calls)
 		}
 	})
 }
 
-// A thousand hosts that start turn to the few that have the list. Each sends it to some at a time, and names the others
-// hosts that have it too, or its memory fills with lists on their way.
+// A thousand hosts start and request full updates from the few hosts that have one. Each of these sends a bounded number
+// at a time and refers the other hosts elsewhere, since full updates in transit would otherwise fill its memory.
 func TestHostsAboveTheFeedLimitAreRedirected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		known := NewStoreView(nil, time.Now)
-		if _, err := known.Apply(StoreUpdate{Update: kv.Update{Full: true, Snapshot: kv.Snapshot{Revision: 7}}}); err != nil {
+		view := NewStoreView(nil, time.Now)
+		if _, err := view.Apply(StoreUpdate{Update: kv.Update{Full: true, Snapshot: kv.Snapshot{Revision: 7}}}); err != nil {
 			t.Fatal(err)
 		}
-		f := NewFeeder(known, newTestFleet("h0", 30), func() bool { return false })
+		f := NewFeeder(view, newTestFleet("h0", 30), func() bool { return false })
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
-		turned := make(chan StoreUpdate, 3*maxFullUpdates)
-		overSlowLink := func(n StoreUpdate) error {
-			if len(n.Referrals) > 0 {
-				turned <- n
+		redirected := make(chan StoreUpdate, 3*maxFullUpdates)
+		sendOverSlowLink := func(u StoreUpdate) error {
+			if len(u.Referrals) > 0 {
+				redirected <- u
 				return nil
 			}
 			<-ctx.Done()
 			return ctx.Err()
 		}
 		feed := func() {
-			if err := f.Feed(ctx, 0, overSlowLink); !errors.Is(err, errTooManyFeeds) && ctx.Err() == nil {
+			if err := f.Feed(ctx, 0, sendOverSlowLink); !errors.Is(err, errTooManyFeeds) && ctx.Err() == nil {
 				t.Errorf("a feed ended with %v", err)
 			}
 		}
@@ -107,28 +107,28 @@
 			go feed()
 		}
 		time.Sleep(time.Second)
-		if n := len(turned); n != 2*maxFullUpdates {
-			t.Errorf("%d of %d were turned away", n, 3*maxFullUpdates)
+		if n := len(redirected); n != 2*maxFullUpdates {
+			t.Errorf("%d of %d hosts were redirected", n, 3*maxFullUpdates)
 		}
-		if n := <-turned; len(n.Referrals) != maxReferrals || n.Age < maxUpdateAge || n.Full {
-			t.Errorf("they were told %+v", n)
+		if u := <-redirected; len(u.Referrals) != maxReferrals || u.Age < maxUpdateAge || u.Full {
+			t.Errorf("redirected hosts received %+v", u)
 		}
 	})
 }
 
-// While a fleet starts, a host has no place in the tree of feeds until it is listed, and all of those that are not would
-// turn to the first one that is: they stay where they learned the list.
+// While a fleet starts, a host has no position in the tree of update sources until it is listed. All unlisted hosts would
+// switch to the first listed one, so they must keep the source from which they got the list.
 func TestUnlistedHostKeepsItsSource(t *testing.T) {
 	other := HostSource{hostAddr(200)}
 	if !newTestFollower(newTestFleet("h0", 30), nil, busyPeers{}).shouldSwitchSource(other) {
-		t.Error("a listed host keeps to a source that it does not prefer")
+		t.Error("a listed host keeps a source that it does not prefer")
 	}
 	if newTestFollower(newTestFleet("starts", 30), nil, busyPeers{}).shouldSwitchSource(other) {
-		t.Error("a host that is not listed turns to another source")
+		t.Error("an unlisted host switches to another source")
 	}
 }
 
-// busyPeers are hosts of which one passes news on to too many others and names two.
+// busyPeers opens feeds from hosts of which one, at hostAddr(1), is busy and names two others.
 type busyPeers struct{}
 
 func (busyPeers) Feed(_ context.Context, to netip.AddrPort, _ kv.Revision) (Feed, error) {
@@ -147,17 +147,17 @@
 
 func (f *testFeed) Close() {}
 
-// A host's source passes news on to too many others and names some that have them. The host learns from one of these, and
-// does not go on to the store.
+// A host's source forwards to too many hosts and names others. The host must follow one of these instead of reading from
+// the store.
 func TestRedirectedHostFollowsAReferral(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestFollower(newTestFleet("h5", 30), nil, busyPeers{})
 		started := time.Now()
 		if !f.followSource(t.Context(), HostSource{hostAddr(1)}, 0) || f.failures != 0 {
-			t.Errorf("the host that was turned away has %d failures", f.failures)
+			t.Errorf("the redirected host has %d failures", f.failures)
 		}
-		if took := time.Since(started); took < preferredRetryDelay || took > 2*preferredRetryDelay {
-			t.Errorf("it learned elsewhere for %s", took)
+		if followed := time.Since(started); followed < preferredRetryDelay || followed > 2*preferredRetryDelay {
+			t.Errorf("it followed the referral for %s", followed)
 		}
 	})
 }
--- a/internal/follow/join.go
+++ b/internal/follow/join.go
@@ -13,16 +13,16 @@
 	"pearlatch/internal/pause"
 )
 
-// join learns what is in the store for the first time, from the store or from a host that knows it.
+// join fetches the contents of the store for the first time, from the store or from a host that has them.
 func (f *Follower) join(ctx context.Context) {
 	j := joining.New(f.settings.Self, f.settings.Seeds, rand.Float64)
-	started, reads, asked := f.now(), 0, 0
+	started, storeReads, hostsAsked := f.now(), 0, 0
 	for ctx.Err() == nil && f.view.Revision() == 0 {
 		var err error
-		var from Source = StoreSource{}
+		var source Source = StoreSource{}
 		switch step := j.Next().(type) {
 		case joining.ReadStore:
-			reads++
+			storeReads++
 			err = f.listAll(ctx)
 		case joining.ListHosts:
 			var hosts []netip.AddrPort
@@ -30,9 +30,9 @@
 				j.SetListedHosts(hosts)
 			}
 		case joining.AskHost:
-			asked++
-			from = HostSource{step.Addr}
-			err = from.follow(ctx, f, 0)
+			hostsAsked++
+			source = HostSource{step.Addr}
+			err = source.follow(ctx, f, 0)
 			if busy := (*busyError)(nil); errors.As(err, &busy) {
 				j.Redirect(busy.referrals)
 			}
@@ -40,15 +40,15 @@
 			pause.For(ctx, step.For)
 		}
 		if err != nil && f.view.Revision() == 0 {
-			f.logFailure(ctx, from, err)
+			f.logFailure(ctx, source, err)
 			f.failures++
 		}
 	}
 	f.failures = 0
-	f.log("joined", "took_ms", f.now().Sub(started).Milliseconds(), "store_reads", reads, "hosts_asked", asked)
+	f.log("joined", "took_ms", f.now().Sub(started).Milliseconds(), "store_reads", storeReads, "hosts_asked", hostsAsked)
 }
 
-// listHostAddrs returns the addresses of the hosts that the store lists, as of some seconds ago at most.
+// listHostAddrs returns the addresses of the hosts that the store lists. The list may be some seconds old.
 func (f *Follower) listHostAddrs(ctx context.Context) ([]netip.AddrPort, error) {
 	list, err := f.list(ctx, kv.Range{Prefix: f.settings.HostsPrefix, AllowStale: true})
 	if err != nil {
@@ -56,8 +56,8 @@
 	}
 	var out []netip.AddrPort
 	for _, i := range list.Items {
-		if each := fleet.ParseEntry("", i.Value); each.Peer.IsValid() {
-			out = append(out, each.Peer)
+		if h := fleet.ParseEntry("", i.Value); h.Peer.IsValid() {
+			out = append(out, h.Peer)
 		}
 	}
 	return out, nil
--- a/internal/follow/source.go
+++ b/internal/follow/source.go
@@ -12,24 +12,25 @@
 )
 
 const (
-	// feedTimeout is how long a feed may be silent: two messages may be late.
+	// feedTimeout is how long a feed may be silent: two messages of a feed may be late.
 	feedTimeout = 1100 * time.Millisecond
 	// feedOpenTimeout bounds the opening of a feed.
 	feedOpenTimeout = 300 * time.Millisecond
-	// maxUpdateAge is how old another host's news may be. The hosts that watch the store
-	// hear of it every watchWait, and pass that on after newsPause at most.
+	// maxUpdateAge is how old an update from another host may be. The hosts that watch the store have contact with it
+	// every watchTimeout, and forward that within heartbeatInterval.
 	maxUpdateAge = 1800 * time.Millisecond
-	// maxTransitDelay is what the age of news grows by on its way, above what it takes. Two
-	// hosts that have both lost the store and follow each other would otherwise make
-	// the same news younger and younger, by the time that they are under way.
+	// maxTransitDelay is added to the age of each update received from a host. It exceeds the time that an update is in
+	// transit. Otherwise two hosts that have both lost the store and follow each other would make the same update
+	// appear younger with each exchange, by its time in transit.
 	maxTransitDelay = 50 * time.Millisecond
 )
 
-// Source is where a host learns what is in the store. Its implementations are
-// FromStore and FromHost.
+// Source is an update source of a host. Its implementations are StoreSource and HostSource.
 type Source interface {
-	// follow returns nil after a while in which the source did not fail. A source that is not the
-	// preferred one is followed for less long. Old news count as a failure only after patience.
+	// follow receives updates from the source and applies them. It returns an error if the source fails, and nil when
+	// the caller should choose a source again: the store source after one call, a host source when ctx ends, when
+	// another source should be preferred, or after preferredRetryDelay if it is not the preferred source. Old updates
+	// count as a failure only after the duration patience.
 	follow(ctx context.Context, f *Follower, patience time.Duration) error
 	String() string
 }
@@ -50,70 +51,71 @@
 }
 
 func (s HostSource) follow(ctx context.Context, f *Follower, patience time.Duration) error {
-	spare, after := f.sourceIndex > 0, f.view.Revision()
-	call, cancel := context.WithTimeout(ctx, feedOpenTimeout)
+	alternative, after := f.sourceIndex > 0, f.view.Revision()
+	openCtx, cancel := context.WithTimeout(ctx, feedOpenTimeout)
 	defer cancel()
-	feed, err := f.peers.Feed(call, s.Addr, after)
+	feed, err := f.peers.Feed(openCtx, s.Addr, after)
 	if err != nil {
 		return err
 	}
 	defer feed.Close()
 	version := f.fleet.Version()
 	for started := f.now(); ctx.Err() == nil; {
-		news, err := feed.Next(feedTimeout)
+		update, err := feed.Next(feedTimeout)
 		if err != nil {
 			return err
 		}
-		if len(news.Referrals) > 0 {
-			return &busyError{news.Referrals}
+		if len(update.Referrals) > 0 {
+			return &busyError{update.Referrals}
 		}
-		news.Age += maxTransitDelay
-		if err := f.apply(news); err != nil {
+		update.Age += maxTransitDelay
+		if err := f.apply(update); err != nil {
 			return err
 		}
 		followed := f.now().Sub(started)
 		switch {
-		case news.Age <= maxUpdateAge:
+		case update.Age <= maxUpdateAge:
 			f.recordSuccess(s)
 			patience = 0
 		case followed >= patience:
 			return errStaleUpdates
 		}
-		if spare && followed > preferredRetryDelay {
+		if alternative && followed > preferredRetryDelay {
 			return nil
 		}
-		if now := f.fleet.Version(); now != version && !spare && f.shouldSwitchSource(s) {
+		if now := f.fleet.Version(); now != version && !alternative && f.shouldSwitchSource(s) {
 			return nil
 		}
 	}
 	return nil
 }
 
-// busyError means that a host passes news on to too many others, and names some that have them.
+// busyError means that a host forwards updates to too many hosts already. It names other hosts that can send them.
 type busyError struct{ referrals []netip.AddrPort }
 
-func (*busyError) Error() string { return "the host passes news on to too many others" }
+func (*busyError) Error() string { return "the host forwards updates to too many hosts" }
 
-// shouldSwitchSource reports whether the host is to learn from another source, now that it has a place of its own among the
-// listed hosts. Until then all of those that start would turn to the few that are listed.
+// shouldSwitchSource reports whether the host prefers another source than s, now that it is listed and has its own
+// position in the tree of update sources. Hosts that are not listed yet keep their source: while a fleet starts, all of
+// them would otherwise switch to the few listed hosts.
 func (f *Follower) shouldSwitchSource(s Source) bool {
 	return f.fleet.UpdateSources().Listed && f.Sources()[0] != s
 }
 
-// errStaleUpdates means that a host has not heard of the store lately either.
-var errStaleUpdates = errors.New("the news is old")
+// errStaleUpdates means that the source has had no recent contact with the store either.
+var errStaleUpdates = errors.New("the updates are too old")
 
-// Sources returns where the host learns what is in the store, the preferred one first.
+// Sources returns the update sources of the host, the preferred one first. It may be called from several goroutines.
 func (f *Follower) Sources() []Source {
 	if f.peers == nil || !f.fleet.AnyListed() {
 		return []Source{StoreSource{}}
 	}
-	feeds := f.fleet.UpdateSources()
+	sources := f.fleet.UpdateSources()
 	var addrs []netip.AddrPort
-	for _, each := range feeds.Hosts {
-		addrs = append(addrs, each.Peer)
+	for _, h := range sources.Hosts {
+		addrs = append(addrs, h.Peer)
 	}
-	if feeds.StoreFirst {
+	if sources.StoreFirst {
 		return append([]Source{StoreSource{}}, hostSources(addrs)...)
 	}
 	out := hostSources(addrs)
--- a/internal/follow/store.go
+++ b/internal/follow/store.go
@@ -12,28 +12,28 @@
 )
 
 const (
-	// watchTimeout is how long the store may hold a watch back. A watch whose
-	// connection went silent is noticed after that and watchSlack, well within the 3 s
-	// in which a configuration must be in force.
+	// watchTimeout is how long the store may wait for changes before it responds to a watch. A silent connection is
+	// detected after watchTimeout and watchResponseDelay, well within the 3 s in which a configuration must be in force.
 	watchTimeout = time.Second
-	// watchResponseDelay is how much longer the answer may take.
+	// watchResponseDelay is the additional time that the response may take.
 	watchResponseDelay = 500 * time.Millisecond
-	// pageTimeout bounds the reading of a page of a list, which carries up to a megabyte. After the first one, a page
-	// that failed is read again, pageTries times in all: a list of 20 pages from a store that refuses every third call
-	// would else hardly ever end.
+	// pageTimeout bounds the read of one page of a list, which has up to a megabyte. A page after the first one is tried
+	// up to maxPageAttempts times: a list of 20 pages from a store that rejects every third call would otherwise hardly
+	// ever complete.
 	pageTimeout      = 1500 * time.Millisecond
 	maxPageAttempts  = 4
 	pageRetryBackoff = 60 * time.Millisecond
-	// catchUpTimeout is how long the store may hold a watch back after one that failed: what that missed is asked for, not
-	// waited for.
+	// catchUpTimeout replaces watchTimeout after a failed watch: the changes that it missed are requested without waiting
+	// for new ones.
 	catchUpTimeout = time.Millisecond
-	// minWatchInterval is the least time between two watches. When all hosts start, their entries come
-	// one by one: a watch for each cost five hosts 319 calls in two seconds, and callers notice
-	// nothing of a tenth of a second by which a host later learns of the next change.
+	// minWatchInterval is the shortest time between two watches. When all hosts start, their entries are written one by
+	// one. A watch for each entry cost five hosts 319 calls in two seconds. Callers don't notice that a host learns of
+	// the next change a tenth of a second later.
 	minWatchInterval = 100 * time.Millisecond
 )
 
-// followStore asks the store once for what has changed.
+// followStore applies the store's changes by one watch, or by a full list if there is no view yet or the store no longer
+// keeps the changes.
 func (f *Follower) followStore(ctx context.Context) error {
 	revision, wait := f.view.Revision(), watchTimeout
 	if f.watchFailed {
@@ -46,9 +46,9 @@
 		return ctx.Err()
 	}
 	f.watchedAt = f.now()
-	call, cancel := context.WithTimeout(ctx, watchTimeout+watchResponseDelay)
+	watchCtx, cancel := context.WithTimeout(ctx, watchTimeout+watchResponseDelay)
 	defer cancel()
-	s, err := f.store.Watch(call, "", revision, wait)
+	s, err := f.store.Watch(watchCtx, "", revision, wait)
 	if errors.Is(err, ErrCompacted) {
 		f.log("store_history_gone", "revision", revision)
 		return f.listAll(ctx)
@@ -64,7 +64,7 @@
 	return err
 }
 
-// listAll reads everything anew.
+// listAll reads all items of the store and applies them as a full update.
 func (f *Follower) listAll(ctx context.Context) error {
 	s, err := f.list(ctx, kv.Range{})
 	if err != nil {
@@ -73,7 +73,7 @@
 	return f.apply(StoreUpdate{Update: kv.Update{Snapshot: s, Full: true}})
 }
 
-// list reads all pages of a range. They are no snapshot, and the revision is that of the first one.
+// list reads all pages of a range. The pages are not a consistent snapshot; the revision is that of the first page.
 func (f *Follower) list(ctx context.Context, r kv.Range) (kv.Snapshot, error) {
 	var list kv.ListBuilder
 	for more := true; more; {
@@ -89,13 +89,13 @@
 	return list.Snapshot, nil
 }
 
-// listPage reads a listPage. again is true if one that fails is to be tried again.
-func (f *Follower) listPage(ctx context.Context, r kv.Range, again bool) (kv.Page, error) {
-	for tries := 1; ; tries++ {
-		call, cancel := context.WithTimeout(ctx, pageTimeout)
-		p, err := f.store.List(call, r)
+// listPage reads one page. If retry is true, it retries a failed read, up to maxPageAttempts attempts.
+func (f *Follower) listPage(ctx context.Context, r kv.Range, retry bool) (kv.Page, error) {
+	for attempts := 1; ; attempts++ {
+		callCtx, cancel := context.WithTimeout(ctx, pageTimeout)
+		p, err := f.store.List(callCtx, r)
 		cancel()
-		if err == nil || !again || tries == maxPageAttempts || !pause.For(ctx, pageRetryBackoff+rand.N(pageRetryBackoff)) {
+		if err == nil || !retry || attempts == maxPageAttempts || !pause.For(ctx, pageRetryBackoff+rand.N(pageRetryBackoff)) {
 			return p, err
 		}
 	}
--- a/internal/follow/store_view.go
+++ b/internal/follow/store_view.go
@@ -7,97 +7,100 @@
 	"pearlatch/core/kv"
 )
 
-// StoreView is what a host knows of the store, and how old that is. Use NewKnowledge.
+// StoreView is a host's view of the store's contents, and the age of that view. Use NewStoreView to create one. Its
+// methods may be called from several goroutines.
 type StoreView struct {
 	now func() time.Time
 
 	mu   sync.Mutex
 	view *kv.View
-	// changed is closed and replaced with each change of view, and heardAt is when the store itself was last
-	// heard of.
+	// changed is closed and replaced with each change of view. lastContact is when the store itself last confirmed the
+	// view, directly or through other hosts.
 	changed     chan struct{}
 	lastContact time.Time
-	// lag is how old the last news were that changed anything.
+	// lag is the age of the last update that changed an item.
 	lag time.Duration
-	// fullUpdate is the last whole list that was passed on, of listedAt, for further hosts that need one.
+	// fullUpdate is the last full update that was forwarded, built at fullUpdateAt. It is reused for other hosts that
+	// need one.
 	fullUpdate   kv.Update
 	fullUpdateAt time.Time
 }
 
-// NewStoreView returns what a host knows at its start: nothing.
-func NewStoreView(later kv.NewerFunc, now func() time.Time) *StoreView {
-	return &StoreView{now: now, view: kv.NewView(later), changed: make(chan struct{})}
+// NewStoreView returns the empty view of a host that has just started. newer may be nil if no values carry versions.
+func NewStoreView(newer kv.NewerFunc, now func() time.Time) *StoreView {
+	return &StoreView{now: now, view: kv.NewView(newer), changed: make(chan struct{})}
 }
 
-// Apply takes over news, as kv.View.Apply does.
-func (k *StoreView) Apply(n StoreUpdate) (kv.ApplyResult, error) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	applied, err := k.view.Apply(n.Update)
+// Apply applies an update. Its errors are those of kv.View.Apply.
+func (v *StoreView) Apply(u StoreUpdate) (kv.ApplyResult, error) {
+	v.mu.Lock()
+	defer v.mu.Unlock()
+	applied, err := v.view.Apply(u.Update)
 	if err != nil {
 		return applied, err
 	}
-	if heard := k.now().Add(-n.Age); heard.After(k.lastContact) {
-		k.lastContact = heard
+	if contact := v.now().Add(-u.Age); contact.After(v.lastContact) {
+		v.lastContact = contact
 	}
 	if len(applied.Changed) > 0 {
-		k.lag = n.Age
+		v.lag = u.Age
 	}
-	if len(applied.Changed) > 0 || k.view.Revision() != applied.PreviousRevision {
-		close(k.changed)
-		k.changed = make(chan struct{})
+	if len(applied.Changed) > 0 || v.view.Revision() != applied.PreviousRevision {
+		close(v.changed)
+		v.changed = make(chan struct{})
 	}
 	return applied, nil
 }
 
-// Item returns what is known of a key, and whether it exists.
-func (k *StoreView) Item(key string) (kv.Item, bool) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.view.Item(key)
+// Item returns the known item of a key, and whether the key exists.
+func (v *StoreView) Item(key string) (kv.Item, bool) {
+	v.mu.Lock()
+	defer v.mu.Unlock()
+	return v.view.Item(key)
 }
 
-// Revision returns the revision up to which all changes are known, or zero before the first news.
-func (k *StoreView) Revision() kv.Revision {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.view.Revision()
+// Revision returns the revision up to which the view includes all changes, or zero before the first update.
+func (v *StoreView) Revision() kv.Revision {
+	v.mu.Lock()
+	defer v.mu.Unlock()
+	return v.view.Revision()
 }
 
-// Age returns how long ago the store itself was heard of.
-func (k *StoreView) Age() time.Duration {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.now().Sub(k.lastContact)
+// Age returns the time since the store itself last confirmed the view.
+func (v *StoreView) Age() time.Duration {
+	v.mu.Lock()
+	defer v.mu.Unlock()
+	return v.now().Sub(v.lastContact)
 }
 
-// Lag returns how long changes take until the host hears of them.
-func (k *StoreView) Lag() time.Duration {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.lag
+// Lag returns how long changes take to reach this host, as seen with the last change.
+func (v *StoreView) Lag() time.Duration {
+	v.mu.Lock()
+	defer v.mu.Unlock()
+	return v.lag
 }
 
-// IsRecent reports whether the news are recent enough to decide on what others may have changed.
-func (k *StoreView) IsRecent() bool { return k.Age() <= maxUpdateAge }
+// IsRecent reports whether the view is recent enough for decisions that depend on changes by other hosts.
+func (v *StoreView) IsRecent() bool { return v.Age() <= maxUpdateAge }
 
-// UpdateSince returns what changed after the revision, and what is closed with the next change.
-func (k *StoreView) UpdateSince(after kv.Revision) (StoreUpdate, <-chan struct{}, error) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if k.view.Revision() == 0 {
+// UpdateSince returns an update with the changes after the given revision, and a channel that is closed when there are
+// more changes. It returns an error before the first update.
+func (v *StoreView) UpdateSince(after kv.Revision) (StoreUpdate, <-chan struct{}, error) {
+	v.mu.Lock()
+	defer v.mu.Unlock()
+	if v.view.Revision() == 0 {
 		return StoreUpdate{}, nil, errNoUpdates
 	}
-	n := StoreUpdate{Age: k.now().Sub(k.lastContact)}
-	if k.view.HasChangesSince(after) {
-		n.Update = k.view.Since(after)
+	u := StoreUpdate{Age: v.now().Sub(v.lastContact)}
+	if v.view.HasChangesSince(after) {
+		u.Update = v.view.Since(after)
 	} else {
-		n.Update = k.cachedFullUpdate(after)
+		u.Update = v.cachedFullUpdate(after)
 	}
-	if n.Revision < k.view.Revision() {
-		return n, closedChannel, nil // more is known already
+	if u.Revision < v.view.Revision() {
+		return u, closedChannel, nil // the cached full update is older than the view: there are more changes
 	}
-	return n, k.changed, nil
+	return u, v.changed, nil
 }
 
 var closedChannel = func() chan struct{} {
@@ -106,25 +109,25 @@
 	return c
 }()
 
-// fullUpdateTTL is how long a whole list is sent to further hosts, with what changed since after it, so that a fleet that
-// starts does not have it put together and compressed for each of them.
+// fullUpdateTTL is how long a full update is reused for other hosts, which get the changes after it in their next update.
+// Without reuse, a starting fleet would make this host build and compress one for each of them.
 const fullUpdateTTL = time.Second
 
-// cachedFullUpdate returns everything for a host that needs it, or a recent list from which the changes that follow are known.
-// k.mu is held.
-func (k *StoreView) cachedFullUpdate(after kv.Revision) kv.Update {
-	now := k.now()
-	if k.fullUpdate.Revision == 0 || now.Sub(k.fullUpdateAt) > fullUpdateTTL || !k.view.HasChangesSince(k.fullUpdate.Revision) {
-		k.fullUpdate, k.fullUpdateAt = k.view.Since(after), now
+// cachedFullUpdate returns a recent full update whose subsequent changes are known, and builds it if necessary. v.mu must
+// be held.
+func (v *StoreView) cachedFullUpdate(after kv.Revision) kv.Update {
+	now := v.now()
+	if v.fullUpdate.Revision == 0 || now.Sub(v.fullUpdateAt) > fullUpdateTTL || !v.view.HasChangesSince(v.fullUpdate.Revision) {
+		v.fullUpdate, v.fullUpdateAt = v.view.Since(after), now
 	}
-	return k.fullUpdate
+	return v.fullUpdate
 }
 
-// Trim drops the list that is kept for further hosts once it is old.
-func (k *StoreView) Trim() {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if k.now().Sub(k.fullUpdateAt) > fullUpdateTTL {
-		k.fullUpdate = kv.Update{}
+// Trim drops the cached full update once it has expired.
+func (v *StoreView) Trim() {
+	v.mu.Lock()
+	defer v.mu.Unlock()
+	if v.now().Sub(v.fullUpdateAt) > fullUpdateTTL {
+		v.fullUpdate = kv.Update{}
 	}
 }
--- a/internal/follow/update.go
+++ b/internal/follow/update.go
@@ -10,39 +10,38 @@
 	"pearlatch/core/kv"
 )
 
-// StoreUpdate is what changed in the store, as another host passes it on.
+// StoreUpdate is an update of the store's contents, read from the store or forwarded by another host.
 type StoreUpdate struct {
 	kv.Update
-	// Age is how long ago the store itself was heard of.
+	// Age is the time since the contents were last confirmed by the store itself.
 	Age time.Duration
-	// Referrals is not empty if the host passes on to too many others already. Then there are no news, and these hosts
-	// have them.
+	// Referrals are hosts that can send updates. If there are any, the sender already forwards to too many hosts, and
+	// this StoreUpdate contains no update.
 	Referrals []netip.AddrPort
 }
 
-// Feed is a stream of the store's news from another host.
+// Feed is a stream of store updates from another host.
 type Feed interface {
-	// Next waits for news, at most for the given time.
-	Next(atMost time.Duration) (StoreUpdate, error)
+	// Next waits for the next update, no longer than timeout.
+	Next(timeout time.Duration) (StoreUpdate, error)
 	Close()
 }
 
-// Peers reaches other hosts.
+// Peers opens feeds from other hosts.
 type Peers interface {
-	// Feed lets the host pass on what changed in the store after the revision.
+	// Feed opens a feed of the changes after the given revision.
 	Feed(ctx context.Context, to netip.AddrPort, after kv.Revision) (Feed, error)
 }
 
-// Store is what is read of the platform's store.
+// Store reads the platform's store.
 type Store interface {
 	// List returns the first items of a range.
 	List(ctx context.Context, r kv.Range) (kv.Page, error)
-	// Watch waits for changes after the revision, at most for wait, and returns
-	// them with the revision to go on from. ErrCompacted means that the changes
-	// are no longer kept. If the revision to go on from is of another epoch, the changes do not
-	// follow on those before.
+	// Watch waits up to wait for changes after the given revision. It returns them with the revision to continue from.
+	// ErrCompacted means that the store no longer keeps the changes. If the returned revision is of another epoch, the
+	// changes do not continue the previous ones.
 	Watch(ctx context.Context, prefix string, after kv.Revision, wait time.Duration) (kv.Snapshot, error)
 }
 
-// ErrCompacted means that the store no longer keeps the changes asked for.
-var ErrCompacted = errors.New("the history asked for is no longer kept")
+// ErrCompacted means that the store no longer keeps the requested changes.
+var ErrCompacted = errors.New("the requested history is no longer kept")
