--- a/internal/fleet/doc.go
+++ b/internal/fleet/doc.go
@@ -1,3 +1,3 @@
-// Package fleet keeps what a host knows of the other hosts: who is listed in the store, what follows from that, and which of
-// them answer.
+// Package fleet keeps a host's view of the other hosts: which are listed in the store, the serving plans and update sources
+// computed from that list, and which hosts answer.
 package fleet
--- a/internal/fleet/entries.go
+++ b/internal/fleet/entries.go
@@ -7,29 +7,29 @@
 )
 
 const (
-	// listInterval is how often the list of hosts is worked out anew from news that change nothing of it:
-	// lapsed hosts lose their place by time alone.
+	// listInterval is how often the list of hosts is recomputed while no entry changes: hosts whose entry has been
+	// removed leave the list after some time.
 	listInterval = time.Second
-	// hostRetention is how long a host counts after its entry has lapsed. It may be cut off
-	// from the store and hold its connections all the same.
+	// hostRetention is how long a host is remembered after its entry was removed. It may be cut off from the store
+	// and still hold its connections.
 	hostRetention = 20 * time.Second
-	// servingRetention is how long a host whose entry has lapsed goes on to serve for
-	// others, unless it said that it leaves. It outlasts the outages of the users'
-	// stores, of up to 9 s for a part of the hosts.
+	// servingRetention is how long a host whose entry was removed remains listed and serves other hosts' callers,
+	// unless it announced that it is leaving. It exceeds the outages of the users' stores, which last up to 9 s for
+	// some of the hosts.
 	servingRetention = 10 * time.Second
 )
 
-// knownEntries holds each host's entry as it was last seen, by host.
+// knownEntries maps host IDs to the hosts' last known entries.
 type knownEntries map[string]knownEntry
 
-// knownEntry is a host's entry as it was last knownEntry, and when it lapsed, or zero.
+// knownEntry is the last known entry of a host. removedAt is when the entry was removed from the store, or zero.
 type knownEntry struct {
 	host      membership.Host
 	removedAt time.Time
 }
 
-// RecordEntry takes over a change of a host's entry. There may be several changes of one
-// host, of which the one that says that it leaves must not be missed.
+// RecordEntry records a change of a host's entry. Several changes of one host may be recorded before the next
+// UpdateList; a change that marks the host as leaving keeps its effect when the entry is removed after it.
 func (f *Hosts) RecordEntry(id string, value []byte, removed bool, now time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -41,17 +41,18 @@
 	f.entries[id] = knownEntry{host: ParseEntry(id, value)}
 }
 
-// RecentCount returns how many hosts were seen that may still hold connections.
+// RecentCount returns how many hosts may still hold connections: those with an entry, and those whose entry was
+// removed recently.
 func (f *Hosts) RecentCount() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return len(f.entries)
 }
 
-// UpdateList takes over the changes that were noted and reports whether the list of hosts changed. A host whose entry has
-// lapsed is kept in it for a while: when the store was away, or turned hosts away, many entries
-// lapse at once, and groups would change the hosts that serve them twice, each time with new
-// connections.
+// UpdateList updates the list of hosts from the recorded entries and reports whether the list changed or may have
+// changed. A host whose entry was removed remains in the list for servingRetention: while the store is unavailable or
+// rejects hosts, many entries expire at once. Their groups would otherwise change their serving hosts twice, each
+// time with new connections.
 func (f *Hosts) UpdateList(now time.Time) (changed bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -61,15 +62,15 @@
 	}
 	f.entriesChanged, f.appliedAt = false, now
 	var hosts []membership.Host
-	for id, each := range f.entries {
+	for id, e := range f.entries {
 		switch {
-		case each.removedAt.IsZero():
-			hosts = append(hosts, each.host)
-		case now.Sub(each.removedAt) > hostRetention:
+		case e.removedAt.IsZero():
+			hosts = append(hosts, e.host)
+		case now.Sub(e.removedAt) > hostRetention:
 			delete(f.entries, id)
 			changed = true
-		case !each.host.Leaving && now.Sub(each.removedAt) <= servingRetention:
-			hosts = append(hosts, each.host)
+		case !e.host.Leaving && now.Sub(e.removedAt) <= servingRetention:
+			hosts = append(hosts, e.host)
 		}
 	}
 	return f.setTable(hosts) || changed
--- a/internal/fleet/entry.go
+++ b/internal/fleet/entry.go
@@ -8,8 +8,8 @@
 	"pearlatch/core/membership"
 )
 
-// FormatEntry returns the value of a host's entry in the store: its availability zone, its address for other hosts, if it
-// has one, and that it leaves or its strength.
+// FormatEntry returns the value of a host's entry in the store: its availability zone, its address for other hosts if
+// it has one, and either a mark that it is leaving or its number of cores.
 func FormatEntry(h membership.Host) []byte {
 	if !h.Peer.IsValid() {
 		return []byte(h.Zone)
@@ -17,7 +17,8 @@
 	text := h.Zone + " " + h.Peer.String()
 	switch {
 	case h.Leaving:
-		// Hosts of the version before read no further word. A host that leaves has no claims, whatever its strength.
+		// Hosts of the previous version read only one field after the address. A leaving host serves no groups, so
+		// its cores don't matter.
 		text += " " + leavingMark
 	case h.Cores > 0:
 		text += " " + coresPrefix + strconv.FormatFloat(h.Cores, 'g', -1, 64)
@@ -25,17 +26,17 @@
 	return []byte(text)
 }
 
-// coresPrefix precedes a host's strength in its entry.
+// coresPrefix precedes a host's number of cores in its entry.
 const coresPrefix = "cores="
 
-// MaxCores is the largest strength that is believed.
+// MaxCores is the largest number of cores that is accepted from an entry.
 const MaxCores = 1 << 12
 
 // leavingMark ends the entry of a host that is about to stop.
 const leavingMark = "leaving"
 
-// ParseEntry reads a host's entry. Without a valid address a host serves its own
-// callers only.
+// ParseEntry parses the value of a host's entry. Invalid parts are left zero. A host without a valid address serves
+// only its own callers.
 func ParseEntry(id string, value []byte) membership.Host {
 	zone, rest, _ := strings.Cut(string(value), " ")
 	addr, mark, _ := strings.Cut(rest, " ")
--- a/internal/fleet/hosts.go
+++ b/internal/fleet/hosts.go
@@ -12,62 +12,64 @@
 	"pearlatch/core/serving"
 )
 
-// Hosts is what a host knows of the other hosts: who is listed, and which of them
-// failed to answer lately. Use New.
+// Hosts is a host's view of the fleet: which hosts are listed, and which of them failed to answer recently. Use New
+// to create one. Its methods may be called from several goroutines.
 type Hosts struct {
 	self membership.Host
-	// version rises with each change of the list, and of what failed.
+	// version increases with each change of the list of hosts or of a host's suspect state.
 	version atomic.Uint64
 
 	mu sync.Mutex
-	// entries are the entries that the list was last worked out from at appliedAt, and noted is true if one changed since.
+	// entries are the hosts' last known entries. The list was last computed from them at appliedAt; entriesChanged is
+	// true if one has changed since.
 	entries        knownEntries
 	entriesChanged bool
 	appliedAt      time.Time
-	// table holds the hosts listed in the store, this one included.
+	// table contains the listed hosts, including this one.
 	table serving.Table
 	peers map[string]*peer
-	// updateSources and others are what table says of them, as of their versions.
+	// updateSources, others and forwardingOrder are computed from table, as of tableVersion.
 	updateSources           Versioned[serving.UpdateSources]
 	others, forwardingOrder Versioned[[]membership.Host]
 	// tableVersion counts the changes of table.
 	tableVersion uint64
 }
 
-// New returns what the host self knows at its start.
+// New returns the view of the host self, which lists no hosts yet.
 func New(self membership.Host) *Hosts { return &Hosts{self: self, entries: knownEntries{}} }
 
 // Self returns this host.
 func (f *Hosts) Self() membership.Host { return f.self }
 
-// Version returns a number that rises with each change of the list of hosts, and of which of them failed.
+// Version returns a number that increases with each change of the list of hosts or of a host's suspect state.
 func (f *Hosts) Version() uint64 { return f.version.Load() }
 
-// Versioned is a value that holds for a version of what it was worked out from. The zero value holds
-// for none.
+// Versioned is a value computed from data that has a version. The zero value is ready to use. It is not safe for
+// concurrent use.
 type Versioned[T any] struct {
 	version uint64
 	value   T
 }
 
-// Get returns the value for the version, which it works out anew if need be. Versions begin at one.
-func (v *Versioned[T]) Get(version uint64, work func() T) T {
+// Get returns the value for a version, and calls compute if the stored value is of another version. Versions start at
+// one.
+func (v *Versioned[T]) Get(version uint64, compute func() T) T {
 	if v.version != version {
-		v.version, v.value = version, work()
+		v.version, v.value = version, compute()
 	}
 	return v.value
 }
 
-// peer is what is known of another host beyond its entry.
+// peer is the state of another host that is not in its entry.
 type peer struct {
-	// processID names the processID that answered last, or is empty.
+	// processID identifies the process that answered last. It is empty before the first answer.
 	processID string
-	// suspect is true from a failure to the next answer. The host is only used when
-	// no other one answers, and asked in the background.
+	// suspect is true from a failure to the next answer. A suspect host is only used when no other host answers, and
+	// is probed in the background.
 	suspect bool
 }
 
-// setTable takes over the list of hosts and reports whether it changed. f.mu is held.
+// setTable replaces the list of hosts and reports whether it changed. f.mu must be held.
 func (f *Hosts) setTable(hosts []membership.Host) (changed bool) {
 	changed = f.table.Update(hosts)
 	if changed {
@@ -91,49 +93,49 @@
 	return f.table.Len()
 }
 
-// Plan says who serves a group before members that take so many connections.
+// Plan returns which hosts serve a group whose members accept the given number of connections.
 func (f *Hosts) Plan(group string, connections int) serving.Plan {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.table.Plan(f.self, group, connections)
 }
 
-// TrackCandidates names the groups of which Candidate tells.
+// TrackCandidates sets the groups for which IsCandidate may be called.
 func (f *Hosts) TrackCandidates(groups []string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.table.TrackCandidates(f.self, groups)
 }
 
-// IsCandidate reports whether this host is among those with the first claims to a group.
+// IsCandidate reports whether this host is one of the first in the ranking of a tracked group.
 func (f *Hosts) IsCandidate(group string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.table.IsCandidate(group)
 }
 
-// Forget drops what is kept for a group that nobody asks about any more.
+// Forget drops the state of a group that is no longer used.
 func (f *Hosts) Forget(group string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.table.Forget(group)
 }
 
-// UpdateSources says from whom this host learns the store's news.
+// UpdateSources returns the sources from which this host receives store updates.
 func (f *Hosts) UpdateSources() serving.UpdateSources {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.updateSources.Get(f.tableVersion, func() serving.UpdateSources { return f.table.UpdateSources(f.self) })
 }
 
-// ForwardingOrder returns all other hosts that stay, in the order in which this one turns to them.
+// ForwardingOrder returns all other hosts that are not leaving, in the order in which this host forwards to them.
 func (f *Hosts) ForwardingOrder() []membership.Host {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.forwardingOrder.Get(f.tableVersion, func() []membership.Host { return serving.ForwardingOrder(f.self, f.table.OtherHosts(f.self)) })
 }
 
-// Sample returns a few other hosts at random, of those that are not suspect.
+// Sample returns up to n other hosts, drawn at random from those that are not suspect.
 func (f *Hosts) Sample(n int) []membership.Host {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -150,7 +152,7 @@
 	return out
 }
 
-// coprimeStep returns a random step that visits each of n places once.
+// coprimeStep returns a random step size that visits each of n positions once.
 func coprimeStep(n int) int {
 	for n > 2 {
 		step := 1 + rand.IntN(n-1)
@@ -165,20 +167,21 @@
 	return 1
 }
 
-// CoordinatorRank returns how many hosts that answer take a group's duty before this one.
+// CoordinatorRank returns how many hosts that are not suspect precede this one in the order in which hosts become the
+// coordinator of a group.
 func (f *Hosts) CoordinatorRank(group string) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	place := 0
+	rank := 0
 	for _, h := range f.table.RankedForDuty(group) {
 		if h.ID == f.self.ID {
 			break
 		}
 		if p := f.peers[h.ID]; p == nil || !p.suspect {
-			place++
+			rank++
 		}
 	}
-	return place
+	return rank
 }
 
 func (f *Hosts) peer(id string) *peer {
@@ -193,15 +196,14 @@
 	return p
 }
 
-// ProcessID returns the name of the host's process, or the empty string.
+// ProcessID returns the ID of the host's process that answered last, or the empty string.
 func (f *Hosts) ProcessID(id string) string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.peer(id).processID
 }
 
-// RecordAnswer records an answer of a host's process. It returns false if the host had
-// been answering before.
+// RecordAnswer records an answer from a host's process. It returns true if the host was suspect before.
 func (f *Hosts) RecordAnswer(id, process string) (regained bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -214,7 +216,7 @@
 	return regained
 }
 
-// RecordFailure records that a host did not answer. It returns true if it had answered before.
+// RecordFailure records that a host did not answer. It returns true if the host was not suspect before.
 func (f *Hosts) RecordFailure(id string) (lost bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -227,8 +229,8 @@
 	return lost
 }
 
-// SuspectAddress reports whether a host that is still listed has failed to answer, and its
-// address.
+// SuspectAddress returns the address of a listed host, and whether the host is suspect. It drops the state of a host
+// that is no longer listed, and returns false for it.
 func (f *Hosts) SuspectAddress(id string) (netip.AddrPort, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -240,13 +242,13 @@
 	return h.Peer, f.peer(id).suspect
 }
 
-// Usable returns those of the hosts that are not suspect, in the same order.
+// Usable returns the hosts that are not suspect, in the same order.
 func (f *Hosts) Usable(hosts []membership.Host) []membership.Host {
 	return f.FirstUsable(hosts, len(hosts))
 }
 
-// FirstUsable returns the first k of them. It looks no further, since each statement that is passed
-// on asks for a few hosts of a long list.
+// FirstUsable returns the first k hosts that are not suspect. It stops at the k-th one, since each forwarded
+// statement needs only a few hosts of a long list.
 func (f *Hosts) FirstUsable(hosts []membership.Host, k int) []membership.Host {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -260,7 +262,8 @@
 	return out
 }
 
-// ListedIDs returns the hosts that are listed.
+// ListedIDs returns the IDs of this host and of the other listed hosts. This host's ID comes first, the others are
+// sorted.
 func (f *Hosts) ListedIDs() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -285,7 +288,7 @@
 	return n
 }
 
-// Address returns the address of a listed host for other hosts.
+// Address returns the address of a listed host for requests from other hosts, and whether the host is listed.
 func (f *Hosts) Address(id string) (netip.AddrPort, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
