--- a/internal/quotas/doc.go
+++ b/internal/quotas/doc.go
@@ -1,4 +1,4 @@
-// Package quotas keeps the client accounts of a host within their quotas: it lets operations begin, asks granters
-// for tokens, and is the granter of the accounts whose duty this host holds. The decisions are package quota's;
-// this one carries them between hosts.
+// Package quotas enforces the quotas of client accounts on a host: it admits operations, requests tokens from granters, and
+// is the granter of the accounts whose duty this host holds. Package quota makes the decisions; this package exchanges them
+// between hosts.
 package quotas
--- a/internal/quotas/enforcer.go
+++ b/internal/quotas/enforcer.go
@@ -13,15 +13,16 @@
 	"pearlatch/core/quota"
 )
 
-// Settings are what a Keeper needs to know at its start.
+// Settings configure an Enforcer.
 type Settings struct {
-	// Host and Process name this host and its process.
+	// Host and Process identify this host and its process.
 	Host, Process string
 	Tolerance     quota.Tolerance
 }
 
-// Enforcer keeps a host's accounts within their quotas. Accounts are spread over shards by a hash of their name; the
-// host that holds a shard's duty is their granter. Use New.
+// Enforcer enforces the quotas of the client accounts on a host. Accounts are distributed over shards by a hash of
+// their name. The host that holds a shard's duty is the granter of its accounts. Use New to create an Enforcer. Its
+// methods may be called from several goroutines.
 type Enforcer struct {
 	settings Settings
 	fleet    Fleet
@@ -29,67 +30,70 @@
 	now      func() time.Time
 
 	mu sync.Mutex
-	// shardNames holds the shards, in order, and accounts the quotas that are in force.
+	// shardNames are the names of the shards, sorted. accounts contains the quotas in force.
 	shardNames []string
 	accounts   *account.Directory
 	shards     map[string]*shard
 }
 
-// shard is what the host holds and gives of the accounts of one shard.
+// shard is the host's state of one shard: what it holds and, if it is the granter, what it has granted.
 type shard struct {
 	name string
 
 	mu sync.Mutex
 	*quota.Shard
-	// requestPending is true while a question to the granter is under way.
+	// requestPending is true while a request to the granter is in progress.
 	requestPending bool
-	// failingSince is since when the granter has not answered, or zero; nextRequestAt is when it is asked again.
+	// failingSince is when the granter stopped responding, or zero. No request is sent before nextRequestAt.
 	failingSince, nextRequestAt time.Time
-	// changed is closed and replaced when operations that wait may look again.
+	// changed is closed and replaced when waiting operations should check again.
 	changed chan struct{}
-	// recording is true while hosts are being made known to successors, which is tried again at enterAt.
+	// recording is true while hosts are being recorded for a successor. After a failure this is not retried before
+	// nextRecordAt.
 	recording    bool
 	nextRecordAt time.Time
-	// reports holds, by host, when it is asked next what it holds.
+	// reports holds the state of the report requests to each host.
 	reports map[string]*reportState
 }
 
-// reportState is when a host is asked what it holds.
+// reportState is the state of the report requests to a host: whether one is in progress, when the next may be sent,
+// and the current backoff.
 type reportState struct {
 	pending bool
 	nextAt  time.Time
 	backoff time.Duration
 }
 
-// New returns a Keeper without accounts. now reads a clock that goes on while the machine is suspended.
+// New returns an Enforcer without accounts. now must read a clock that advances while the machine is suspended.
 func New(s Settings, f Fleet, logger log.Logger, now func() time.Time) *Enforcer {
 	return &Enforcer{settings: s, fleet: f, logger: logger, now: now, shards: map[string]*shard{}}
 }
 
-// Configure takes over the accounts in force, and the shards that they are spread over.
-func (k *Enforcer) Configure(accounts *account.Directory, shards []string) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.accounts, k.shardNames = accounts, slices.Sorted(slices.Values(shards))
+// Configure sets the accounts in force, and the shards over which they are distributed.
+func (e *Enforcer) Configure(accounts *account.Directory, shards []string) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.accounts, e.shardNames = accounts, slices.Sorted(slices.Values(shards))
 }
 
-// shardForAccount returns the shard of an account, or nil while there is none.
-func (k *Enforcer) shardForAccount(name string) *shard {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	best, most := "", uint64(0)
-	for _, each := range k.shardNames {
-		if score := rendezvousScore(each, name); best == "" || score > most {
-			best, most = each, score
+// shardForAccount returns the shard of an account, or nil if there are no shards.
+func (e *Enforcer) shardForAccount(name string) *shard {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	best, bestScore := "", uint64(0)
+	for _, candidate := range e.shardNames {
+		if score := rendezvousScore(candidate, name); best == "" || score > bestScore {
+			best, bestScore = candidate, score
 		}
 	}
 	if best == "" {
 		return nil
 	}
-	return k.getOrCreateShard(best)
+	return e.getOrCreateShard(best)
 }
 
-// rendezvousScore is a shard's rendezvousScore to an account, by rendezvous hashing.
+// rendezvousScore returns a shard's score for an account. By rendezvous hashing, the shard with the highest score has
+// the account.
 func rendezvousScore(shard, account string) uint64 {
 	var d xxhash.Digest
 	d.Reset()
@@ -99,75 +103,75 @@
 	return d.Sum64()
 }
 
-// getOrCreateShard returns a getOrCreateShard. k.mu is held.
-func (k *Enforcer) getOrCreateShard(name string) *shard {
-	s := k.shards[name]
+// getOrCreateShard returns the shard with the given name, and creates it on first use. e.mu must be held.
+func (e *Enforcer) getOrCreateShard(name string) *shard {
+	s := e.shards[name]
 	if s == nil {
 		s = &shard{name: name, Shard: quota.NewShard(), changed: make(chan struct{}), reports: map[string]*reportState{}}
-		k.shards[name] = s
+		e.shards[name] = s
 	}
 	return s
 }
 
-func (k *Enforcer) shardByName(name string) *shard {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.getOrCreateShard(name)
+func (e *Enforcer) shardByName(name string) *shard {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	return e.getOrCreateShard(name)
 }
 
-func (k *Enforcer) allShards() []*shard {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	out := make([]*shard, 0, len(k.shards))
-	for _, s := range k.shards {
+func (e *Enforcer) allShards() []*shard {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	out := make([]*shard, 0, len(e.shards))
+	for _, s := range e.shards {
 		out = append(out, s)
 	}
 	return out
 }
 
-// quotaOf returns an account's quota by this host's configuration, or false if there is no such account.
-func (k *Enforcer) quotaOf(name string) (account.Quota, bool) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if k.accounts == nil {
+// quotaOf returns an account's quota in this host's configuration, or false if there is no such account.
+func (e *Enforcer) quotaOf(name string) (account.Quota, bool) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	if e.accounts == nil {
 		return account.Quota{}, false
 	}
-	a := k.accounts.Account(name)
+	a := e.accounts.Account(name)
 	if a == nil {
 		return account.Quota{}, false
 	}
 	return a.Quota, true
 }
 
-// Admit lets an operation of an account begin, or returns false and when its caller may come back. It may wait for
-// the granter until the given time.
-func (k *Enforcer) Admit(ctx context.Context, a *account.Account, until time.Time) (ok bool, after time.Duration) {
+// Admit reports whether an operation of an account may start. If not, retryAfter is how long the caller should wait before it retries.
+// It waits for the granter until the given time at most, and no longer than maxGranterDelay.
+func (e *Enforcer) Admit(ctx context.Context, a *account.Account, until time.Time) (ok bool, retryAfter time.Duration) {
 	if a.Quota.Unlimited() {
 		return true, 0
 	}
-	s := k.shardForAccount(a.Name)
+	s := e.shardForAccount(a.Name)
 	if s == nil {
 		return false, requestRetryDelay
 	}
-	now := k.now()
+	now := e.now()
 	until = earlier(until, now.Add(maxGranterDelay))
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	v, after := s.Shard.Begin(a.Name, a.Quota, now)
-	for v == quota.AskGranter && s.mayWait(now, until) {
+	decision, retryAfter := s.Shard.Begin(a.Name, a.Quota, now)
+	for decision == quota.AskGranter && s.mayWait(now, until) {
 		s.AddWaiter(a.Name)
-		k.sendRequest(s)
+		e.sendRequest(s)
 		s.waitForChange(ctx, until.Sub(now))
-		now = k.now()
-		v, after = s.RemoveWaiter(a.Name, now)
+		now = e.now()
+		decision, retryAfter = s.RemoveWaiter(a.Name, now)
 	}
-	if v == quota.Admitted && s.RequestDue(a.Name, now) {
-		k.sendRequest(s)
+	if decision == quota.Admitted && s.RequestDue(a.Name, now) {
+		e.sendRequest(s)
 	}
-	if v == quota.AskGranter {
-		after = max(requestRetryDelay, s.RetryAfter(a.Name, now))
+	if decision == quota.AskGranter {
+		retryAfter = max(requestRetryDelay, s.RetryAfter(a.Name, now))
 	}
-	return v == quota.Admitted, after
+	return decision == quota.Admitted, retryAfter
 }
 
 func earlier(a, b time.Time) time.Time {
@@ -177,17 +181,17 @@
 	return b
 }
 
-// mayWait reports whether an operation may wait for the granter. The shard's lock is held.
+// mayWait reports whether an operation may wait for the granter. s.mu must be held.
 func (s *shard) mayWait(now, until time.Time) bool {
 	lost := !s.failingSince.IsZero() && now.Sub(s.failingSince) > granterLossTimeout
 	return now.Before(until) && !lost
 }
 
-// waitForChange waits for a change, at most for the given time. The shard's lock is given back meanwhile.
-func (s *shard) waitForChange(ctx context.Context, atMost time.Duration) {
+// waitForChange waits for a change, no longer than timeout. s.mu must be held, and is released while waiting.
+func (s *shard) waitForChange(ctx context.Context, timeout time.Duration) {
 	changed := s.changed
 	s.mu.Unlock()
-	timer := time.NewTimer(atMost)
+	timer := time.NewTimer(timeout)
 	select {
 	case <-changed:
 	case <-timer.C:
@@ -197,39 +201,39 @@
 	s.mu.Lock()
 }
 
-// notify lets operations that wait look again. The shard's lock is held.
+// notify wakes the waiting operations. s.mu must be held.
 func (s *shard) notify() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// ReturnToken gives the token of an operation back that has certainly not run.
-func (k *Enforcer) ReturnToken(a *account.Account) {
+// ReturnToken returns the token of an operation that has certainly not run.
+func (e *Enforcer) ReturnToken(a *account.Account) {
 	if a.Quota.Unlimited() {
 		return
 	}
-	if s := k.shardForAccount(a.Name); s != nil {
+	if s := e.shardForAccount(a.Name); s != nil {
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		s.Shard.ReturnToken(a.Name)
 	}
 }
 
-// Run renews portions and looks after the shards of which this host is the granter, until ctx ends.
-func (k *Enforcer) Run(ctx context.Context) {
-	tick := time.NewTicker(maintenanceInterval)
-	defer tick.Stop()
+// Run renews portions and maintains the shards of which this host is the granter, until ctx ends.
+func (e *Enforcer) Run(ctx context.Context) {
+	ticker := time.NewTicker(maintenanceInterval)
+	defer ticker.Stop()
 	for {
 		select {
-		case <-tick.C:
+		case <-ticker.C:
 		case <-ctx.Done():
 			return
 		}
-		for _, s := range k.allShards() {
+		for _, s := range e.allShards() {
 			s.mu.Lock()
-			s.RemoveIdle(k.now())
-			k.sendRequest(s)
-			k.requestReports(s)
+			s.RemoveIdle(e.now())
+			e.sendRequest(s)
+			e.requestReports(s)
 			s.mu.Unlock()
 		}
 	}
--- a/internal/quotas/granting.go
+++ b/internal/quotas/granting.go
@@ -7,151 +7,153 @@
 	"pearlatch/core/quota"
 )
 
-// StartGranting makes this host the granter of a shard under a fencing token. The hosts named may hold portions of earlier
-// granters, and those before may have been one. A successor will know of them, and of this host.
-func (k *Enforcer) StartGranting(name string, token int64, held time.Time, mayHold, before []string) {
-	s := k.shardByName(name)
+// StartGranting makes this host the granter of a shard with the given fencing token. renewedAt is when the host last
+// renewed its duty. The hosts in mayHold may hold portions from earlier granters, and the hosts in formerGranters may
+// have been granters. The caller must have recorded them, and this host, for a successor.
+func (e *Enforcer) StartGranting(name string, token int64, renewedAt time.Time, mayHold, formerGranters []string) {
+	s := e.shardByName(name)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	l := quota.NewGranter(token, k.settings.Tolerance, k.now(), mayHold, before)
-	l.Extend(held)
-	s.SetGranter(l)
+	g := quota.NewGranter(token, e.settings.Tolerance, e.now(), mayHold, formerGranters)
+	g.Extend(renewedAt)
+	s.SetGranter(g)
 	s.reports = map[string]*reportState{}
 	s.nextRequestAt = time.Time{}
-	k.log("granter_begins", "shard", name, "token", token, "may_hold", len(mayHold), "before", len(before))
+	e.log("granter_begins", "shard", name, "token", token, "may_hold", len(mayHold), "before", len(formerGranters))
 }
 
-// ExtendGranting records that this host still held a shard's duty at a time, and Raised that its token has risen.
-func (k *Enforcer) ExtendGranting(name string, held time.Time) {
-	s := k.shardByName(name)
+// ExtendGranting records that this host still held a shard's duty at the time heldAt.
+func (e *Enforcer) ExtendGranting(name string, heldAt time.Time) {
+	s := e.shardByName(name)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if l := s.Granter(); l != nil {
-		l.Extend(held)
+	if g := s.Granter(); g != nil {
+		g.Extend(heldAt)
 	}
 }
 
-// RaiseToken is described with Renewed.
-func (k *Enforcer) RaiseToken(name string, token int64) {
-	s := k.shardByName(name)
+// RaiseToken records that the fencing token of a shard's duty has risen.
+func (e *Enforcer) RaiseToken(name string, token int64) {
+	s := e.shardByName(name)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if l := s.Granter(); l != nil {
-		l.RaiseToken(token)
+	if g := s.Granter(); g != nil {
+		g.RaiseToken(token)
 	}
 }
 
-// StopGranting records that this host is the granter of a shard no more. Nothing is handed out once it returns.
-func (k *Enforcer) StopGranting(name string) {
-	s := k.shardByName(name)
+// StopGranting records that this host is no longer the granter of a shard. It grants nothing after StopGranting has
+// returned.
+func (e *Enforcer) StopGranting(name string) {
+	s := e.shardByName(name)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.Granter() != nil {
-		k.log("granter_ends", "shard", name)
+		e.log("granter_ends", "shard", name)
 	}
 	s.SetGranter(nil)
 }
 
-// FormerGranters returns the hosts that may still take themselves for the granter of a shard. ok is false if this host is not
-// its granter.
-func (k *Enforcer) FormerGranters(name string) (hosts []string, ok bool) {
-	s := k.shardByName(name)
+// FormerGranters returns the hosts that may still regard themselves as the granter of a shard. ok is false if this
+// host is not its granter.
+func (e *Enforcer) FormerGranters(name string) (hosts []string, ok bool) {
+	s := e.shardByName(name)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	l := s.Granter()
-	if l == nil {
+	g := s.Granter()
+	if g == nil {
 		return nil, false
 	}
-	return l.FormerGranters(), true
+	return g.FormerGranters(), true
 }
 
-// HandleRequest answers a host that asks this one as the granter of a shard.
-func (k *Enforcer) HandleRequest(r Request) Response {
-	s := k.shardByName(r.Shard)
+// HandleRequest answers another host's request to this host as the granter of a shard.
+func (e *Enforcer) HandleRequest(r Request) Response {
+	s := e.shardByName(r.Shard)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	answer, ok := k.handleRequest(s, r.Host, r.Process, r.Request)
-	return Response{Declined: !ok, Response: answer}
+	response, ok := e.handleRequest(s, r.Host, r.Process, r.Request)
+	return Response{Declined: !ok, Response: response}
 }
 
-// handleRequest answers a host, this one as well. One that the ledger does not know well enough is asked what it holds
-// first. The shard's lock is held.
-func (k *Enforcer) handleRequest(s *shard, host, process string, in quota.Request) (quota.Response, bool) {
-	l := s.Granter()
-	if l == nil {
+// handleRequest answers a request from another host or from this one. If the granter doesn't know a host, or has no
+// report from its process, it declines the request and first records the host or requests a report. s.mu must be
+// held.
+func (e *Enforcer) handleRequest(s *shard, host, process string, req quota.Request) (quota.Response, bool) {
+	g := s.Granter()
+	if g == nil {
 		return quota.Response{}, false
 	}
-	now := k.now()
-	if host == k.settings.Host && l.KnowsHost(host) && !l.HasReported(host, process) {
-		holds, _ := s.Shard.Report(l.Token(), now)
-		l.RecordReport(host, process, holds, now)
+	now := e.now()
+	if host == e.settings.Host && g.KnowsHost(host) && !g.HasReported(host, process) {
+		holdings, _ := s.Shard.Report(g.Token(), now)
+		g.RecordReport(host, process, holdings, now)
 	}
-	questions := in.Accounts[:0:0]
-	for _, q := range in.Accounts {
+	accounts := req.Accounts[:0:0]
+	for _, a := range req.Accounts {
 		known := false
-		if q.Quota, known = k.quotaOf(q.Account); known && !q.Quota.Unlimited() {
-			questions = append(questions, q)
+		if a.Quota, known = e.quotaOf(a.Account); known && !a.Quota.Unlimited() {
+			accounts = append(accounts, a)
 		}
 	}
-	in.Accounts = questions
-	if out, ok := l.HandleRequest(host, process, in, now); ok {
-		return out, true
+	req.Accounts = accounts
+	if response, ok := g.HandleRequest(host, process, req, now); ok {
+		return response, true
 	}
 	switch {
-	case !l.KnowsHost(host):
-		k.recordGrantee(s, l, host)
-	case !l.HasReported(host, process):
-		k.requestReport(s, l, host)
+	case !g.KnowsHost(host):
+		e.recordGrantee(s, g, host)
+	case !g.HasReported(host, process):
+		e.requestReport(s, g, host)
 	}
 	return quota.Response{}, false
 }
 
-// recordGrantee lets hosts get portions that are new to the fleet, once a successor will know of them. The shard's lock is
-// held.
-func (k *Enforcer) recordGrantee(s *shard, l *quota.Granter, host string) {
-	if s.recording || k.now().Before(s.nextRecordAt) {
+// recordGrantee allows a new host to get portions, after recording it for a successor. s.mu must be held.
+func (e *Enforcer) recordGrantee(s *shard, g *quota.Granter, host string) {
+	if s.recording || e.now().Before(s.nextRecordAt) {
 		return
 	}
 	s.recording = true
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), recordTimeout)
 		defer cancel()
-		entered, err := k.fleet.RecordGrantee(ctx, s.name, host)
+		recorded, err := e.fleet.RecordGrantee(ctx, s.name, host)
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		s.recording = false
 		if err != nil {
-			s.nextRecordAt = k.now().Add(recordRetryDelay)
-			k.log("grantee_not_entered", "shard", s.name, "peer", host, "err", err)
+			s.nextRecordAt = e.now().Add(recordRetryDelay)
+			e.log("grantee_not_entered", "shard", s.name, "peer", host, "err", err)
 			return
 		}
-		l.AddHosts(entered...)
-		for _, each := range entered {
-			k.requestReport(s, l, each)
+		g.AddHosts(recorded...)
+		for _, id := range recorded {
+			e.requestReport(s, g, id)
 		}
 	}()
 }
 
-// requestReports asks hosts that have not told what they hold, and those that were not heard of for long. The shard's
-// lock is held.
-func (k *Enforcer) requestReports(s *shard) {
-	l := s.Granter()
-	if l == nil {
+// requestReports queries the hosts that have not reported their holdings, and those that have been quiet for
+// quietHostTimeout. s.mu must be held.
+func (e *Enforcer) requestReports(s *shard) {
+	g := s.Granter()
+	if g == nil {
 		return
 	}
-	for _, host := range l.UnreportedHosts() {
-		k.requestReport(s, l, host)
+	for _, host := range g.UnreportedHosts() {
+		e.requestReport(s, g, host)
 	}
-	for _, host := range l.QuietHosts(k.now().Add(-quietHostTimeout)) {
-		k.requestReport(s, l, host)
+	for _, host := range g.QuietHosts(e.now().Add(-quietHostTimeout)) {
+		e.requestReport(s, g, host)
 	}
 }
 
-// requestReport asks a host what it holds. The shard's lock is held.
-func (k *Enforcer) requestReport(s *shard, l *quota.Granter, host string) {
-	if host == k.settings.Host {
-		holds, _ := s.Shard.Report(l.Token(), k.now())
-		l.RecordReport(host, k.settings.Process, holds, k.now())
+// requestReport asks a host for a report of its holdings. s.mu must be held.
+func (e *Enforcer) requestReport(s *shard, g *quota.Granter, host string) {
+	if host == e.settings.Host {
+		holdings, _ := s.Shard.Report(g.Token(), e.now())
+		g.RecordReport(host, e.settings.Process, holdings, e.now())
 		return
 	}
 	t := s.reports[host]
@@ -159,40 +161,40 @@
 		t = &reportState{}
 		s.reports[host] = t
 	}
-	if t.pending || k.now().Before(t.nextAt) {
+	if t.pending || e.now().Before(t.nextAt) {
 		return
 	}
 	t.pending = true
-	r := ReportRequest{s.name, k.settings.Host, l.Token()}
+	r := ReportRequest{s.name, e.settings.Host, g.Token()}
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), requestTimeout)
 		defer cancel()
-		reply, err := k.fleet.RequestReport(ctx, host, r)
+		response, err := e.fleet.RequestReport(ctx, host, r)
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		k.handleReport(s, l, host, t, reply, err)
+		e.handleReport(s, g, host, t, response, err)
 	}()
 }
 
-// handleReport takes over what a host told. The shard's lock is held.
-func (k *Enforcer) handleReport(s *shard, l *quota.Granter, host string, t *reportState, reply ReportResponse, err error) {
-	now := k.now()
+// handleReport handles a host's response to a report request, or its failure. s.mu must be held.
+func (e *Enforcer) handleReport(s *shard, g *quota.Granter, host string, t *reportState, response ReportResponse, err error) {
+	now := e.now()
 	t.pending = false
 	switch {
-	case s.Granter() != l:
+	case s.Granter() != g:
 		return
-	case err == nil && !reply.Declined:
-		known := l.HoldingsKnown(now)
-		l.RecordReport(host, reply.Process, reply.Holdings, now)
+	case err == nil && !response.Declined:
+		known := g.HoldingsKnown(now)
+		g.RecordReport(host, response.Process, response.Holdings, now)
 		t.nextAt, t.backoff = now.Add(initialReportBackoff), 0
-		if !known && l.HoldingsKnown(now) {
-			k.log("grants_known", "shard", s.name)
+		if !known && g.HoldingsKnown(now) {
+			e.log("grants_known", "shard", s.name)
 		}
 		return
 	case err == nil:
-		k.log("granter_outlived", "shard", s.name, "peer", host, "token", l.Token())
-	case k.fleet.IsProcessEnded(err):
-		l.RecordExit(host, now)
+		e.log("granter_outlived", "shard", s.name, "peer", host, "token", g.Token())
+	case e.fleet.IsProcessEnded(err):
+		g.RecordExit(host, now)
 	}
 	t.backoff = min(max(2*t.backoff, initialReportBackoff), maxReportBackoff)
 	t.nextAt = now.Add(t.backoff)
--- a/internal/quotas/requests.go
+++ b/internal/quotas/requests.go
@@ -7,57 +7,56 @@
 	"pearlatch/core/quota"
 )
 
-// sendRequest asks the granter of a shard, if there is something to sendRequest and no question under way. The shard's lock is
-// held.
-func (k *Enforcer) sendRequest(s *shard) {
-	now := k.now()
+// sendRequest sends a request to the granter of a shard, if one is due and none is in progress. s.mu must be held.
+func (e *Enforcer) sendRequest(s *shard) {
+	now := e.now()
 	if s.requestPending || now.Before(s.nextRequestAt) {
 		return
 	}
-	host, token, ok := k.fleet.Granter(s.name)
+	host, token, ok := e.fleet.Granter(s.name)
 	if !ok {
 		return
 	}
 	s.Follow(token)
-	in, ok := s.NextRequest(now)
+	req, ok := s.NextRequest(now)
 	if !ok {
 		return
 	}
-	if host == k.settings.Host {
-		answer, ok := k.handleRequest(s, k.settings.Host, k.settings.Process, in)
-		k.handleResponse(s, in, Response{Declined: !ok, Response: answer}, nil)
+	if host == e.settings.Host {
+		response, ok := e.handleRequest(s, e.settings.Host, e.settings.Process, req)
+		e.handleResponse(s, req, Response{Declined: !ok, Response: response}, nil)
 		return
 	}
 	s.requestPending = true
-	go k.requestFrom(s, host, in)
+	go e.requestFrom(s, host, req)
 }
 
-func (k *Enforcer) requestFrom(s *shard, host string, in quota.Request) {
+func (e *Enforcer) requestFrom(s *shard, host string, req quota.Request) {
 	ctx, cancel := context.WithTimeout(context.Background(), requestTimeout)
 	defer cancel()
-	reply, err := k.fleet.RequestTokens(ctx, host, Request{s.name, k.settings.Host, k.settings.Process, in})
+	response, err := e.fleet.RequestTokens(ctx, host, Request{s.name, e.settings.Host, e.settings.Process, req})
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.requestPending = false
-	k.handleResponse(s, in, reply, err)
-	k.sendRequest(s) // for those that have come meanwhile
+	e.handleResponse(s, req, response, err)
+	e.sendRequest(s) // operations may have arrived meanwhile
 }
 
-// handleResponse takes over an answer, or that there is none. The shard's lock is held.
-func (k *Enforcer) handleResponse(s *shard, in quota.Request, reply Response, err error) {
-	now := k.now()
-	if err == nil && !reply.Declined && s.HandleResponse(in.ID, in.Token, reply.Response, now) {
+// handleResponse handles a response from the granter, or the failure of a request. s.mu must be held.
+func (e *Enforcer) handleResponse(s *shard, req quota.Request, response Response, err error) {
+	now := e.now()
+	if err == nil && !response.Declined && s.HandleResponse(req.ID, req.Token, response.Response, now) {
 		if !s.failingSince.IsZero() {
-			k.log("granter_regained", "shard", s.name, "after_ms", now.Sub(s.failingSince).Milliseconds())
+			e.log("granter_regained", "shard", s.name, "after_ms", now.Sub(s.failingSince).Milliseconds())
 		}
 		s.failingSince, s.nextRequestAt = time.Time{}, time.Time{}
 		s.notify()
 		return
 	}
-	s.Abandon(in.ID)
+	s.Abandon(req.ID)
 	if s.failingSince.IsZero() {
 		s.failingSince = now
-		k.log("granter_lost", "shard", s.name, "token", in.Token, "declined", reply.Declined, "err", err)
+		e.log("granter_lost", "shard", s.name, "token", req.Token, "declined", response.Declined, "err", err)
 	}
 	s.nextRequestAt = now.Add(requestRetryDelay)
 	time.AfterFunc(requestRetryDelay, func() {
@@ -67,19 +66,19 @@
 	})
 }
 
-// HandleReportRequest answers a granter that asks what this host holds.
-func (k *Enforcer) HandleReportRequest(r ReportRequest) ReportResponse {
-	s := k.shardByName(r.Shard)
+// HandleReportRequest answers a granter that requests a report of this host's holdings.
+func (e *Enforcer) HandleReportRequest(r ReportRequest) ReportResponse {
+	s := e.shardByName(r.Shard)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	granted := s.Granter() != nil
-	holds, ok := s.Shard.Report(r.Token, k.now())
-	if granted && s.Granter() == nil {
-		k.log("granter_ends", "shard", s.name, "successor", r.Host, "token", r.Token)
+	wasGranter := s.Granter() != nil
+	holdings, ok := s.Shard.Report(r.Token, e.now())
+	if wasGranter && s.Granter() == nil {
+		e.log("granter_ends", "shard", s.name, "successor", r.Host, "token", r.Token)
 	}
-	return ReportResponse{Process: k.settings.Process, Declined: !ok, Holdings: holds}
+	return ReportResponse{Process: e.settings.Process, Declined: !ok, Holdings: holdings}
 }
 
-func (k *Enforcer) log(event string, fields ...any) {
-	_ = k.logger.Log(append([]any{"event", event}, fields...)...)
+func (e *Enforcer) log(event string, fields ...any) {
+	_ = e.logger.Log(append([]any{"event", event}, fields...)...)
 }
