--- a/internal/boottime/boottime.go
+++ b/internal/boottime/boottime.go
@@ -1,4 +1,4 @@
-// Package boottime reads a clock that goes on while the machine is suspended.
+// Package boottime reads a clock that advances while the machine is suspended.
 package boottime
 
 import (
@@ -7,17 +7,16 @@
 	"golang.org/x/sys/unix"
 )
 
-// Now returns the time since boot as a time.Time without a monotonic reading.
-// Its origin is arbitrary, so only differences mean anything.
+// Now returns the time since boot as a time.Time without a monotonic reading. Its origin is arbitrary, so only differences
+// are meaningful. It may be called from several goroutines.
 //
-// The runtime's monotonic clock stands still while a machine is suspended. A lease
-// or a position sample judged by it would seem young after the machine wakes, and
-// a replaced primary's data would be served. The time of day jumps, and can't be
+// The runtime's monotonic clock stops while a machine is suspended. After the machine resumes, a lease or a position sample
+// would appear younger than it is, and data of a replaced primary would be served. The wall clock jumps, so it can't be
 // used either.
 func Now() time.Time {
 	var ts unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts); err != nil {
-		// The call has no failure on a Linux kernel since 2.6.39.
+		// Linux has supported this clock since 2.6.39, so the call doesn't fail.
 		panic(err)
 	}
 	return time.Unix(ts.Sec, ts.Nsec)
--- a/internal/capacity/capacity_test.go
+++ b/internal/capacity/capacity_test.go
@@ -11,9 +11,9 @@
 
 func TestFit(t *testing.T) {
 	for _, c := range []struct {
-		points     []Point
-		base, step float64
-		spread     float64
+		points           []Point
+		intercept, slope float64
+		maxDeviation     float64
 	}{
 		{nil, 0, 0, 0},
 		{[]Point{{10, 50}}, 0, 5, 0},
@@ -21,8 +21,8 @@
 		{[]Point{{0, 0}, {1, 2}, {2, 1}}, 0.5, 0.5, 0.5},
 	} {
 		f := Series{Points: c.points}.Fit()
-		if math.Abs(f.Intercept-c.base) > 1e-9 || math.Abs(f.Slope-c.step) > 1e-9 || math.Abs(f.MaxDeviation-c.spread) > 1e-9 {
-			t.Errorf("Fit(%v) = %+v, want base %g, step %g, spread %g", c.points, f, c.base, c.step, c.spread)
+		if math.Abs(f.Intercept-c.intercept) > 1e-9 || math.Abs(f.Slope-c.slope) > 1e-9 || math.Abs(f.MaxDeviation-c.maxDeviation) > 1e-9 {
+			t.Errorf("Fit(%v) = %+v, want intercept %g, slope %g, maximum deviation %g", c.points, f, c.intercept, c.slope, c.maxDeviation)
 		}
 	}
 }
@@ -32,10 +32,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var slopes []Series
-	if err := json.Unmarshal(text, &slopes); err != nil {
+	var series []Series
+	if err := json.Unmarshal(text, &series); err != nil {
 		t.Fatal(err)
 	}
-	got := Markdown(Compute(PlannedFleet(), slopes), slopes)
+	got := Markdown(Compute(PlannedFleet(), series), series)
 	goldie.New(t).Assert(t, "table", []byte(got))
 }
--- a/internal/capacity/doc.go
+++ b/internal/capacity/doc.go
@@ -1,3 +1,2 @@
-// Package capacity works out what a fleet of a given size costs each host, from
-// slopes that were measured on one machine.
+// Package capacity computes the cost of a fleet for each of its hosts from measurements that were taken on one machine.
 package capacity
--- a/internal/capacity/fleet.go
+++ b/internal/capacity/fleet.go
@@ -1,6 +1,6 @@
 package capacity
 
-// Fleet is the size to design for.
+// Fleet describes the size of a fleet.
 type Fleet struct {
 	Hosts, Groups, Zones         float64
 	Callers, StatementsPerSecond float64
@@ -12,9 +12,8 @@
 	WritingSessionsPerHost       float64
 }
 
-// PlannedFleet is the fleet of the users' plan for two years. The document's size is
-// what 2,500 groups with two routes each take; the sessions that wrote recently
-// are those of a tenth of the callers.
+// PlannedFleet returns the fleet that the users plan for two years from now. The document's size is that of 2,500
+// groups with two routes each. The sessions with recent writes are those of a tenth of the callers.
 func PlannedFleet() Fleet {
 	return Fleet{
 		Hosts: 1100, Groups: 2500, Zones: 6, Callers: 6.5e6, StatementsPerSecond: 1.1e6,
@@ -23,17 +22,17 @@
 	}
 }
 
-// Budgets of a host for control.
+// Budgets of a host for control work.
 const (
 	ControlCPU     = 3.5 // percent of a core
 	ControlMemory  = 32  // megabytes
-	ControlTraffic = 3   // kilobytes a second
+	ControlTraffic = 3   // kilobytes per second
 	StoreReads     = 2000.0
 	SpreadSeconds  = 16.0
 	PrimarySeconds = 15.0
 )
 
-// Statuses of a row.
+// Values of Row.Status.
 const (
 	Measured = "measured"
 	Derived  = "derived"
@@ -44,24 +43,23 @@
 	secondsPerDay = 86400
 	kilo          = 1e3
 	mega          = 1e6
-	// busiestHostFactor is how many times the average number of groups the busiest host
-	// owns, by rendezvous hashing of 2,500 groups over 1,100 hosts.
+	// busiestHostFactor is the ratio of the busiest host's number of groups to the average, with rendezvous hashing
+	// of 2,500 groups over 1,100 hosts.
 	busiestHostFactor = 4
-	// keptRevisions is how many revisions of the document a host keeps: the newest, the
-	// one in force if it is another, and four to make deltas from.
+	// keptRevisions is the number of revisions of the document that a host keeps: the newest one, the one in force if
+	// it differs, and four to compute deltas from.
 	keptRevisions = 6
-	// forwardFanOut is how many hosts a host tells of a new revision at once, and how
-	// many tell it.
+	// forwardFanOut is how many hosts a host notifies of a new revision at once, and how many notify it.
 	forwardFanOut = 3
-	// idleProbeSeconds and defaultProbeSeconds are the pauses between probes of a
-	// member of an idle group, and of a busy one by default.
+	// idleProbeSeconds and defaultProbeSeconds are the intervals between probes of a member, of an idle group and by
+	// default of a busy one.
 	idleProbeSeconds    = 2
 	defaultProbeSeconds = 0.05
-	// probeBytes is what one probe with its answer takes without news.
+	// probeBytes is the size of a probe and its response if they carry no updates.
 	probeBytes = 250
 )
 
-// Row is a line of the table.
+// Row is a row of the table.
 type Row struct {
 	Role, What, Formula string
 	Value               float64
--- a/internal/capacity/series.go
+++ b/internal/capacity/series.go
@@ -2,43 +2,42 @@
 
 import "math"
 
-// Point is one measurement: a size and what was measured at it.
+// Point is one measurement: a size X, and the value Y measured at that size.
 type Point struct {
 	X float64 `json:"x"`
 	Y float64 `json:"y"`
 }
 
-// Series is a measured quantity against a size.
+// Series is a series of measurements of one quantity at several sizes.
 type Series struct {
-	// Name identifies the slope.
+	// Name identifies the series.
 	Name string `json:"name"`
-	// PerUnit says what one step of X is, and Unit what Y is.
+	// PerUnit is the unit of X, and Unit the unit of Y.
 	PerUnit string  `json:"per"`
 	Unit    string  `json:"unit"`
 	Points  []Point `json:"points"`
 }
 
-// Fit is a straight line through the points of a slope.
+// Fit is a straight line fitted to a series.
 type Fit struct {
-	// Intercept is the value at size zero, and Slope what each unit adds.
+	// Intercept is the value at size zero, and Slope the increase per unit of size.
 	Intercept, Slope float64
-	// MaxDeviation is the largest distance of a point from the line, as a share of the
-	// largest value. A large one says that the quantity is not linear.
+	// MaxDeviation is the largest distance of a point from the line, as a fraction of the largest absolute value. A
+	// large deviation shows that the quantity is not linear.
 	MaxDeviation float64
 }
 
-// Fit returns the line of least squares. A single point gives a line through
-// zero.
+// Fit returns the least-squares line. A single point gives a line through the origin.
 func (s Series) Fit() Fit {
 	n := float64(len(s.Points))
 	if n == 0 {
 		return Fit{}
 	}
-	var sx, sy, sxx, sxy, top float64
+	var sx, sy, sxx, sxy, maxY float64
 	for _, p := range s.Points {
 		sx, sy = sx+p.X, sy+p.Y
 		sxx, sxy = sxx+p.X*p.X, sxy+p.X*p.Y
-		top = max(top, math.Abs(p.Y))
+		maxY = max(maxY, math.Abs(p.Y))
 	}
 	f := Fit{Slope: sy / max(sx, 1)}
 	if d := n*sxx - sx*sx; d != 0 {
@@ -46,17 +45,17 @@
 		f.Intercept = (sy - f.Slope*sx) / n
 	}
 	for _, p := range s.Points {
-		if top > 0 {
-			f.MaxDeviation = max(f.MaxDeviation, math.Abs(p.Y-f.At(p.X))/top)
+		if maxY > 0 {
+			f.MaxDeviation = max(f.MaxDeviation, math.Abs(p.Y-f.At(p.X))/maxY)
 		}
 	}
 	return f
 }
 
-// At returns the line's value at a size.
+// At returns the value of the line at size x.
 func (f Fit) At(x float64) float64 { return f.Intercept + f.Slope*x }
 
-// Names of the slopes that the table is worked out from.
+// Names of the series from which the table is computed.
 const (
 	CallerBytes      = "entry.bytes_per_idle_caller"
 	SameHostCPU      = "entry.cpu_us_per_statement_same_host"
--- a/internal/eventlog/doc.go
+++ b/internal/eventlog/doc.go
@@ -1,3 +1,2 @@
-// Package eventlog writes log lines in the background, bounded in number, so that
-// logging never holds up what it reports.
+// Package eventlog writes log lines in the background and limits their rate, so that logging never blocks the caller.
 package eventlog
--- a/internal/eventlog/logger.go
+++ b/internal/eventlog/logger.go
@@ -11,25 +11,25 @@
 )
 
 const (
-	// queueSize is how many lines wait for the output: a second's worth of the
-	// most that a host writes under overload.
+	// queueSize is the number of lines that can wait for the output: what a host writes at most in one second under
+	// overload.
 	queueSize = 1024
-	// eventBurst and eventRate bound the lines of one event: a storm of one kind
-	// must not push out the others. An operator reads a fraction of that.
+	// eventBurst and eventRate limit the lines of one event, so that a frequent event doesn't displace the others.
+	// An operator reads only a fraction of that.
 	eventBurst = 200
-	eventRate  = 100 // lines a second
-	// reportInterval is the pause between two reports of what was dropped.
+	eventRate  = 100 // lines per second
+	// reportInterval is the time between two reports of dropped lines.
 	reportInterval = time.Second
-	// closeTimeout bounds the wait for the output at the end.
+	// closeTimeout bounds the wait for the output in Close.
 	closeTimeout = 200 * time.Millisecond
 )
 
-// EventField is the field that names the kind of a line.
+// EventField is the name of the field with the event that a line reports.
 const EventField = "event"
 
-// Logger is a log.Logger that encodes lines as JSON and writes them from a goroutine
-// of its own. When the output is slow, or one event comes too often, lines are dropped
-// and counted. Use New.
+// Logger is a log.Logger that encodes lines as JSON and writes them from its own goroutine. If the output is too slow
+// or an event is too frequent, it drops lines and counts them. Use New to create one. Its methods may be called from
+// several goroutines.
 type Logger struct {
 	out     io.Writer
 	now     func() time.Time
@@ -39,20 +39,20 @@
 
 	mu      sync.Mutex
 	buckets map[string]*bucket
-	// dropped counts lines by event since the last report, total since the start.
+	// dropped counts the dropped lines of each event since the last report, and total since the start.
 	dropped map[string]int64
 	total   map[string]int64
 }
 
 var _ log.Logger = (*Logger)(nil)
 
-// bucket holds how many lines an event may still write now.
+// bucket is the token bucket of an event, with one token per line.
 type bucket struct {
 	tokens     float64
 	refilledAt time.Time
 }
 
-// New returns a logger that writes to out until Close.
+// New returns a logger that writes to out until Close is called.
 func New(out io.Writer, now func() time.Time) *Logger {
 	l := &Logger{
 		out: out, now: now, lines: make(chan []byte, queueSize), closing: make(chan struct{}), done: make(chan struct{}),
@@ -62,7 +62,7 @@
 	return l
 }
 
-// Log implements log.Logger. It never blocks.
+// Log implements log.Logger. It never blocks on the output.
 func (l *Logger) Log(keyvals ...any) error {
 	event := eventOf(keyvals)
 	if !l.admit(event) {
@@ -80,7 +80,7 @@
 	return nil
 }
 
-// eventOf returns the value of EventField, or the empty string.
+// eventOf returns the value of EventField, or the empty string if there is none.
 func eventOf(keyvals []any) string {
 	for i := 0; i+1 < len(keyvals); i += 2 {
 		if keyvals[i] == EventField {
@@ -91,7 +91,7 @@
 	return ""
 }
 
-// admit takes a line off the event's bucket.
+// admit takes a token from the event's bucket. If there is none, it counts the line as dropped and returns false.
 func (l *Logger) admit(event string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -119,7 +119,7 @@
 	l.total[event]++
 }
 
-// Dropped returns how many lines of each event were dropped since the start.
+// Dropped returns how many lines of each event have been dropped since the start.
 func (l *Logger) Dropped() map[string]int64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -130,7 +130,7 @@
 	return out
 }
 
-// write moves lines to the output.
+// write writes queued lines to the output until Close is called.
 func (l *Logger) write() {
 	defer close(l.done)
 	report := time.NewTicker(reportInterval)
@@ -148,10 +148,10 @@
 	}
 }
 
-// writeLine writes a line. There is nowhere to report a failure of the output to.
+// writeLine writes a line. Errors of the output are ignored, since there is nowhere to report them.
 func (l *Logger) writeLine(line []byte) { _, _ = l.out.Write(line) }
 
-// flush writes what waits at the end.
+// flush writes the lines that are still queued.
 func (l *Logger) flush() {
 	for {
 		select {
@@ -163,7 +163,7 @@
 	}
 }
 
-// report writes a line for each event of which lines were dropped.
+// report writes a line for each event with dropped lines.
 func (l *Logger) report() {
 	l.mu.Lock()
 	dropped := l.dropped
@@ -177,7 +177,8 @@
 	}
 }
 
-// Close writes what waits, unless the output takes too long.
+// Close writes the lines that are still queued, but waits no longer than closeTimeout for the output. It must be called at
+// most once. Lines that are logged later are not written.
 func (l *Logger) Close() {
 	close(l.closing)
 	select {
--- a/internal/eventlog/logger_test.go
+++ b/internal/eventlog/logger_test.go
@@ -28,17 +28,17 @@
 	return s.b.String()
 }
 
-// Nobody reads the standard output: the pipe is full and a write never returns. A
-// statement that logs its failure must go on at once, and the loss must be counted.
+// The standard output is a full pipe that nobody reads, so a write never returns. A statement that logs its failure must
+// continue at once, and the dropped lines must be counted.
 func TestBlockedOutputDoesNotBlockLogging(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r, w := io.Pipe() // unread, so that the first write blocks
+		r, w := io.Pipe() // never read, so the first write blocks
 		l := New(w, time.Now)
 		started := time.Now()
 		const lines = 4 * queueSize
 		for i := range lines {
 			if i%eventBurst == 0 {
-				time.Sleep(3 * time.Second) // so that the rate is not what bounds it
+				time.Sleep(3 * time.Second) // refills the event's bucket, so that only the queue limits the lines
 			}
 			if err := l.Log(EventField, "statement_failed", "request", i); err != nil {
 				t.Fatal(err)
@@ -55,8 +55,8 @@
 	})
 }
 
-// Under overload thousands of statements are refused a second. Their lines must not
-// push out the one that says which primary was lost.
+// Under overload, thousands of statements are rejected per second. Their lines must not displace the one that reports a
+// lost primary.
 func TestFrequentEventDoesNotDisplaceOthers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var out syncBuffer
@@ -75,7 +75,7 @@
 			t.Error("the other event's line is missing")
 		}
 		if !strings.Contains(text, `"event":"lines_dropped","of":"statement_failed"`) {
-			t.Error("nothing says that lines were dropped")
+			t.Error("the dropped lines were not reported")
 		}
 	})
 }
--- a/internal/pause/pause.go
+++ b/internal/pause/pause.go
@@ -1,4 +1,4 @@
-// Package pause lets a goroutine wait for a while or until its context ends.
+// Package pause waits for a duration or until a context ends.
 package pause
 
 import (
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// For waits and returns false when ctx ended.
+// For waits for the duration d and returns true. If ctx ends first, it returns false at once.
 func For(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
--- a/internal/process/gateway.go
+++ b/internal/process/gateway.go
@@ -1,5 +1,5 @@
-// Package process runs a host on the users' platform as a process: its ports, its listeners, its
-// signals and its end.
+// Package process runs a host as a process on the users' platform: it opens its listeners, handles signals and drains
+// it at shutdown.
 package process
 
 import (
@@ -28,14 +28,15 @@
 	"pearlatch/platform"
 )
 
-// Run runs a host with the settings of a file until the process gets SIGTERM and has drained.
-// It writes its lines to out.
+// Run runs a host with the given settings, which were loaded from the file at path, until the process receives
+// SIGTERM or SIGINT and has drained. The settings are reloaded on SIGHUP and when the file changes. Log lines are
+// written to out.
 func Run(s *platform.Settings, path string, out io.Writer) error {
 	return RunWithPorts(s, path, out, func(*gateway.Ports) {})
 }
 
-// RunWithPorts is Run for a host whose ways to the outside are changed first. Tests put faults into a host
-// with it.
+// RunWithPorts is like Run, and calls change with the host's external dependencies before the host is created. Tests
+// use it to inject faults.
 func RunWithPorts(s *platform.Settings, path string, out io.Writer, change func(*gateway.Ports)) error {
 	lines := eventlog.New(out, boottime.Now)
 	defer lines.Close()
@@ -72,7 +73,7 @@
 	return nil
 }
 
-// gatewayProcess holds what a gateway's ports and listeners share.
+// gatewayProcess holds what the ports and listeners of a host share.
 type gatewayProcess struct {
 	settings *platform.Settings
 	logger   log.Logger
@@ -81,7 +82,7 @@
 	traffic  *peer.Traffic
 }
 
-// ports returns the host's ways to the outside.
+// ports returns the external dependencies of the host.
 func (g *gatewayProcess) ports() gateway.Ports {
 	s := g.settings
 	dialer := platform.Dialer{Local: s.Callers.Addr(), Who: s.Gateway.Host}
@@ -95,15 +96,15 @@
 	return p
 }
 
-// listen opens the host's listeners and serves them.
+// listen opens the host's listeners and starts to serve them.
 func (g *gatewayProcess) listen(ctx context.Context, h *gateway.Host, accept *platform.Callers) error {
 	s := g.settings
 	refresh := func() {
 		h.RefreshMetrics()
 		updateDroppedMetrics(g.registry, g.lines)
 	}
-	served := []struct {
-		what  string
+	listeners := []struct {
+		name  string
 		addr  netip.AddrPort
 		serve func(net.Listener) error
 	}{
@@ -114,32 +115,31 @@
 		}},
 		{"peers", s.Peers, func(lis net.Listener) error { return peer.ServeGateway(ctx, lis, h, g.traffic) }},
 	}
-	for _, each := range served {
-		if !each.addr.IsValid() {
+	for _, l := range listeners {
+		if !l.addr.IsValid() {
 			continue
 		}
-		lis, err := socket.Listen(ctx, each.addr)
+		lis, err := socket.Listen(ctx, l.addr)
 		if err != nil {
-			return errors.Wrapf(err, "for %s", each.what)
+			return errors.Wrapf(err, "for %s", l.name)
 		}
-		go serveUntilClosed(g.logger, each.what, func() error { return each.serve(lis) })
+		go serveUntilClosed(g.logger, l.name, func() error { return l.serve(lis) })
 	}
 	return nil
 }
 
-// updateDroppedMetrics counts the log lines that were dropped among the metrics.
+// updateDroppedMetrics updates the metrics that count dropped log lines.
 func updateDroppedMetrics(r metrics.Registry, lines *eventlog.Logger) {
 	for event, n := range lines.Dropped() {
 		metrics.GetOrRegisterGauge(fmt.Sprintf("log_lines_dropped_total{event=%q}", event), r).Update(n)
 	}
 }
 
-// reloadPollInterval is the pause between two looks at the settings file, which may change
-// without a signal.
+// reloadPollInterval is the time between two checks of the settings file, which may change without a signal.
 const reloadPollInterval = 2 * time.Second
 
-// reloadSettings reads the settings again at each signal and when the file has changed. A
-// file with mistakes changes nothing. Addresses and names hold until the process ends.
+// reloadSettings reloads the settings at each signal and whenever the file has changed. A file with mistakes is
+// ignored. Changes of addresses and names take no effect until the process restarts.
 func reloadSettings(signals <-chan os.Signal, path string, h *gateway.Host, logger log.Logger) {
 	read := modTime(path)
 	for {
@@ -159,7 +159,7 @@
 	}
 }
 
-// modTime returns when the file was changed last, or the zero time if it is missing.
+// modTime returns the modification time of a file, or the zero time if the file can't be read.
 func modTime(path string) time.Time {
 	info, err := os.Stat(path)
 	if err != nil {
@@ -168,32 +168,32 @@
 	return info.ModTime()
 }
 
-// headerTimeout bounds how long a client may take to send its headers.
+// headerTimeout bounds how long a client may take to send its request headers.
 const headerTimeout = 5 * time.Second
 
 func serveHTTP(lis net.Listener, handler http.Handler) error {
 	return (&http.Server{Handler: handler, ReadHeaderTimeout: headerTimeout}).Serve(lis)
 }
 
-func serveUntilClosed(logger log.Logger, what string, serve func() error) {
+func serveUntilClosed(logger log.Logger, name string, serve func() error) {
 	if err := serve(); err != nil {
-		_ = level.Error(logger).Log("event", "listener_ended", "what", what, "err", err)
+		_ = level.Error(logger).Log("event", "listener_ended", "what", name, "err", err)
 	}
 }
 
 const (
-	// readinessDelay is how long the platform may take to see that a host is not
-	// ready: two questions a second apart, and the way.
+	// readinessDelay is how long the platform may take to notice that a host is not ready: two probes a second apart,
+	// and the network delay.
 	readinessDelay = 2300 * time.Millisecond
-	// graceMarginDelay is kept between the end of the last session and that of the grace.
+	// graceMarginDelay is the time left between the end of draining and the end of the shutdown grace.
 	graceMarginDelay = 800 * time.Millisecond
-	// finishTimeout bounds what is given back to the store at the end.
+	// finishTimeout bounds the wait for the host to hand back what it holds in the store.
 	finishTimeout = 300 * time.Millisecond
-	// drainPollInterval is the pause between two looks at what is left.
+	// drainPollInterval is the time between two checks for remaining sessions.
 	drainPollInterval = 50 * time.Millisecond
 )
 
-// drainGateway waits until callers are sent elsewhere, then ends sessions as they
+// drainGateway waits until the platform has stopped sending callers to this host. It then ends sessions as they
 // become idle, and transactions at half of the grace.
 func drainGateway(h *gateway.Host, callers *platform.Callers, grace time.Duration) {
 	started := time.Now()
--- a/internal/socket/socket.go
+++ b/internal/socket/socket.go
@@ -1,4 +1,4 @@
-// Package socket sets up TCP connections whose other side may go silent.
+// Package socket sets up TCP connections that detect an unresponsive peer.
 package socket
 
 import (
@@ -13,11 +13,11 @@
 )
 
 const (
-	// userTimeout is how long sent bytes may stay unacknowledged until a
-	// connection counts as broken: a few hundred round trips within a region.
+	// userTimeout is how long sent data may stay unacknowledged before the connection is closed: a few hundred round
+	// trips within a region.
 	userTimeout = 1200 * time.Millisecond
-	// keepAliveIdleTimeout and keepInterval find a connection that went silent while nothing
-	// is under way. A second is the least that the kernel takes.
+	// keepAliveIdleTimeout, keepAliveInterval and keepAliveCount detect an unresponsive peer while no data is in
+	// transit. One second is the minimum that the kernel accepts.
 	keepAliveIdleTimeout = 2 * time.Second
 	keepAliveInterval    = time.Second
 	keepAliveCount       = 2
@@ -25,17 +25,17 @@
 
 var keepAliveConfig = net.KeepAliveConfig{Enable: true, Idle: keepAliveIdleTimeout, Interval: keepAliveInterval, Count: keepAliveCount}
 
-// setUserTimeout makes the kernel give up a connection whose other side went
-// silent: without it a call would hang for minutes behind a partition.
+// setUserTimeout sets TCP_USER_TIMEOUT, so that the kernel closes a connection whose peer has become unresponsive.
+// Without it a call would hang for minutes behind a network partition.
 func setUserTimeout(_, _ string, c syscall.RawConn) error {
-	var set error
+	var sockErr error
 	err := c.Control(func(fd uintptr) {
-		set = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(userTimeout/time.Millisecond))
+		sockErr = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(userTimeout/time.Millisecond))
 	})
 	if err != nil {
 		return err
 	}
-	return set
+	return sockErr
 }
 
 // Dialer returns a dialer that connects from the local address, if that is valid.
@@ -47,8 +47,7 @@
 	return d
 }
 
-// Listen listens on the address. Connections that are accepted are bounded as those
-// that are dialled.
+// Listen listens on the address. Accepted connections detect an unresponsive peer in the same way as dialed ones.
 func Listen(ctx context.Context, addr netip.AddrPort) (net.Listener, error) {
 	c := net.ListenConfig{KeepAliveConfig: keepAliveConfig, Control: setUserTimeout}
 	lis, err := c.Listen(ctx, "tcp", addr.String())
--- a/internal/yamlmap/yamlmap.go
+++ b/internal/yamlmap/yamlmap.go
@@ -1,6 +1,5 @@
-// Package yamlmap reads YAML mappings by hand: it hands out one field after
-// another, collects every mistake with its line and path, and reports fields
-// that nobody asked for.
+// Package yamlmap reads YAML mappings field by field. It collects all mistakes with their lines and paths, and
+// reports unknown fields.
 package yamlmap
 
 import (
@@ -14,13 +13,13 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// Mistake is one thing wrong with a document.
+// Mistake is an error in a document.
 type Mistake struct {
-	// Line is where it stands, from 1, or 0 when it stands nowhere.
+	// Line is its line number, starting at 1, or 0 if it has none.
 	Line int
 	// Field is the path of the field, such as "groups[0].slots".
 	Field string
-	// Reason says what is wrong.
+	// Reason describes the mistake.
 	Reason string
 }
 
@@ -37,20 +36,19 @@
 	return b.String()
 }
 
-// Mistakes is a list of mistakes as an error.
+// Mistakes is a list of mistakes. It implements error.
 type Mistakes []Mistake
 
-// Error implements error, with a line for each mistake.
+// Error returns the mistakes, one per line.
 func (m Mistakes) Error() string {
 	lines := make([]string, len(m))
-	for i, each := range m {
-		lines[i] = each.String()
+	for i, mistake := range m {
+		lines[i] = mistake.String()
 	}
 	return strings.Join(lines, "\n")
 }
 
-// Err returns the mistakes in order of their lines, each once, or nil for an
-// empty list.
+// Err returns the mistakes sorted by line and without adjacent duplicates, or nil if the list is empty.
 func (m Mistakes) Err() error {
 	if len(m) == 0 {
 		return nil
@@ -60,7 +58,7 @@
 	return slices.Compact(sorted)
 }
 
-// Map is a mapping that is being read. Its methods record mistakes and go on.
+// Map is a YAML mapping. Its methods record mistakes and continue. It is not safe for concurrent use.
 type Map struct {
 	path     string
 	line     int
@@ -68,14 +66,14 @@
 	names    []string
 	seen     map[string]bool
 	mistakes *Mistakes
-	// invalid is true when there is no mapping to read, which was recorded.
+	// invalid is true if the node is not a mapping. The mistake is already recorded.
 	invalid bool
 }
 
-// maxDepth bounds the nesting of a document. Ours nest four deep.
+// maxDepth bounds the nesting of a document. The project's documents nest four levels deep.
 const maxDepth = 32
 
-// Parse reads the top of a document. Mistakes are added to out.
+// Parse parses a document whose top level is a mapping. It appends mistakes to out. The result is never nil.
 func Parse(text []byte, out *Mistakes) *Map {
 	var doc yaml.Node
 	if err := yaml.Unmarshal(text, &doc); err != nil {
@@ -93,8 +91,8 @@
 	return newMap("", doc.Content[0], out)
 }
 
-// hasAlias reports whether the node holds an alias, which could make a small
-// document stand for a huge one, or nests too deep.
+// hasAlias reports whether the node contains an alias, which could expand a small document to a huge one, or is
+// nested too deeply.
 func hasAlias(n *yaml.Node, depth int) bool {
 	if n.Kind == yaml.AliasNode || depth > maxDepth {
 		return true
@@ -147,7 +145,7 @@
 // Path returns the path of a field of m.
 func (m *Map) Path(field string) string { return m.join(field) }
 
-// Line returns the line of a field of m, or that of m itself.
+// Line returns the line of a field of m, or the line of m if the field is not set.
 func (m *Map) Line(field string) int {
 	if n := m.fields[field]; n != nil {
 		return n.Line
@@ -155,7 +153,7 @@
 	return m.line
 }
 
-// AddMistake records a mistake at a field.
+// AddMistake records a mistake at a field, with a reason formatted as by fmt.Sprintf.
 func (m *Map) AddMistake(field, format string, args ...any) {
 	m.add(m.Line(field), field, fmt.Sprintf(format, args...))
 }
@@ -163,7 +161,7 @@
 // Has reports whether the field is set.
 func (m *Map) Has(field string) bool { return m.fields[field] != nil }
 
-// RejectUnknown records every field that was not asked for.
+// RejectUnknown records a mistake for each field that has not been read.
 func (m *Map) RejectUnknown() {
 	for _, name := range m.names {
 		if !m.seen[name] {
@@ -172,7 +170,7 @@
 	}
 }
 
-// scalar returns the text of a field.
+// scalar returns the text of a field, and whether it is set to a scalar. It marks the field as read.
 func (m *Map) scalar(field string) (string, bool) {
 	m.seen[field] = true
 	n := m.fields[field]
@@ -186,7 +184,8 @@
 	return n.Value, true
 }
 
-// String returns a field, or the empty string. A required field must be set.
+// String returns the text of a field, or the empty string if it is not set. It records a mistake if a required field
+// is empty or not set.
 func (m *Map) String(field string, required bool) string {
 	v, ok := m.scalar(field)
 	if required && !m.invalid && v == "" && (ok || !m.Has(field)) {
@@ -195,7 +194,7 @@
 	return v
 }
 
-// Int returns a field, or missing when it is not set.
+// Int returns the integer value of a field, or missing if it is not set or invalid.
 func (m *Map) Int(field string, missing int) int {
 	v, ok := m.scalar(field)
 	if !ok {
@@ -209,21 +208,21 @@
 	return n
 }
 
-// Float returns a field between 0 and the most allowed, or zero.
-func (m *Map) Float(field string, most float64) float64 {
+// Float returns the value of a field between 0 and limit, or zero if it is not set or invalid.
+func (m *Map) Float(field string, limit float64) float64 {
 	v, ok := m.scalar(field)
 	if !ok {
 		return 0
 	}
 	x, err := strconv.ParseFloat(v, 64)
-	if err != nil || !(x >= 0 && x <= most) {
-		m.AddMistake(field, "%q is not a number between 0 and %v", v, most)
+	if err != nil || !(x >= 0 && x <= limit) {
+		m.AddMistake(field, "%q is not a number between 0 and %v", v, limit)
 		return 0
 	}
 	return x
 }
 
-// Bool returns a field, or false.
+// Bool returns the value of a field, or false if it is not set or invalid.
 func (m *Map) Bool(field string) bool {
 	v, ok := m.scalar(field)
 	if !ok {
@@ -236,8 +235,7 @@
 	return b
 }
 
-// Duration returns a field, or missing when it is not set. Durations must be
-// positive.
+// Duration returns the value of a field, or missing if it is not set or invalid. Durations must be positive.
 func (m *Map) Duration(field string, missing time.Duration) time.Duration {
 	v, ok := m.scalar(field)
 	if !ok {
@@ -255,18 +253,17 @@
 	return d
 }
 
-// AddrPort returns a required field of the form IP:PORT.
+// AddrPort returns the value of a required field of the form IP:PORT.
 func (m *Map) AddrPort(field string) netip.AddrPort {
 	return m.parseAddrPort(field, m.String(field, true))
 }
 
-// OptionalAddrPort returns a field of the form IP:PORT, or the zero value when it is
-// not set or empty.
+// OptionalAddrPort returns the value of a field of the form IP:PORT, or the zero value if it is empty or not set.
 func (m *Map) OptionalAddrPort(field string) netip.AddrPort {
 	return m.parseAddrPort(field, m.String(field, false))
 }
 
-// AddrPorts returns a field that is a list of addresses of the form IP:PORT.
+// AddrPorts returns the valid addresses of a field that is a list of the form IP:PORT.
 func (m *Map) AddrPorts(field string) []netip.AddrPort {
 	var out []netip.AddrPort
 	for _, v := range m.Strings(field) {
@@ -288,8 +285,7 @@
 	return addr
 }
 
-// Enum returns the value whose name the field holds, or missing when it is not
-// set.
+// Enum returns the value whose String is the text of the field, or missing if the field is not set or matches none.
 func Enum[E fmt.Stringer](m *Map, field string, missing E, values ...E) E {
 	v, ok := m.scalar(field)
 	if !ok {
@@ -305,13 +301,13 @@
 	return missing
 }
 
-// Map returns a field that is a mapping, empty when it is not set.
+// Map returns a field that is a mapping. The result is an empty Map if the field is not set.
 func (m *Map) Map(field string) *Map {
 	m.seen[field] = true
 	return newMap(m.join(field), m.fields[field], m.mistakes)
 }
 
-// List returns a field that is a list of mappings.
+// List returns the elements of a field that is a list of mappings.
 func (m *Map) List(field string) []*Map {
 	m.seen[field] = true
 	n := m.fields[field]
@@ -329,7 +325,7 @@
 	return out
 }
 
-// Strings returns a field that is a list of single values.
+// Strings returns the elements of a field that is a list of scalars.
 func (m *Map) Strings(field string) []string {
 	m.seen[field] = true
 	n := m.fields[field]
@@ -351,8 +347,7 @@
 	return out
 }
 
-// Names returns the names of the fields of m, in order, and marks them as
-// asked for.
+// Names returns the names of the fields of m in document order, and marks all fields as read.
 func (m *Map) Names() []string {
 	for _, name := range m.names {
 		m.seen[name] = true
