--- a/internal/gateway/acquire.go
+++ b/internal/gateway/acquire.go
@@ -16,9 +16,9 @@
 	coordinator *coordinator
 	// entryRevision is the revision of an existing entry of this host, or zero if there is none.
 	entryRevision kv.Revision
-	// record is what is taken over from the previous coordinator's record, and the new record, if that is written in
+	// inherited is what is taken over from the previous coordinator's inherited, and the new inherited, if that is written in
 	// the same transaction, or else nil.
-	record      *inheritedRecord
+	inherited   *inheritedRecord
 	transaction kv.Transaction
 }
 
@@ -91,7 +91,7 @@
 		d.log("record_not_written", "err", err)
 		return a
 	}
-	a.record = &i
+	a.inherited = &i
 	a.transaction = a.transaction.Merge(kv.Replace(h.recordKey(d.group.name), stored.Revision, value, 0))
 	return a
 }
@@ -99,17 +99,17 @@
 // completeAcquisition records that the role was acquired at the revision, and takes over the previous coordinator's record.
 func (d *coordinator) completeAcquisition(ctx context.Context, a acquisition, revision kv.Revision, lease int64, renewed time.Time) {
 	d.mu.Lock()
-	d.held, d.lease, d.token, d.acquiredAt, d.renewedAt, d.renewalsUnbroken = true, lease, revision, d.host.now(), renewed, true
+	d.held, d.leaseID, d.token, d.acquiredAt, d.renewedAt, d.renewalsUnbroken = true, lease, revision, d.host.now(), renewed, true
 	d.reclaimed, d.predecessorHandedBack, d.tokenRaisedAt = a.entryRevision != 0 && !d.writeUncertain, false, time.Time{}
-	d.writeUncertain, d.firstToken = false, 0
+	d.writeUncertain, d.exemptToken = false, 0
 	d.recordInherited, d.pendingMember, d.recordRevision, d.primaryStatus, d.grants, d.resigning = false, "", 0, primaryStatus{}, leadership.Grants{}, false
 	d.mu.Unlock()
 	d.vacantSince, d.acquireBackoff, d.recordSeparately = time.Time{}, 0, false
 	d.log("duty_taken", "token", int64(revision))
 	d.group.clearAllReplacements()
-	if a.record != nil && a.record.record.Epoch == revision.Epoch() {
-		d.noteRecordWritten(a.record.record, revision)
-		d.adoptRecord(*a.record)
+	if a.inherited != nil && a.inherited.record.Epoch == revision.Epoch() {
+		d.noteRecordWritten(a.inherited.record, revision)
+		d.adoptRecord(*a.inherited)
 	} else {
 		d.tryInheritRecord(ctx)
 	}
--- a/internal/gateway/connections.go
+++ b/internal/gateway/connections.go
@@ -38,10 +38,10 @@
 	errReroute = errors.New("the primary is unreachable from this host")
 )
 
-// acquire returns a connection for the request. It waits for one until the deadline of the request or
+// acquireConn returns a connection for the request. It waits for one until the deadline of the request or
 // until ctx ends, and then returns errNoConnection. It returns errReroute if the statement is to be
 // forwarded to a host that may reach the primary.
-func (g *Group) acquire(ctx context.Context, r pool.Request) (*pooledConn, error) {
+func (g *Group) acquireConn(ctx context.Context, r pool.Request) (*pooledConn, error) {
 	g.mu.Lock()
 	if r.Forwardable && g.primaryUnreachableLocked() {
 		g.mu.Unlock()
@@ -255,8 +255,8 @@
 	}
 }
 
-// trimConns closes connections that have been unused for long, and drops expired members.
-func (g *Group) trimConns() {
+// maintain closes connections that have been unused for long, and drops expired members.
+func (g *Group) maintain() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := g.now()
--- a/internal/gateway/coordinator.go
+++ b/internal/gateway/coordinator.go
@@ -19,9 +19,9 @@
 	coordinatorLeaseTTL = 3 * time.Second
 	// recordWriteTimeout bounds a write of the record for the next coordinator.
 	recordWriteTimeout = 500 * time.Millisecond
-	// maxPromotionDelay is how long after an unanswered request the platform may still promote the member, if it
+	// maxUnansweredPromotionDelay is how long after an unanswered request the platform may still promote the member, if it
 	// checks no fencing tokens: delayed calls on users' platforms are carried out up to 6 s later.
-	maxPromotionDelay = 8 * time.Second
+	maxUnansweredPromotionDelay = 8 * time.Second
 	// coordinatorPollInterval is the interval at which a host checks for vacant roles. It is short because after a
 	// restart of all hosts nobody grants leases until the roles are acquired again.
 	coordinatorPollInterval = 100 * time.Millisecond
@@ -43,9 +43,9 @@
 	host  *Host
 	group *Group
 
-	mu    sync.Mutex
-	held  bool
-	lease int64
+	mu      sync.Mutex
+	held    bool
+	leaseID int64
 	// token is the fencing token: the revision at which the role's entry was last written. It increases with each
 	// new coordinator and with each decision of a coordinator, even if the store is restored from an older copy in
 	// between.
@@ -93,9 +93,9 @@
 	// raisedToken is the highest token that the platform has acknowledged. It refuses requests with lower tokens
 	// from then on.
 	raisedToken kv.Revision
-	// firstToken is the token of this coordinator if no earlier one can have requested a promotion, or else zero. The
+	// exemptToken is the token of this coordinator if no earlier one can have requested a promotion, or else zero. The
 	// platform need not see such a token before leases are granted.
-	firstToken kv.Revision
+	exemptToken kv.Revision
 }
 
 func (h *Host) coordinatorKey(group string) string { return h.ports.Keys.OwnPrefix + "duty/" + group }
@@ -108,7 +108,7 @@
 	for h.awaitCoordinatorPoll(ctx) {
 		var due []*coordinator
 		for _, g := range h.allGroups() {
-			if d := h.startGroup(ctx, g, wait.Go); d != nil && d.step(ctx) {
+			if d := h.ensureGroupStarted(ctx, g, wait.Go); d != nil && d.step(ctx) {
 				due = append(due, d)
 			}
 		}
@@ -163,7 +163,7 @@
 	case leadership.ForgetVacancy:
 		d.vacantSince, d.acquireBackoff = time.Time{}, 0
 	case leadership.ClaimDuty:
-		return d.mayClaim(now)
+		return d.mayAcquire(now)
 	}
 	return false
 }
@@ -184,9 +184,9 @@
 	}, holder
 }
 
-// mayClaim reports whether the role has been vacant for as long as higher-ranked hosts are given to acquire it, and no
+// mayAcquire reports whether the role has been vacant for as long as higher-ranked hosts are given to acquire it, and no
 // backoff is running.
-func (d *coordinator) mayClaim(now time.Time) bool {
+func (d *coordinator) mayAcquire(now time.Time) bool {
 	if d.vacantSince.IsZero() {
 		d.vacantSince = now
 		return false
--- a/internal/gateway/coordinator_lease.go
+++ b/internal/gateway/coordinator_lease.go
@@ -16,8 +16,8 @@
 type coordinatorLease struct {
 	host *Host
 
-	mu    sync.Mutex
-	lease int64
+	mu      sync.Mutex
+	leaseID int64
 	// renewedAt is when the grant or the last successful renewal was requested. triedAt is when the grant or a renewal
 	// was last attempted.
 	renewedAt, triedAt time.Time
@@ -29,7 +29,7 @@
 func (l *coordinatorLease) ensure(ctx context.Context) (lease int64, renewed time.Time, err error) {
 	now := l.host.now()
 	l.mu.Lock()
-	lease, renewed = l.lease, l.renewedAt
+	lease, renewed = l.leaseID, l.renewedAt
 	l.mu.Unlock()
 	switch {
 	case lease != 0 && now.Sub(renewed) < 2*leadership.RenewalInterval:
@@ -45,7 +45,7 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.lease, l.renewedAt, l.triedAt = lease, now, now
+	l.leaseID, l.renewedAt, l.triedAt = lease, now, now
 	return lease, now, nil
 }
 
@@ -56,16 +56,16 @@
 func (l *coordinatorLease) forget(lease int64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.lease == lease {
-		l.lease = 0
+	if l.leaseID == lease {
+		l.leaseID = 0
 	}
 }
 
 // end revokes the lease in the store, which removes the entries under it.
 func (l *coordinatorLease) end() {
 	l.mu.Lock()
-	lease := l.lease
-	l.lease = 0
+	lease := l.leaseID
+	l.leaseID = 0
 	l.mu.Unlock()
 	l.host.endStoreLease(lease)
 }
@@ -75,7 +75,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.host.now()
-	return l.lease, l.lease != 0 && leadership.RenewalDue(now.Sub(l.renewedAt), now.Sub(l.triedAt))
+	return l.leaseID, l.leaseID != 0 && leadership.RenewalDue(now.Sub(l.renewedAt), now.Sub(l.triedAt))
 }
 
 // renew renews the lease. It returns the epoch in which the lease exists and when the renewal was requested.
@@ -90,7 +90,7 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if err == nil && l.lease == lease {
+	if err == nil && l.leaseID == lease {
 		l.renewedAt = requested
 	}
 	return epoch, requested, err
@@ -129,7 +129,7 @@
 func (d *coordinator) usesLease(lease int64) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.held && d.lease == lease
+	return d.held && d.leaseID == lease
 }
 
 // applyRenewal applies the result of a renewal of the lease to the role. While renewals failed, the platform may have
--- a/internal/gateway/coordinator_lease_test.go
+++ b/internal/gateway/coordinator_lease_test.go
@@ -57,7 +57,7 @@
 
 // The store takes 240 ms for each call, sixty times as long as usual. A host that renews five roles one after the other then
 // takes 1.2 s for a round, and loses them after 3 s.
-func TestSlowStoreLosesNoRole(t *testing.T) {
+func TestRolesSurviveSlowStore(t *testing.T) {
 	withManyGroups(t, 40, func(s *fakeSite, h *Host) {
 		tokens := map[string]int64{}
 		for _, d := range h.heldCoordinators() {
@@ -131,7 +131,7 @@
 		d := h.coordinatorOf("group-0")
 		d.mu.Lock()
 		d.writeUncertain = true
-		lease := d.lease
+		lease := d.leaseID
 		d.mu.Unlock()
 		s.mu.Lock()
 		s.putLocked(h.coordinatorKey("group-0"), []byte("h"), lease)
@@ -142,8 +142,8 @@
 		}
 		d.mu.Lock()
 		defer d.mu.Unlock()
-		if d.reclaimed || d.predecessorHandedBack || d.firstToken != 0 {
-			t.Errorf("reclaimed %t, handed back %t, first %v", d.reclaimed, d.predecessorHandedBack, d.firstToken)
+		if d.reclaimed || d.predecessorHandedBack || d.exemptToken != 0 {
+			t.Errorf("reclaimed %t, handed back %t, first %v", d.reclaimed, d.predecessorHandedBack, d.exemptToken)
 		}
 	})
 }
--- a/internal/gateway/coordinator_test.go
+++ b/internal/gateway/coordinator_test.go
@@ -27,15 +27,15 @@
 // renewLeaseNow renews the coordinator lease of the host and applies the result to the role.
 func renewLeaseNow(h *Host, d *coordinator) {
 	d.mu.Lock()
-	lease := d.lease
+	lease := d.leaseID
 	d.mu.Unlock()
 	epoch, requested, err := h.coordinatorLease.renew(context.Background(), lease)
 	d.applyRenewal(context.Background(), requested, epoch, err)
 }
 
-// wantLeasesWaitedOut partitions the coordinator together with the primary right after a renewal, removes its role from the
+// wantNoLeaseOutlastsPrimary partitions the coordinator together with the primary right after a renewal, removes its role from the
 // store by calling forget, and checks that no lease which it still grants outlasts the change of the primary.
-func wantLeasesWaitedOut(t *testing.T, s *fakeSite, f *fakeFleet, holder *Host, forget func()) {
+func wantNoLeaseOutlastsPrimary(t *testing.T, s *fakeSite, f *fakeFleet, holder *Host, forget func()) {
 	t.Helper()
 	for _, h := range f.all() {
 		if h != holder {
@@ -46,7 +46,7 @@
 	d := holder.coordinatorOf(testGroup)
 	renewLeaseNow(holder, d)
 	f.setFault(f.unreachable, holder.settings.Host, true)
-	f.setFault(f.storeRejects, holder.settings.Host, true)
+	f.setFault(f.storeSilentFor, holder.settings.Host, true)
 	forget()
 	var leaseEnd time.Time
 	for until := time.Now().Add(15 * time.Second); s.primaryID() == "a" && time.Now().Before(until); {
@@ -66,13 +66,13 @@
 // The store rejects the coordinator's calls and removes its entry. The next coordinator does not reach the primary and
 // promotes another member, while the previous one still grants leases on the old primary. A host that reaches only the
 // previous one would read stale data, so no lease may outlast the change of the primary.
-func TestNewCoordinatorWaitsOutLeasesOfEvictedOne(t *testing.T) {
+func TestNewCoordinatorWaitsForLeasesOfPreviousOne(t *testing.T) {
 	withFleet(t, 3, 20, freshness.Latest{}, func(s *fakeSite, f *fakeFleet) {
 		for _, h := range f.all() {
 			exec(h, Write{})
 		}
 		holder := f.coordinatorHost()
-		wantLeasesWaitedOut(t, s, f, holder, func() { s.removeCoordinatorEntry(holder) })
+		wantNoLeaseOutlastsPrimary(t, s, f, holder, func() { s.removeCoordinatorEntry(holder) })
 	})
 }
 
@@ -82,11 +82,11 @@
 	withFleet(t, 3, 20, freshness.Latest{}, func(s *fakeSite, f *fakeFleet) {
 		holder := f.coordinatorHost()
 		f.setFault(f.unreachable, holder.settings.Host, true) // so that it learns nothing from other hosts either
-		f.setFault(f.storeRejects, holder.settings.Host, true)
+		f.setFault(f.storeSilentFor, holder.settings.Host, true)
 		s.removeCoordinatorEntry(holder)
 		time.Sleep(leadership.RenewalInterval + coordinatorPollInterval + storeTimeout + 50*time.Millisecond) // a renewal has failed
 		d := holder.coordinatorOf(testGroup)
-		f.setFault(f.storeRejects, holder.settings.Host, false)
+		f.setFault(f.storeSilentFor, holder.settings.Host, false)
 		renewLeaseNow(holder, d)
 		if d.wasSoleHolder(time.Now()) {
 			t.Error("the host relies on a role whose entry was removed")
--- a/internal/gateway/errors.go
+++ b/internal/gateway/errors.go
@@ -8,9 +8,9 @@
 
 // Errors that implementations of the ports return.
 var (
-	ErrConflict = errors.New("the key has changed meanwhile")
-	ErrNoLease  = errors.New("the lease has ended")
-	ErrFenced   = errors.New("a higher fencing token was used, or the member is not running")
+	ErrConflict         = errors.New("the key has changed meanwhile")
+	ErrNoLease          = errors.New("the lease has ended")
+	ErrPromotionRefused = errors.New("a higher fencing token was used, or the member is not running")
 )
 
 // connRefused reports whether the machine at an address answers but nothing listens there. A reset
--- a/internal/gateway/execute.go
+++ b/internal/gateway/execute.go
@@ -45,7 +45,7 @@
 			return busyReply(op)
 		}
 		op.need.Deadline = op.waitUntil()
-		p, err := op.group.acquire(ctx, op.need)
+		p, err := op.group.acquireConn(ctx, op.need)
 		if errors.Is(err, errReroute) {
 			if reply, ok := s.reroute(ctx, r, &op); ok {
 				return reply
@@ -109,7 +109,7 @@
 // be retried.
 func (s *Session) attempt(r Request, op *operation, p *pooledConn) (Reply, *retry) {
 	g := op.group
-	if next := s.checkPrimary(op, p); next != nil {
+	if next := s.releaseUnlessPrimary(op, p); next != nil {
 		return Reply{}, next
 	}
 	sentAt := g.now()
@@ -186,7 +186,7 @@
 	defer cancel()
 	for !op.need.Forwardable || !g.primaryUnreachable() {
 		primary := g.primaryMember().ID
-		if primary == "" || g.verifyPrimary(checkCtx, primary, op.primarySince()) {
+		if primary == "" || g.verifyPrimary(checkCtx, primary, op.earliestPrimaryCheck()) {
 			return true
 		}
 		if !pause.For(checkCtx, verifyRetryInterval) {
@@ -196,19 +196,19 @@
 	return true
 }
 
-// primarySince returns the time at or after which the primary must be known to have led.
-func (op *operation) primarySince() time.Time {
+// earliestPrimaryCheck returns the time at or after which the primary must be known to have led.
+func (op *operation) earliestPrimaryCheck() time.Time {
 	if op.writes && !op.freshReads {
 		return op.need.ArrivedAt.Add(-maxWriteCheckAge) // confirmWrite checks afterwards whether the write is kept
 	}
 	return op.need.ArrivedAt
 }
 
-// checkPrimary returns nil if the member is known to lead or need not be. Otherwise it releases
+// releaseUnlessPrimary returns nil if the member is known to lead or need not be. Otherwise it releases
 // the connection and returns a retry.
-func (s *Session) checkPrimary(op *operation, p *pooledConn) *retry {
+func (s *Session) releaseUnlessPrimary(op *operation, p *pooledConn) *retry {
 	g := op.group
-	if !op.needsPrimaryCheck || g.isKnownPrimary(p.member.ID, op.primarySince()) {
+	if !op.needsPrimaryCheck || g.isKnownPrimary(p.member.ID, op.earliestPrimaryCheck()) {
 		return nil
 	}
 	g.release(p)
@@ -254,7 +254,7 @@
 // why the statement is to be retried.
 func (s *Session) handleReply(op *operation, p *pooledConn, sentAt time.Time, reply Reply) (Reply, *retry) {
 	g := op.group
-	g.noteLatency(p.member, sentAt)
+	g.noteAnswer(p.member, sentAt)
 	g.noteApplied(p.member, reply.Position)
 	g.observePosition(p.member, sentAt, reply.Position)
 	if reply.Failure == nil {
--- a/internal/gateway/failover.go
+++ b/internal/gateway/failover.go
@@ -40,7 +40,7 @@
 	}
 	w.log("successor", "member", best, "term", term, "answers", formatResults(fenced),
 		"found_ms", w.host.now().Sub(listedAt).Milliseconds())
-	w.promote(ctx, best, successorChoice{listedAt: listedAt, received: receivedBy(best, fenced)})
+	w.promote(ctx, best, successorChoice{listedAt: listedAt, received: logEndOf(best, fenced)})
 }
 
 // confirmFences asks the replicas again after all of them were fenced. A replica that was restarted in between has lost
@@ -74,7 +74,7 @@
 // else one that holds everything that the demoted old primary held. If there is none, the old primary is chosen to lead
 // again unless it is leaving.
 func (w *groupMonitor) chooseSuccessor(answers, fenced []controlResult) (string, bool) {
-	if best, ok := group.Successor(nil, w.standbys(fenced)); ok {
+	if best, ok := group.Successor(nil, w.successorCandidates(fenced)); ok {
 		return best.Member, true
 	}
 	primary, _ := splitPrimary(w.primary.ID, answers)
@@ -82,14 +82,14 @@
 		return "", false
 	}
 	end := primary.status.Received
-	if best, ok := group.Successor(&end, w.standbys(fenced)); ok {
+	if best, ok := group.Successor(&end, w.successorCandidates(fenced)); ok {
 		return best.Member, true
 	}
 	return w.primary.ID, !w.primary.Leaving
 }
 
-// receivedBy returns the end of the member's log according to the answers, or the zero position if it is not among them.
-func receivedBy(id string, answers []controlResult) group.Position {
+// logEndOf returns the end of the member's log according to the answers, or the zero position if it is not among them.
+func logEndOf(id string, answers []controlResult) group.Position {
 	for _, a := range answers {
 		if a.member.ID == id {
 			return a.status.Received
@@ -112,9 +112,9 @@
 	return highestTerm(answers) > w.group.highestSeenTerm() && countFailed(answers) > 0
 }
 
-// standbys converts answers of fenced replicas into the input for the choice of a successor.
-func (w *groupMonitor) standbys(answers []controlResult) []group.Standby {
-	lost := w.group.lostMembers()
+// successorCandidates converts answers of fenced replicas into the input for the choice of a successor.
+func (w *groupMonitor) successorCandidates(answers []controlResult) []group.Standby {
+	lost := w.group.longMissingMembers()
 	var out []group.Standby
 	for _, a := range answers {
 		if a.err != nil && lost[a.member.ID] && w.group.hasEnded(a) {
--- a/internal/gateway/failover_test.go
+++ b/internal/gateway/failover_test.go
@@ -80,7 +80,7 @@
 		if s.primaryID() == "a" {
 			t.Error("the primary that no replica receives from still leads")
 		}
-		if n := len(s.promotionOrders()); n > 1 {
+		if n := len(s.promotionRequests()); n > 1 {
 			t.Errorf("%d promotion requests for one change of the primary", n)
 		}
 		wantNoLostWrites(t, s)
@@ -170,7 +170,7 @@
 		exec(h, Write{})
 		s.updateMember("a", func(m *fakeMember) { m.full = true })
 		sendWrites(h, 40)
-		for _, o := range s.promotionOrders() {
+		for _, o := range s.promotionRequests() {
 			t.Errorf("promotion request %q", o)
 		}
 	})
@@ -268,7 +268,7 @@
 
 // All members' entries expired during an outage of the store, and are back a second after it. Callers must not notice, since
 // the members served all the time.
-func TestLapsedMemberEntriesKeepServing(t *testing.T) {
+func TestMembersWithLapsedEntriesKeepServing(t *testing.T) {
 	withHost(t, freshness.MaxAge{Age: time.Second}, func(s *fakeSite, h *Host) {
 		exec(h, Write{})
 		for _, id := range []string{"a", "b", "c"} {
@@ -302,9 +302,9 @@
 		w := &groupMonitor{coordinator: &coordinator{host: h, group: g, held: true, token: 1000}, primary: Member{ID: "a"}}
 		answers := g.controlAll(g.listMembers(), Probe{}, controlTimeout)
 		s.makePrimary(s.member("c"))
-		before := len(s.promotionOrders())
+		before := len(s.promotionRequests())
 		w.failover(context.Background(), h.now(), answers)
-		if requests := s.promotionOrders()[before:]; len(requests) > 0 {
+		if requests := s.promotionRequests()[before:]; len(requests) > 0 {
 			t.Errorf("promotion requests %v while c leads", requests)
 		}
 		wantNoLostWrites(t, s)
@@ -328,7 +328,7 @@
 		s.writeMemberEntry("b", "ready")
 		awaitWrite(t, h, 3*time.Second)
 		time.Sleep(time.Second)
-		for _, o := range s.promotionOrders() {
+		for _, o := range s.promotionRequests() {
 			if o != "h1 a" {
 				t.Errorf("promotion request %q", o)
 			}
--- a/internal/gateway/fakeconn_test.go
+++ b/internal/gateway/fakeconn_test.go
@@ -135,7 +135,7 @@
 func (c *fakeConn) run(timeout time.Duration, command Command) (Reply, error) {
 	switch command := command.(type) {
 	case Forward:
-		return c.forward(timeout, command)
+		return c.runStatement(timeout, command)
 	case OpenTransaction:
 		return c.open(command), nil
 	case Abort:
@@ -175,7 +175,7 @@
 	return Reply{Position: c.m.applied}
 }
 
-func (c *fakeConn) forward(timeout time.Duration, f Forward) (Reply, error) {
+func (c *fakeConn) runStatement(timeout time.Duration, f Forward) (Reply, error) {
 	c.site.mu.Lock()
 	refused := c.refuse(f)
 	work := c.m.work
--- a/internal/gateway/fakefleet_test.go
+++ b/internal/gateway/fakefleet_test.go
@@ -23,8 +23,8 @@
 	// hosts holds the hosts by their addresses for other hosts, and stops the functions that end them by name.
 	hosts map[netip.AddrPort]*Host
 	stops map[string]func()
-	// unreachable holds the hosts that neither reach nor answer other hosts, storeRejects those that the store does not answer.
-	unreachable, storeRejects map[string]bool
+	// unreachable holds the hosts that neither reach nor answer other hosts, storeSilentFor those that the store does not answer.
+	unreachable, storeSilentFor map[string]bool
 	// losesReplies holds the hosts whose streams lose the reply of each request, losesRequests those whose streams lose the
 	// request.
 	losesReplies, losesRequests map[string]bool
@@ -42,7 +42,7 @@
 func newFakeFleet(s *fakeSite, n, connections int, class freshness.Class) *fakeFleet {
 	f := &fakeFleet{
 		site: s, hosts: map[netip.AddrPort]*Host{}, stops: map[string]func(){}, unreachable: map[string]bool{},
-		storeRejects: map[string]bool{}, losesReplies: map[string]bool{}, losesRequests: map[string]bool{}, severed: map[string]bool{}, forwardedTo: map[string]int{},
+		storeSilentFor: map[string]bool{}, losesReplies: map[string]bool{}, losesRequests: map[string]bool{}, severed: map[string]bool{}, forwardedTo: map[string]int{},
 		storeReads: map[string]int{},
 	}
 	s.put("config", []byte{1, byte(connections)}, 0)
@@ -167,7 +167,7 @@
 
 // reach blocks and returns an error if the store does not answer the host.
 func (s hostStore) reach(ctx context.Context) error {
-	if s.fleet.hasFault(s.fleet.storeRejects, s.host) {
+	if s.fleet.hasFault(s.fleet.storeSilentFor, s.host) {
 		<-ctx.Done()
 		return errStoreDown
 	}
--- a/internal/gateway/fakesite_test.go
+++ b/internal/gateway/fakesite_test.go
@@ -145,8 +145,8 @@
 	return slices.Clone(s.member(id).runs)
 }
 
-// promotionOrders returns the accepted promotions, each as the requesting host and the member.
-func (s *fakeSite) promotionOrders() []string {
+// promotionRequests returns the accepted promotions, each as the requesting host and the member.
+func (s *fakeSite) promotionRequests() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.Clone(s.promotions)
@@ -204,7 +204,7 @@
 	defer s.mu.Unlock()
 	m := s.member(id)
 	if token < s.token && !s.ignoresTokens || m.crashed {
-		return ErrFenced
+		return ErrPromotionRefused
 	}
 	s.token = token
 	s.promotions = append(s.promotions, holder+" "+id)
--- a/internal/gateway/floor.go
+++ b/internal/gateway/floor.go
@@ -10,7 +10,7 @@
 
 // noteDeparture records that a member may have left with its log, or lost its log, at the given time. g.mu must be held.
 func (g *Group) noteDeparture(at time.Time) {
-	g.departedAt, g.departedRevision = laterTime(g.departedAt, at), kv.Revision(g.storeRevision.Load())
+	g.departedAt, g.departedRevision = laterTime(g.departedAt, at), kv.Revision(g.knownRevision.Load())
 }
 
 func laterTime(a, b time.Time) time.Time {
--- a/internal/gateway/forward.go
+++ b/internal/gateway/forward.go
@@ -61,7 +61,7 @@
 // returns false if no host took it.
 func (s *Session) forwardSingle(ctx context.Context, r Request, op *operation) (reply Reply, ok bool) {
 	arrived := op.deadline.Add(-op.route.Timeout)
-	s.tryServers(ctx, op, func(server membership.Host, waitForPrimary bool) error {
+	s.tryServingHosts(ctx, op, func(server membership.Host, waitForPrimary bool) error {
 		req := s.newPeerRequest(r, arrived, op)
 		req.WaitForPrimary = waitForPrimary
 		got, _, err := s.forward(ctx, server, req, op.deadline)
@@ -78,27 +78,27 @@
 	return reply, ok
 }
 
-// attemptFunc sends a statement to another host. The error is nil once the outcome of the
+// sendFunc sends a statement to another host. The error is nil once the outcome of the
 // statement is decided.
-type attemptFunc func(server membership.Host, waitForPrimary bool) error
+type sendFunc func(server membership.Host, waitForPrimary bool) error
 
-// tryServers tries the hosts that serve the group in turn until the outcome of the statement is
+// tryServingHosts tries the hosts that serve the group in turn until the outcome of the statement is
 // decided, its time to wait is over, or this host is to serve the group itself.
-func (s *Session) tryServers(ctx context.Context, op *operation, attempt attemptFunc) {
+func (s *Session) tryServingHosts(ctx context.Context, op *operation, attempt sendFunc) {
 	if !op.servedElsewhere {
 		s.tryAlternatives(op, attempt)
 		return
 	}
-	for s.tryServersOnce(op, attempt) {
+	for s.tryServingHostsOnce(op, attempt) {
 		if !pause.For(ctx, peerRetryInterval) {
 			return
 		}
 	}
 }
 
-// tryServersOnce sends a statement to each host that serves the group until one takes it. It
+// tryServingHostsOnce sends a statement to each host that serves the group until one takes it. It
 // returns true if the statement is to be retried.
-func (s *Session) tryServersOnce(op *operation, attempt attemptFunc) bool {
+func (s *Session) tryServingHostsOnce(op *operation, attempt sendFunc) bool {
 	g, h := op.group, s.host
 	var withoutPrimary []membership.Host // hosts that can't reach the primary
 	for _, server := range h.serversFor(g).servers {
@@ -135,7 +135,7 @@
 
 // tryAlternatives sends a statement to hosts that may reach the primary while this host, which
 // serves the group, can't.
-func (s *Session) tryAlternatives(op *operation, attempt attemptFunc) {
+func (s *Session) tryAlternatives(op *operation, attempt sendFunc) {
 	alternatives := s.host.fleet.Usable(s.host.alternativeHosts(op.group))
 	for _, server := range alternatives[:min(len(alternatives), 1+maxAlternatives)] {
 		if attempt(server, false) == nil || !s.host.now().Before(op.waitUntil()) {
@@ -305,7 +305,7 @@
 // forwarded statement is returned to the host that sent it. It returns false if no host took the
 // statement, which then waits here.
 func (s *Session) reroute(ctx context.Context, r Request, op *operation) (Reply, bool) {
-	if s.returnToOrigin() {
+	if s.declineToOrigin() {
 		return busyReply(*op), true
 	}
 	op.need.Forwardable = false
@@ -314,20 +314,20 @@
 
 // rerouteInTransaction is reroute for a transaction that has run no statement yet.
 func (s *Session) rerouteInTransaction(ctx context.Context, r Request, arrived time.Time) (Reply, bool) {
-	if s.returnToOrigin() {
+	if s.declineToOrigin() {
 		return s.failTransaction(busyReply(s.tx.op)), true
 	}
 	s.tx.op.need.Forwardable = false
 	return s.forwardInTransaction(ctx, r, arrived)
 }
 
-// returnToOrigin returns a forwarded statement to the host that sent it: the reply says that this
+// declineToOrigin returns a forwarded statement to the host that sent it: the reply says that this
 // host can't reach the primary. It returns false for this host's own callers.
-func (s *Session) returnToOrigin() bool {
+func (s *Session) declineToOrigin() bool {
 	if s.origin == nil {
 		return false
 	}
-	s.origin.returned = true
+	s.origin.declined = true
 	return true
 }
 
@@ -345,7 +345,7 @@
 	if t.remote != nil {
 		return s.continueRemote(ctx, r, arrived), true
 	}
-	s.tryServers(ctx, &t.op, func(server membership.Host, waitForPrimary bool) error {
+	s.tryServingHosts(ctx, &t.op, func(server membership.Host, waitForPrimary bool) error {
 		req := s.newPeerRequest(r, arrived, &t.op)
 		req.Begin, req.BeginAge = &Begin{ReadOnly: t.readOnly}, s.host.now().Sub(t.started)
 		req.WaitForPrimary = waitForPrimary
--- a/internal/gateway/forwarded_session.go
+++ b/internal/gateway/forwarded_session.go
@@ -24,9 +24,9 @@
 	from string
 	routeTarget
 	// waitForPrimary is true if the current request is to wait for the primary on this host.
-	// returned is set if it does not wait and goes back to its host, since this one can't reach
+	// declined is set if it does not wait and goes back to its host, since this one can't reach
 	// the primary.
-	waitForPrimary, returned bool
+	waitForPrimary, declined bool
 }
 
 // NewForwardedSession returns a ForwardedSession without a caller.
@@ -135,7 +135,7 @@
 		fs.session = &Session{host: h, database: r.Database, origin: &forwardOrigin{from: r.From, routeTarget: routeTarget{r.Route, h.group(r.Group), &account.Account{Name: r.Account}}}}
 	}
 	s := fs.session
-	s.origin.waitForPrimary, s.origin.returned = r.WaitForPrimary, false
+	s.origin.waitForPrimary, s.origin.declined = r.WaitForPrimary, false
 	s.values = r.Values
 	s.advanceLastWrite(r.LastWrite)
 	if e, ok := r.Request.Statement.(Execute); ok && r.Prepared != nil {
@@ -150,7 +150,7 @@
 		s.state = Idle
 	}
 	out := &PeerReply{Process: h.processID, Reply: reply, LastWrite: s.lastWrite}
-	if s.origin.returned {
+	if s.origin.declined {
 		out.Declined = PrimaryUnreachable
 	}
 	return out
--- a/internal/gateway/group.go
+++ b/internal/gateway/group.go
@@ -46,10 +46,10 @@
 	fallbackUntil time.Time
 	// servingHosts holds the hosts to forward statements to if other hosts serve the group.
 	servingHosts fleet.Versioned[servingHosts]
-	// serversLostSince is since when none of the serving hosts has been reachable, or zero.
-	serversLostSince time.Time
-	// serversTriedAt is when a statement was last forwarded to the serving hosts.
-	serversTriedAt time.Time
+	// servingHostsLostSince is since when none of the serving hosts has been reachable, or zero.
+	servingHostsLostSince time.Time
+	// servingHostsTriedAt is when a statement was last forwarded to the serving hosts.
+	servingHostsTriedAt time.Time
 	// maxStaleness is the shortest maximum age among the group's routes, or zero.
 	maxStaleness time.Duration
 	// pool decides which connections to open, assign and close. conns holds the connections, and
@@ -116,9 +116,9 @@
 	// list was first read. The member may have held the only other copy of what it had acknowledged by
 	// then.
 	departedAt time.Time
-	// storeRevision is the store revision up to which this host has seen changes. departedRevision is
+	// knownRevision is the store revision up to which this host has seen changes. departedRevision is
 	// its value at departedAt, or zero if no member has left.
-	storeRevision    *atomic.Int64
+	knownRevision    *atomic.Int64
 	departedRevision kv.Revision
 	// floor is a position of the primary as of floorAt. A log that contains it contains everything
 	// acknowledged by members that left before floorAt; see floorValid.
@@ -140,7 +140,7 @@
 func newGroup(name string, h *Host) *Group {
 	g := &Group{
 		name: name, zone: h.settings.Zone, dialer: h.ports.Dialer, logger: log.With(h.logger, "group", name),
-		now: h.now, metrics: h.metrics, storeRevision: &h.knownRevision, maxDrain: h.settings.MemberDrain - drainMargin,
+		now: h.now, metrics: h.metrics, knownRevision: &h.knownRevision, maxDrain: h.settings.MemberDrain - drainMargin,
 		members: map[string]*member{}, maxConnections: 1, hostCount: 1, controlConns: map[string]*controlConn{},
 		probeSignal: make(chan struct{}, 1), leaseSignal: make(chan struct{}, 1),
 		conns: map[*pool.Conn]*pooledConn{}, waiting: map[*pool.Waiter]chan *pooledConn{},
@@ -205,7 +205,7 @@
 func (g *Group) updateMember(listed Member) {
 	m := g.members[listed.ID]
 	if m != nil && m.Incarnation != listed.Incarnation {
-		g.replaceRestarted(m)
+		g.dropRestarted(m)
 		m = nil
 	}
 	if m == nil {
@@ -248,9 +248,9 @@
 	}
 }
 
-// replaceRestarted drops a member that was restarted under the same ID. Its state is lost, including a
+// dropRestarted drops a member that was restarted under the same ID. Its state is lost, including a
 // fence that kept it from receiving the log, and its connections are closed. g.mu must be held.
-func (g *Group) replaceRestarted(m *member) {
+func (g *Group) dropRestarted(m *member) {
 	g.log("member_reborn", "member", m.ID, "born", m.Incarnation, "leads", m.ID == g.primaryID)
 	g.dropMember(m)
 	delete(g.members, m.ID)
@@ -463,8 +463,8 @@
 	}
 }
 
-// noteLatency records that the member has just answered a statement that was sent at the given time.
-func (g *Group) noteLatency(m *member, sentAt time.Time) {
+// noteAnswer records that the member has just answered a statement that was sent at the given time.
+func (g *Group) noteAnswer(m *member, sentAt time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	m.heardAt, m.silentSince = g.now(), time.Time{}
@@ -491,9 +491,9 @@
 	return m == nil || m.Leaving || connRefused(r.err)
 }
 
-// lostMembers returns the IDs of the members that have been missing for longer than
+// longMissingMembers returns the IDs of the members that have been missing for longer than
 // missingMemberGrace.
-func (g *Group) lostMembers() map[string]bool {
+func (g *Group) longMissingMembers() map[string]bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	out := map[string]bool{}
--- a/internal/gateway/groups.go
+++ b/internal/gateway/groups.go
@@ -115,9 +115,9 @@
 	return len(g.conns) > 0 || len(g.controlConns) > 0 || g.pool.Waiting() > 0
 }
 
-// startGroup starts the goroutines of a Group with start. They end with ctx or when the Group is
+// ensureGroupStarted starts the goroutines of a Group with start. They end with ctx or when the Group is
 // dropped. It returns the Group's coordinator, or nil if the Group has been dropped.
-func (h *Host) startGroup(ctx context.Context, g *Group, start func(func())) *coordinator {
+func (h *Host) ensureGroupStarted(ctx context.Context, g *Group, start func(func())) *coordinator {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if c := h.coordinators[g.name]; c != nil {
--- a/internal/gateway/groups_test.go
+++ b/internal/gateway/groups_test.go
@@ -45,7 +45,7 @@
 		if err != nil || target.group == nil || len(target.group.listMembers()) != 3 || !target.group.servedElsewhere() {
 			t.Fatalf("the statement is routed to %+v, %v", target, err)
 		}
-		h.startGroup(t.Context(), target.group, func(func()) {})
+		h.ensureGroupStarted(t.Context(), target.group, func(func()) {})
 		h.dropUnusedGroups()
 		if h.existingGroup(irrelevant) != target.group {
 			t.Error("the group is dropped before the retention ends")
--- a/internal/gateway/host.go
+++ b/internal/gateway/host.go
@@ -38,8 +38,8 @@
 	PromotionTokens bool
 	// MinLeaseTTL is the shortest TTL of a lease that the store grants.
 	MinLeaseTTL time.Duration
-	// Quotas limits how far an account may exceed its quota while hosts disagree.
-	Quotas quota.Tolerance
+	// QuotaTolerance limits how far an account may exceed its quota while hosts disagree.
+	QuotaTolerance quota.Tolerance
 	// Peer is the host's address for other hosts. Without one, the host serves only its own callers.
 	Peer netip.AddrPort
 	// Seeds are addresses of other hosts. Some of these hosts may no longer exist.
@@ -113,8 +113,8 @@
 	formerRecords map[string]leadership.StoredRecord
 
 	quotas *quotas.Enforcer
-	// coordinatorEntries holds the last known entry of each group's coordinator role.
-	coordinatorEntries map[string]kv.Item
+	// quotaGranterEntries holds the last known entry of each group's coordinator role.
+	quotaGranterEntries map[string]kv.Item
 
 	// processID identifies this run of the host, whose state in memory ends with it. started is when the run began.
 	processID string
@@ -156,8 +156,8 @@
 	h.follower = follow.New(follow.Settings{Self: s.Peer, Seeds: s.Seeds, HostsPrefix: h.hostsPrefix()}, follow.Ports{
 		Store: p.Store, Peers: p.Peers, Apply: h.applyChanges, Log: h.log,
 	}, h.fleet, h.storeView, now)
-	h.coordinatorEntries, h.formerRecords = map[string]kv.Item{}, map[string]leadership.StoredRecord{}
-	h.quotas = quotas.New(quotas.Settings{Host: s.Host, Process: h.processID, Tolerance: s.Quotas}, quotaFleet{h}, logger, now)
+	h.quotaGranterEntries, h.formerRecords = map[string]kv.Item{}, map[string]leadership.StoredRecord{}
+	h.quotas = quotas.New(quotas.Settings{Host: s.Host, Process: h.processID, Tolerance: s.QuotaTolerance}, quotaFleet{h}, logger, now)
 	return h
 }
 
@@ -170,7 +170,7 @@
 	wait.Go(func() { h.runCoordinators(ctx) })
 	wait.Go(func() { h.keepCoordinatorLease(ctx) })
 	wait.Go(func() { h.quotas.Run(ctx) })
-	wait.Go(func() { h.trimIdleConns(ctx) })
+	wait.Go(func() { h.runMaintenance(ctx) })
 	wait.Wait()
 }
 
@@ -277,14 +277,14 @@
 	return err
 }
 
-// trimInterval is the interval between checks for unused connections.
-const trimInterval = 250 * time.Millisecond
+// maintenanceInterval is the interval between checks for unused connections.
+const maintenanceInterval = 250 * time.Millisecond
 
-// trimIdleConns closes unused connections to members and drops the store view's cached list once it is old, until ctx ends.
-func (h *Host) trimIdleConns(ctx context.Context) {
-	for pause.For(ctx, trimInterval) {
+// runMaintenance closes unused connections to members and drops the store view's cached list once it is old, until ctx ends.
+func (h *Host) runMaintenance(ctx context.Context) {
+	for pause.For(ctx, maintenanceInterval) {
 		for _, g := range h.allGroups() {
-			g.trimConns()
+			g.maintain()
 			g.closeIdleControlConns()
 		}
 		h.storeView.Trim()
--- a/internal/gateway/leadership_test.go
+++ b/internal/gateway/leadership_test.go
@@ -45,7 +45,7 @@
 		exec(cutOff, Write{})
 		name := cutOff.settings.Host
 		f.setFault(f.unreachable, name, true)
-		f.setFault(f.storeRejects, name, true)
+		f.setFault(f.storeSilentFor, name, true)
 		s.updateMember("a", func(m *fakeMember) { m.partitioned = true })
 		for _, h := range f.all() {
 			if h != cutOff {
@@ -84,7 +84,7 @@
 			t.Fatalf("the read failed: %v", r.Failure)
 		}
 		f.setFault(f.unreachable, cutOff.settings.Host, true)
-		f.setFault(f.storeRejects, cutOff.settings.Host, true)
+		f.setFault(f.storeSilentFor, cutOff.settings.Host, true)
 		s.writeMemberEntry("a", "draining")
 		s.updateMember("a", func(m *fakeMember) { m.partitioned = true })
 		var written bool
--- a/internal/gateway/local_replica.go
+++ b/internal/gateway/local_replica.go
@@ -52,7 +52,7 @@
 		return Reply{}, false
 	}
 	local.need.Deadline = op.group.now().Add(localReplicaTimeout)
-	p, err := op.group.acquire(ctx, local.need)
+	p, err := op.group.acquireConn(ctx, local.need)
 	if err != nil {
 		return Reply{}, false
 	}
--- a/internal/gateway/promotion.go
+++ b/internal/gateway/promotion.go
@@ -136,7 +136,7 @@
 	call, cancel := context.WithTimeout(ctx, promoteCallTimeout)
 	defer cancel()
 	err := w.host.ports.Promoter.Promote(call, w.host.settings.Host, int64(token), w.group.name, id)
-	if errors.Is(err, ErrFenced) {
+	if errors.Is(err, ErrPromotionRefused) {
 		w.log("promotion_refused", "member", id, "token", int64(token), "err", err)
 		w.handleRefusedToken(ctx)
 		return false
--- a/internal/gateway/promotion_state.go
+++ b/internal/gateway/promotion_state.go
@@ -12,7 +12,7 @@
 // longer this host's, or the store was restored, the role is lost.
 func (d *coordinator) renewToken(ctx context.Context) error {
 	d.mu.Lock()
-	token, lease := d.token, d.lease
+	token, lease := d.token, d.leaseID
 	d.mu.Unlock()
 	call, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
@@ -60,7 +60,7 @@
 func (d *coordinator) pendingPromotionExpired() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return !d.host.settings.PromotionTokens && d.host.now().Sub(d.pendingAt) > maxPromotionDelay
+	return !d.host.settings.PromotionTokens && d.host.now().Sub(d.pendingAt) > maxUnansweredPromotionDelay
 }
 
 // noteTokenRaised records that the platform has acknowledged the token.
@@ -78,5 +78,5 @@
 func (d *coordinator) tokenCurrent() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return !d.host.settings.PromotionTokens || d.raisedToken == d.token || d.firstToken == d.token
+	return !d.host.settings.PromotionTokens || d.raisedToken == d.token || d.exemptToken == d.token
 }
--- a/internal/gateway/propagation_test.go
+++ b/internal/gateway/propagation_test.go
@@ -79,7 +79,7 @@
 func TestHostsRejectedByStoreDoNotFollowEachOther(t *testing.T) {
 	withFleet(t, 30, 20, freshness.Latest{}, func(_ *fakeSite, f *fakeFleet) {
 		for _, h := range f.mutualSources() {
-			f.setFault(f.storeRejects, h.settings.Host, true)
+			f.setFault(f.storeSilentFor, h.settings.Host, true)
 		}
 		time.Sleep(watchWait)
 		f.writeConfig(2, 20)
@@ -98,7 +98,7 @@
 	withFleet(t, 30, 20, freshness.Latest{}, func(_ *fakeSite, f *fakeFleet) {
 		gone := f.storeReaders()[0]
 		f.setFault(f.unreachable, gone.settings.Host, true)
-		f.setFault(f.storeRejects, gone.settings.Host, true)
+		f.setFault(f.storeSilentFor, gone.settings.Host, true)
 		time.Sleep(watchWait + 100*time.Millisecond) // watches that started before the fault have ended
 		f.writeConfig(2, 20)
 		time.Sleep(1500 * time.Millisecond)
--- a/internal/gateway/quota.go
+++ b/internal/gateway/quota.go
@@ -27,9 +27,9 @@
 	defer f.h.mu.Unlock()
 	key := f.h.coordinatorKey(shard)
 	if entry, known := f.h.storeView.Item(key); known {
-		f.h.coordinatorEntries[shard] = entry
+		f.h.quotaGranterEntries[shard] = entry
 	}
-	entry, ok := f.h.coordinatorEntries[shard]
+	entry, ok := f.h.quotaGranterEntries[shard]
 	return string(entry.Value), int64(entry.Revision), ok
 }
 
--- a/internal/gateway/record.go
+++ b/internal/gateway/record.go
@@ -115,7 +115,7 @@
 		d.recordInherited, d.predecessorHandedBack = true, i.certain && (found.HandedBack || found.Holder == "")
 		if i.certain && found.Holder == "" && !d.reclaimed {
 			// A coordinator requests no promotion before it has written a record.
-			d.firstToken = d.token
+			d.exemptToken = d.token
 		}
 		d.reclaimed = d.reclaimed && i.certain && found.Holder == d.host.settings.Host
 		d.pendingMember, d.pendingToken, d.pendingAt = found.PendingPromotion, 0, d.host.now()
--- a/internal/gateway/restore_test.go
+++ b/internal/gateway/restore_test.go
@@ -71,7 +71,7 @@
 func TestHostsRejectedByStoreLearnOfRestore(t *testing.T) {
 	withFleet(t, 12, 20, freshness.Latest{}, func(s *fakeSite, f *fakeFleet) {
 		for _, h := range f.mutualSources() {
-			f.setFault(f.storeRejects, h.settings.Host, true)
+			f.setFault(f.storeSilentFor, h.settings.Host, true)
 		}
 		restoreStoreAfter(s, 2*time.Second, func() {
 			s.bumpRevision(30)
@@ -158,7 +158,7 @@
 		if second == nil || second == first {
 			t.Fatal("no other host acquired the coordinator role")
 		}
-		wantLeasesWaitedOut(t, s, f, second, func() { s.restore(b) })
+		wantNoLeaseOutlastsPrimary(t, s, f, second, func() { s.restore(b) })
 	})
 }
 
@@ -181,7 +181,7 @@
 		if second == nil || second.settings.Host == first.settings.Host {
 			t.Fatal("no other host acquired the coordinator role")
 		}
-		wantLeasesWaitedOut(t, s, f, second, func() { s.restore(b) })
+		wantNoLeaseOutlastsPrimary(t, s, f, second, func() { s.restore(b) })
 	})
 }
 
@@ -310,7 +310,7 @@
 			t.Fatal("the role was not acquired again")
 		}
 		m.promote(context.Background(), "b", successorChoice{})
-		if orders := s.promotionOrders(); len(orders) > 0 {
+		if orders := s.promotionRequests(); len(orders) > 0 {
 			t.Errorf("promotions %v were requested", orders)
 		}
 	})
--- a/internal/gateway/serving.go
+++ b/internal/gateway/serving.go
@@ -34,10 +34,10 @@
 		return false
 	}
 	now := g.now()
-	if g.isIsolated() && now.Sub(g.serversTriedAt) < isolatedRetryInterval {
+	if g.isIsolated() && now.Sub(g.servingHostsTriedAt) < isolatedRetryInterval {
 		return false
 	}
-	g.serversTriedAt = now
+	g.servingHostsTriedAt = now
 	return true
 }
 
@@ -157,7 +157,7 @@
 func (g *Group) noteServerReached() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.serversLostSince = time.Time{}
+	g.servingHostsLostSince = time.Time{}
 }
 
 // noteServerUnreached records that a host that serves the group could not be reached, and reports whether this host
@@ -165,8 +165,8 @@
 func (g *Group) noteServerUnreached() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.serversLostSince.IsZero() {
-		g.serversLostSince = g.now()
+	if g.servingHostsLostSince.IsZero() {
+		g.servingHostsLostSince = g.now()
 	}
 	return g.isIsolated()
 }
@@ -174,7 +174,7 @@
 // isIsolated reports whether this host serves the group because none of the serving hosts is reachable. g.mu must be
 // held.
 func (g *Group) isIsolated() bool {
-	return !g.serversLostSince.IsZero() && g.now().Sub(g.serversLostSince) > isolationTimeout
+	return !g.servingHostsLostSince.IsZero() && g.now().Sub(g.servingHostsLostSince) > isolationTimeout
 }
 
 // servingPlan returns which hosts serve a group. h.mu must be held.
--- a/internal/gateway/session.go
+++ b/internal/gateway/session.go
@@ -153,7 +153,7 @@
 func (s *Session) recordOutcome(r Request, arrived time.Time, reply Reply) {
 	outcome := "served"
 	switch {
-	case s.origin != nil && s.origin.returned:
+	case s.origin != nil && s.origin.declined:
 		s.host.logDeclined(s, r, arrived)
 		outcome = PrimaryUnreachable.String()
 	case reply.Failure != nil:
--- a/internal/gateway/switchover.go
+++ b/internal/gateway/switchover.go
@@ -35,7 +35,7 @@
 		return
 	}
 	w.log("successor", "member", target.ID, "term", term, "planned", true)
-	if !w.promote(ctx, target.ID, successorChoice{listedAt: started, received: receivedBy(target.ID, replicas)}) {
+	if !w.promote(ctx, target.ID, successorChoice{listedAt: started, received: logEndOf(target.ID, replicas)}) {
 		w.group.controlAll(others, Release{}, controlTimeout)
 	}
 }
@@ -74,7 +74,7 @@
 		if err != nil {
 			return false
 		}
-		all := append(w.standbys(fenced), group.Standby{
+		all := append(w.successorCandidates(fenced), group.Standby{
 			Member: target.ID, Answered: true, Received: s.Received, Complete: w.group.coversDeparted(s.Received),
 		})
 		best, ok := group.Successor(end, all)
--- a/internal/gateway/transaction.go
+++ b/internal/gateway/transaction.go
@@ -135,7 +135,7 @@
 			return &Failure{Aborted, "the primary could not be proven to lead in time, " + retryAfter(0)}
 		}
 		op.need.Deadline = op.waitUntil()
-		p, err := op.group.acquire(ctx, op.need)
+		p, err := op.group.acquireConn(ctx, op.need)
 		if errors.Is(err, errReroute) {
 			return err
 		}
@@ -159,7 +159,7 @@
 func (s *Session) beginOnConn(p *pooledConn) *retry {
 	t := s.tx
 	op, g := &t.op, t.op.group
-	if next := s.checkPrimary(op, p); next != nil {
+	if next := s.releaseUnlessPrimary(op, p); next != nil {
 		return next
 	}
 	if !t.readOnly && g.connNeedsCheck(p, g.now()) && !s.checkConn(op, p) {
@@ -211,7 +211,7 @@
 		}
 		return s.failTransaction(failureReply(Aborted, "the connection to "+p.member.ID+" failed, "+retryAfter(0))), nil
 	}
-	g.noteLatency(p.member, sentAt)
+	g.noteAnswer(p.member, sentAt)
 	reply := replies[len(replies)-1]
 	if reply.Failure == nil {
 		t.answeredCount++
--- a/internal/site/group.go
+++ b/internal/site/group.go
@@ -138,12 +138,12 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.site.options.ChecksTokens && token < g.token {
-		return gateway.ErrFenced
+		return gateway.ErrPromotionRefused
 	}
 	g.token = max(g.token, token)
 	m := g.member(id)
 	if m == nil || !m.running() {
-		return gateway.ErrFenced
+		return gateway.ErrPromotionRefused
 	}
 	if !m.leads {
 		run := m.run
--- a/internal/site/site.go
+++ b/internal/site/site.go
@@ -209,7 +209,7 @@
 			return g.promote(ctx, token, memberID)
 		}
 	}
-	return gateway.ErrFenced
+	return gateway.ErrPromotionRefused
 }
 
 // stepTime is the pause between two steps of the model.
--- a/internal/site/site_test.go
+++ b/internal/site/site_test.go
@@ -116,7 +116,7 @@
 	if err := site.Promote(context.Background(), "h", 7, g.Name(), g.Members()[0].ID()); err != nil {
 		t.Fatal(err)
 	}
-	if err := site.Promote(context.Background(), "h", 6, g.Name(), id); !errors.Is(err, gateway.ErrFenced) {
+	if err := site.Promote(context.Background(), "h", 6, g.Name(), id); !errors.Is(err, gateway.ErrPromotionRefused) {
 		t.Errorf("%v, want ErrFenced", err)
 	}
 }
