--- a/internal/fleet/hosts.go
+++ b/internal/fleet/hosts.go
@@ -173,7 +173,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	rank := 0
-	for _, h := range f.table.RankedForDuty(group) {
+	for _, h := range f.table.RankedCoordinators(group) {
 		if h.ID == f.self.ID {
 			break
 		}
--- a/internal/quotas/granting.go
+++ b/internal/quotas/granting.go
@@ -38,7 +38,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if g := s.Granter(); g != nil {
-		g.RaiseToken(token)
+		g.RaiseFencingToken(token)
 	}
 }
 
@@ -86,7 +86,7 @@
 	}
 	now := e.now()
 	if host == e.settings.Host && g.KnowsHost(host) && !g.HasReported(host, process) {
-		holdings, _ := s.Shard.Report(g.Token(), now)
+		holdings, _ := s.Shard.Report(g.FencingToken(), now)
 		g.RecordReport(host, process, holdings, now)
 	}
 	accounts := req.Accounts[:0:0]
@@ -152,7 +152,7 @@
 // requestReport asks a host for a report of its holdings. s.mu must be held.
 func (e *Enforcer) requestReport(s *shard, g *quota.Granter, host string) {
 	if host == e.settings.Host {
-		holdings, _ := s.Shard.Report(g.Token(), e.now())
+		holdings, _ := s.Shard.Report(g.FencingToken(), e.now())
 		g.RecordReport(host, e.settings.Process, holdings, e.now())
 		return
 	}
@@ -165,7 +165,7 @@
 		return
 	}
 	t.pending = true
-	r := ReportRequest{s.name, e.settings.Host, g.Token()}
+	r := ReportRequest{s.name, e.settings.Host, g.FencingToken()}
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), requestTimeout)
 		defer cancel()
@@ -192,7 +192,7 @@
 		}
 		return
 	case err == nil:
-		e.log("granter_outlived", "shard", s.name, "peer", host, "token", g.Token())
+		e.log("granter_outlived", "shard", s.name, "peer", host, "token", g.FencingToken())
 	case e.fleet.IsProcessEnded(err):
 		g.RecordExit(host, now)
 	}
--- a/internal/quotas/requests.go
+++ b/internal/quotas/requests.go
@@ -45,7 +45,7 @@
 // handleResponse handles a response from the granter, or the failure of a request. s.mu must be held.
 func (e *Enforcer) handleResponse(s *shard, req quota.Request, response Response, err error) {
 	now := e.now()
-	if err == nil && !response.Declined && s.HandleResponse(req.ID, req.Token, response.Response, now) {
+	if err == nil && !response.Declined && s.HandleResponse(req.ID, req.FencingToken, response.Response, now) {
 		if !s.failingSince.IsZero() {
 			e.log("granter_regained", "shard", s.name, "after_ms", now.Sub(s.failingSince).Milliseconds())
 		}
@@ -56,7 +56,7 @@
 	s.Abandon(req.ID)
 	if s.failingSince.IsZero() {
 		s.failingSince = now
-		e.log("granter_lost", "shard", s.name, "token", req.Token, "declined", response.Declined, "err", err)
+		e.log("granter_lost", "shard", s.name, "token", req.FencingToken, "declined", response.Declined, "err", err)
 	}
 	s.nextRequestAt = now.Add(requestRetryDelay)
 	time.AfterFunc(requestRetryDelay, func() {
--- a/io/peer/quota_messages.go
+++ b/io/peer/quota_messages.go
@@ -65,7 +65,7 @@
 	w.str("process", m.Process)
 	w.uint("id", m.Request.ID)
 	w.uint("heard", m.Request.LastAnswered)
-	w.uint("token", uint64(m.Request.Token))
+	w.uint("token", uint64(m.Request.FencingToken))
 	list := make([]questionMessage, len(m.Request.Accounts))
 	for i, q := range m.Request.Accounts {
 		list[i] = questionMessage(q)
@@ -86,7 +86,7 @@
 	case "heard":
 		return r.uint(&m.Request.LastAnswered)
 	case "token":
-		return readNumber(r, &m.Request.Token)
+		return readNumber(r, &m.Request.FencingToken)
 	case "questions":
 		var list []questionMessage
 		readList(r, &list)
