--- a/internal/capacity/capacity_test.go
+++ b/internal/capacity/capacity_test.go
@@ -11,18 +11,18 @@
 
 func TestFit(t *testing.T) {
 	for _, c := range []struct {
-		points     []Point
-		base, step float64
-		spread     float64
+		points           []Point
+		intercept, slope float64
+		maxDeviation     float64
 	}{
 		{nil, 0, 0, 0},
 		{[]Point{{10, 50}}, 0, 5, 0},
 		{[]Point{{1, 12}, {2, 14}, {4, 18}}, 10, 2, 0},
 		{[]Point{{0, 0}, {1, 2}, {2, 1}}, 0.5, 0.5, 0.5},
 	} {
-		f := Slope{Points: c.points}.Fit()
-		if math.Abs(f.Base-c.base) > 1e-9 || math.Abs(f.Step-c.step) > 1e-9 || math.Abs(f.Spread-c.spread) > 1e-9 {
-			t.Errorf("Fit(%v) = %+v, want base %g, step %g, spread %g", c.points, f, c.base, c.step, c.spread)
+		f := Series{Points: c.points}.Fit()
+		if math.Abs(f.Intercept-c.intercept) > 1e-9 || math.Abs(f.Slope-c.slope) > 1e-9 || math.Abs(f.MaxDeviation-c.maxDeviation) > 1e-9 {
+			t.Errorf("Fit(%v) = %+v, want intercept %g, slope %g, maximum deviation %g", c.points, f, c.intercept, c.slope, c.maxDeviation)
 		}
 	}
 }
@@ -32,10 +32,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var slopes []Slope
-	if err := json.Unmarshal(text, &slopes); err != nil {
+	var series []Series
+	if err := json.Unmarshal(text, &series); err != nil {
 		t.Fatal(err)
 	}
-	got := Markdown(Compute(Planned(), slopes), slopes)
+	got := Markdown(Compute(PlannedFleet(), series), series)
 	goldie.New(t).Assert(t, "table", []byte(got))
 }
--- /dev/null
+++ b/internal/follow/follower_test.go
@@ -0,0 +1,163 @@
+package follow
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"net/netip"
+	"slices"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"pearlatch/core/kv"
+	"pearlatch/core/membership"
+	"pearlatch/internal/fleet"
+)
+
+func hostAddr(i int) netip.AddrPort {
+	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(i)}), 1)
+}
+
+// newTestFleet returns the view of host id on n listed hosts.
+func newTestFleet(id string, n int) *fleet.Hosts {
+	f := fleet.New(membership.Host{ID: id, Zone: "z0", Peer: hostAddr(250)})
+	for i := range n {
+		f.RecordEntry(fmt.Sprint("h", i), fmt.Appendf(nil, "z%d %s", i%3, hostAddr(i)), false, time.Now())
+	}
+	f.UpdateList(time.Now())
+	return f
+}
+
+// pagedStore lists items in pages of five. Every third List call fails.
+type pagedStore struct {
+	items []kv.Item
+	calls int
+}
+
+var errRefused = errors.New("refused")
+
+func (s *pagedStore) List(_ context.Context, r kv.Range) (kv.Page, error) {
+	s.calls++
+	if s.calls%3 == 0 {
+		return kv.Page{}, errRefused
+	}
+	from := 0
+	if r.After != "" {
+		from = 1 + slices.IndexFunc(s.items, func(i kv.Item) bool { return i.Key == r.After })
+	}
+	to := min(from+5, len(s.items))
+	return kv.Page{Snapshot: kv.Snapshot{Items: s.items[from:to], Revision: 1}, More: to < len(s.items)}, nil
+}
+
+func (s *pagedStore) Watch(context.Context, string, kv.Revision, time.Duration) (kv.Snapshot, error) {
+	return kv.Snapshot{}, errRefused
+}
+
+func newTestFollower(f *fleet.Hosts, s Store, p Peers) *Follower {
+	view := NewStoreView(nil, time.Now)
+	apply := func(u StoreUpdate) error { _, err := view.Apply(u); return err }
+	return New(Settings{HostsPrefix: "hosts/"}, Ports{Store: s, Peers: p, Apply: apply, Log: func(string, ...any) {}}, f, view, time.Now)
+}
+
+// The store rejects every third call while a host reads a list of many pages. If each failure restarted the list, it
+// would hardly ever complete.
+func TestOnlyTheFailedPageIsRetried(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		s := &pagedStore{}
+		for i := range 100 {
+			s.items = append(s.items, kv.Item{Key: fmt.Sprintf("k%03d", i), Revision: 1})
+		}
+		list, err := newTestFollower(newTestFleet("h0", 3), s, nil).list(t.Context(), kv.Range{})
+		if err != nil || len(list.Items) != 100 {
+			t.Errorf("%d items, %v", len(list.Items), err)
+		}
+		if s.calls > 40 {
+			t.Errorf("%d pages were read for a list of 20", s.calls)
+		}
+	})
+}
+
+// A thousand hosts start and request full updates from the few hosts that have one. Each of these sends a bounded number
+// at a time and refers the other hosts elsewhere, since full updates in transit would otherwise fill its memory.
+func TestHostsAboveTheFeedLimitAreRedirected(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		view := NewStoreView(nil, time.Now)
+		if _, err := view.Apply(StoreUpdate{Update: kv.Update{Full: true, Snapshot: kv.Snapshot{Revision: 7}}}); err != nil {
+			t.Fatal(err)
+		}
+		f := NewFeeder(view, newTestFleet("h0", 30), func() bool { return false })
+		ctx, cancel := context.WithCancel(t.Context())
+		defer cancel()
+		redirected := make(chan StoreUpdate, 3*maxFullUpdates)
+		sendOverSlowLink := func(u StoreUpdate) error {
+			if len(u.Referrals) > 0 {
+				redirected <- u
+				return nil
+			}
+			<-ctx.Done()
+			return ctx.Err()
+		}
+		feed := func() {
+			if err := f.Feed(ctx, 0, sendOverSlowLink); !errors.Is(err, errTooManyFeeds) && ctx.Err() == nil {
+				t.Errorf("a feed ended with %v", err)
+			}
+		}
+		for range 3 * maxFullUpdates {
+			go feed()
+		}
+		time.Sleep(time.Second)
+		if n := len(redirected); n != 2*maxFullUpdates {
+			t.Errorf("%d of %d hosts were redirected", n, 3*maxFullUpdates)
+		}
+		if u := <-redirected; len(u.Referrals) != maxReferrals || u.Age < maxUpdateAge || u.Full {
+			t.Errorf("redirected hosts received %+v", u)
+		}
+	})
+}
+
+// While a fleet starts, a host has no position in the tree of update sources until it is listed. All unlisted hosts would
+// switch to the first listed one, so they must keep the source from which they got the list.
+func TestUnlistedHostKeepsItsSource(t *testing.T) {
+	other := HostSource{hostAddr(200)}
+	if !newTestFollower(newTestFleet("h0", 30), nil, busyPeers{}).shouldSwitchSource(other) {
+		t.Error("a listed host keeps a source that it does not prefer")
+	}
+	if newTestFollower(newTestFleet("starts", 30), nil, busyPeers{}).shouldSwitchSource(other) {
+		t.Error("an unlisted host switches to another source")
+	}
+}
+
+// busyPeers opens feeds from hosts of which one, at hostAddr(1), is busy and names two others.
+type busyPeers struct{}
+
+func (busyPeers) Feed(_ context.Context, to netip.AddrPort, _ kv.Revision) (Feed, error) {
+	return &testFeed{busy: to == hostAddr(1)}, nil
+}
+
+type testFeed struct{ busy bool }
+
+func (f *testFeed) Next(time.Duration) (StoreUpdate, error) {
+	if f.busy {
+		return StoreUpdate{Referrals: []netip.AddrPort{hostAddr(2), hostAddr(3)}, Age: referralAge}, nil
+	}
+	time.Sleep(heartbeatInterval)
+	return StoreUpdate{Update: kv.Update{Full: true, Snapshot: kv.Snapshot{Revision: 7}}}, nil
+}
+
+func (f *testFeed) Close() {}
+
+// A host's source forwards to too many hosts and names others. The host must follow one of these instead of reading from
+// the store.
+func TestRedirectedHostFollowsAReferral(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		f := newTestFollower(newTestFleet("h5", 30), nil, busyPeers{})
+		started := time.Now()
+		if !f.followSource(t.Context(), HostSource{hostAddr(1)}, 0) || f.failures != 0 {
+			t.Errorf("the redirected host has %d failures", f.failures)
+		}
+		if followed := time.Since(started); followed < preferredRetryDelay || followed > 2*preferredRetryDelay {
+			t.Errorf("it followed the referral for %s", followed)
+		}
+	})
+}
--- /dev/null
+++ b/internal/follow/store_view.go
@@ -0,0 +1,133 @@
+package follow
+
+import (
+	"sync"
+	"time"
+
+	"pearlatch/core/kv"
+)
+
+// StoreView is a host's view of the store's contents, and the age of that view. Use NewStoreView to create one. Its
+// methods may be called from several goroutines.
+type StoreView struct {
+	now func() time.Time
+
+	mu   sync.Mutex
+	view *kv.View
+	// changed is closed and replaced with each change of view. lastContact is when the store itself last confirmed the
+	// view, directly or through other hosts.
+	changed     chan struct{}
+	lastContact time.Time
+	// lag is the age of the last update that changed an item.
+	lag time.Duration
+	// fullUpdate is the last full update that was forwarded, built at fullUpdateAt. It is reused for other hosts that
+	// need one.
+	fullUpdate   kv.Update
+	fullUpdateAt time.Time
+}
+
+// NewStoreView returns the empty view of a host that has just started. newer may be nil if no values carry versions.
+func NewStoreView(newer kv.NewerFunc, now func() time.Time) *StoreView {
+	return &StoreView{now: now, view: kv.NewView(newer), changed: make(chan struct{})}
+}
+
+// Apply applies an update. Its errors are those of kv.View.Apply.
+func (v *StoreView) Apply(u StoreUpdate) (kv.ApplyResult, error) {
+	v.mu.Lock()
+	defer v.mu.Unlock()
+	applied, err := v.view.Apply(u.Update)
+	if err != nil {
+		return applied, err
+	}
+	if contact := v.now().Add(-u.Age); contact.After(v.lastContact) {
+		v.lastContact = contact
+	}
+	if len(applied.Changed) > 0 {
+		v.lag = u.Age
+	}
+	if len(applied.Changed) > 0 || v.view.Revision() != applied.PreviousRevision {
+		close(v.changed)
+		v.changed = make(chan struct{})
+	}
+	return applied, nil
+}
+
+// Item returns the known item of a key, and whether the key exists.
+func (v *StoreView) Item(key string) (kv.Item, bool) {
+	v.mu.Lock()
+	defer v.mu.Unlock()
+	return v.view.Item(key)
+}
+
+// Revision returns the revision up to which the view includes all changes, or zero before the first update.
+func (v *StoreView) Revision() kv.Revision {
+	v.mu.Lock()
+	defer v.mu.Unlock()
+	return v.view.Revision()
+}
+
+// Age returns the time since the store itself last confirmed the view.
+func (v *StoreView) Age() time.Duration {
+	v.mu.Lock()
+	defer v.mu.Unlock()
+	return v.now().Sub(v.lastContact)
+}
+
+// Lag returns how long changes take to reach this host, as seen with the last change.
+func (v *StoreView) Lag() time.Duration {
+	v.mu.Lock()
+	defer v.mu.Unlock()
+	return v.lag
+}
+
+// IsRecent reports whether the view is recent enough for decisions that depend on changes by other hosts.
+func (v *StoreView) IsRecent() bool { return v.Age() <= maxUpdateAge }
+
+// UpdateSince returns an update with the changes after the given revision, and a channel that is closed when there are
+// more changes. It returns an error before the first update.
+func (v *StoreView) UpdateSince(after kv.Revision) (StoreUpdate, <-chan struct{}, error) {
+	v.mu.Lock()
+	defer v.mu.Unlock()
+	if v.view.Revision() == 0 {
+		return StoreUpdate{}, nil, errNoUpdates
+	}
+	u := StoreUpdate{Age: v.now().Sub(v.lastContact)}
+	if v.view.HasChangesSince(after) {
+		u.Update = v.view.Since(after)
+	} else {
+		u.Update = v.cachedFullUpdate(after)
+	}
+	if u.Revision < v.view.Revision() {
+		return u, closedChannel, nil // the cached full update is older than the view: there are more changes
+	}
+	return u, v.changed, nil
+}
+
+var closedChannel = func() chan struct{} {
+	c := make(chan struct{})
+	close(c)
+	return c
+}()
+
+// fullUpdateTTL is how long a full update is reused for other hosts, which get the changes after it in their next update.
+// Without reuse, a starting fleet would make this host build and compress one for each of them.
+const fullUpdateTTL = time.Second
+
+// cachedFullUpdate returns a recent full update whose subsequent changes are known, and builds it if necessary. v.mu must
+// be held.
+func (v *StoreView) cachedFullUpdate(after kv.Revision) kv.Update {
+	now := v.now()
+	if v.fullUpdate.Revision == 0 || now.Sub(v.fullUpdateAt) > fullUpdateTTL || !v.view.HasChangesSince(v.fullUpdate.Revision) {
+		v.fullUpdate, v.fullUpdateAt = v.view.Since(after), now
+	}
+	return v.fullUpdate
+}
+
+// Trim drops the cached full update once it has expired.
+func (v *StoreView) Trim() {
+	v.mu.Lock()
+	defer v.mu.Unlock()
+	if v.now().Sub(v.fullUpdateAt) > fullUpdateTTL {
+		v.fullUpdate = kv.Update{}
+	}
+}
--- /dev/null
+++ b/internal/follow/update.go
@@ -0,0 +1,47 @@
+package follow
+
+import (
+	"context"
+	"net/netip"
+	"time"
+
+	"github.com/pkg/errors"
+
+	"pearlatch/core/kv"
+)
+
+// StoreUpdate is an update of the store's contents, read from the store or forwarded by another host.
+type StoreUpdate struct {
+	kv.Update
+	// Age is the time since the contents were last confirmed by the store itself.
+	Age time.Duration
+	// Referrals are hosts that can send updates. If there are any, the sender already forwards to too many hosts, and
+	// this StoreUpdate contains no update.
+	Referrals []netip.AddrPort
+}
+
+// Feed is a stream of store updates from another host.
+type Feed interface {
+	// Next waits for the next update, no longer than timeout.
+	Next(timeout time.Duration) (StoreUpdate, error)
+	Close()
+}
+
+// Peers opens feeds from other hosts.
+type Peers interface {
+	// Feed opens a feed of the changes after the given revision.
+	Feed(ctx context.Context, to netip.AddrPort, after kv.Revision) (Feed, error)
+}
+
+// Store reads the platform's store.
+type Store interface {
+	// List returns the first items of a range.
+	List(ctx context.Context, r kv.Range) (kv.Page, error)
+	// Watch waits up to wait for changes after the given revision. It returns them with the revision to continue from.
+	// ErrCompacted means that the store no longer keeps the changes. If the returned revision is of another epoch, the
+	// changes do not continue the previous ones.
+	Watch(ctx context.Context, prefix string, after kv.Revision, wait time.Duration) (kv.Snapshot, error)
+}
+
+// ErrCompacted means that the store no longer keeps the requested changes.
+var ErrCompacted = errors.New("the requested history is no longer kept")
