--- a/internal/site/session.go
+++ b/internal/site/session.go
@@ -37,7 +37,7 @@
 // errBroken ends a connection without an answer.
 var errBroken = errors.New("the connection is broken")
 
-// Start implements platform.ServedMember.
+// Start implements platform.MemberServer.
 func (m *Member) Start(groupName, id string) (platform.MemberSession, *gateway.Failure) {
 	time.Sleep(m.group.site.options.OpenTime)
 	g := m.group
@@ -55,12 +55,12 @@
 	return s, nil
 }
 
-// Close implements platform.ServedSession.
+// Close implements platform.MemberSession.
 func (s *session) Close() {
 	s.member.change(func() { delete(s.member.sessions, s) })
 }
 
-// Control implements platform.ServedSession.
+// Control implements platform.MemberSession.
 func (s *session) Control(o gateway.ControlCommand) (gateway.Status, *gateway.Failure, error) {
 	m := s.member
 	m.group.mu.Lock()
@@ -83,7 +83,7 @@
 	return m.status(time.Now()), nil, nil
 }
 
-// Do implements platform.ServedSession.
+// Do implements platform.MemberSession.
 func (s *session) Do(c gateway.Command) (gateway.Reply, error) {
 	reply, err := s.run(c)
 	if err != nil {
