--- a/io/peer/stubsite_test.go
+++ b/io/peer/stubsite_test.go
@@ -127,7 +127,7 @@
 		c.open = true
 	case gateway.Abort:
 		c.open = false
-	case gateway.Forward:
+	case gateway.RunStatement:
 		c.site.mu.Lock()
 		hold := c.site.hold
 		c.site.mu.Unlock()
