--- a/io/peer/calls.go
+++ b/io/peer/calls.go
@@ -8,7 +8,7 @@
 	"pearlatch/core/statement"
 )
 
-// Names of the calls.
+// Names of the drpc calls between hosts.
 const (
 	exchangeCall = "/pearlatch.Peer/Exchange"
 	probeCall    = "/pearlatch.Peer/Probe"
@@ -21,15 +21,14 @@
 	assumeCall   = "/pearlatch.Peer/Assume"
 )
 
-// Probe asks a host whether it is alive and passes claims on.
+// Probe asks a host whether it is alive, and answers such a question. Both directions spread membership statuses.
 type Probe struct {
 	// From is the identifier of the sender.
 	From string
-	// Claims are the sender's, its own host's first.
+	// Claims are the statuses that the sender spreads. The sender's own is the first.
 	Claims []membership.Status
-	// Revision is the revision of the configuration that the sender has in
-	// force, and Received the one that it can pass on: it is received before it
-	// is in force.
+	// Revision is the revision of the configuration that the sender applies. Received is the latest revision that it has
+	// received and can pass on to other hosts, which may not be applied yet.
 	Revision, Received uint64
 }
 
@@ -63,7 +62,7 @@
 	return false
 }
 
-// statusMessage is a claim on the wire.
+// statusMessage is a membership.Status on the wire.
 type statusMessage membership.Status
 
 func (m *statusMessage) fields(w *fieldWriter) {
@@ -102,7 +101,7 @@
 	return true
 }
 
-// Relay asks a host to probe another one.
+// Relay asks a host to probe another host on behalf of the sender.
 type Relay struct {
 	// Target is the address of the host to probe.
 	Target netip.AddrPort
@@ -116,7 +115,7 @@
 
 // Reach asks a host whether it can reach a member of a group.
 type Reach struct {
-	// Group and Member name the member.
+	// Group and Member identify the member.
 	Group, Member string
 }
 
@@ -135,9 +134,9 @@
 	return false
 }
 
-// Verdict answers Relay and Reach, and acknowledges Cancel.
+// Verdict answers all calls but Probe and Pull.
 type Verdict struct {
-	// Yes is true when the target answered.
+	// Yes is true if the target of Relay or Reach answered, or if the receiver carried out another call.
 	Yes bool
 }
 
@@ -145,10 +144,11 @@
 
 func (m *Verdict) field(name string, r *fieldReader) bool { return name == "yes" && r.bool(&m.Yes) }
 
-// Cancel passes a cancel request on. Owner is true when it goes from the entry
-// to the owner, and false when it goes to the entry that has the caller.
+// Cancel forwards a cancel request.
 type Cancel struct {
-	Key   statement.CancelKey
+	Key statement.CancelKey
+	// Owner is true if the host that serves the caller sends the request to the owner of the group, and false if the request
+	// is sent to the host that serves the caller.
 	Owner bool
 }
 
@@ -170,7 +170,7 @@
 	return false
 }
 
-// Pull asks a host for the configuration if it has a higher revision.
+// Pull asks a host for the configuration if the host has a newer revision than the sender.
 type Pull struct {
 	// Have is the revision that the sender has, or zero.
 	Have uint64
@@ -182,12 +182,11 @@
 
 // Pulled answers Pull.
 type Pulled struct {
-	// Revision is the host's, or zero when it has none above what was asked for.
+	// Revision is the revision that the host has, or zero if it has none above Pull.Have.
 	Revision uint64
-	// Base is the revision that Delta applies to, or zero when Delta is the
-	// whole document.
+	// Base is the revision that Delta applies to, or zero if Delta is the whole document.
 	Base uint64
-	// Delta is the document or the difference, as core/config encodes it.
+	// Delta is the whole document or a difference, as core/config encodes it.
 	Delta []byte
 }
 
@@ -209,12 +208,12 @@
 	return false
 }
 
-// Confirm asks the next owner of a group to confirm what the primary holds now.
+// Confirm asks the next owner of a group to confirm the position that the primary has now.
 type Confirm struct {
 	Group   string
 	Term    uint64
 	Session string
-	// TimeLeft is how long the sender waits.
+	// TimeLeft is how long the sender waits for the answer.
 	TimeLeft time.Duration
 }
 
@@ -248,10 +247,11 @@
 	return name == "group" && r.str(&m.Group)
 }
 
-// Assume asks a host to own a group for a while in place of the sender.
+// Assume asks a host to own a group in place of the sender for a limited time.
 type Assume struct {
 	Group string
-	For   time.Duration
+	// For is how long the host owns the group.
+	For time.Duration
 }
 
 func (m *Assume) fields(w *fieldWriter) {
--- a/io/peer/client.go
+++ b/io/peer/client.go
@@ -17,35 +17,37 @@
 )
 
 const (
-	// dialTimeout bounds the opening of a connection to a host.
+	// dialTimeout bounds the dial and the TLS handshake.
 	dialTimeout = 300 * time.Millisecond
-	// maxIdleStreamsPerHost is how many idle exchange streams are kept to one host.
+	// maxIdleStreamsPerHost is the number of idle exchange streams that are kept to one host.
 	maxIdleStreamsPerHost = 64
-	// maxIdleStreams is how many are kept over all hosts: idle streams to each of
-	// a thousand hosts would take more memory than a host has for control.
+	// maxIdleStreams is the number of idle exchange streams that are kept to all hosts together. Idle streams to each of a
+	// thousand hosts would take more memory than a host has for control traffic.
 	maxIdleStreams = 256
-	// idleStreamTimeout is how long an idle stream is kept.
+	// idleStreamTimeout is how long an idle stream may be reused.
 	idleStreamTimeout = 30 * time.Second
 )
 
-// Client speaks to other hosts. It keeps connections for use again: drpc runs
-// one stream at a time on a connection. Use NewClient.
+// Client calls other hosts. Since drpc runs one stream at a time on a connection, it keeps a pool of connections for reuse.
+// Its methods may be called from several goroutines. Use NewClient.
 type Client struct {
 	local     netip.Addr
 	tlsConfig *tls.Config
 	traffic   *Traffic
 
-	mu          sync.Mutex
+	mu sync.Mutex
+	// idleStreams holds the exchange streams that are not in use, the most recently used ones last.
 	idleStreams map[netip.AddrPort][]*stream
-	idleCalls   map[netip.AddrPort][]*drpcconn.Conn
+	// idleCalls holds the connections for calls that are not in use.
+	idleCalls map[netip.AddrPort][]*drpcconn.Conn
 	// busy holds the streams that carry an exchange.
 	busy map[netip.AddrPort]map[*stream]struct{}
-	// idleStreamCount is how many streams are in streams.
+	// idleStreamCount is the number of streams in idleStreams.
 	idleStreamCount int
 	closed          bool
 }
 
-// stream is an exchange stream with a connection of its own.
+// stream is a drpc stream with its own connection.
 type stream struct {
 	conn      *drpcconn.Conn
 	drpc      drpc.Stream
@@ -54,6 +56,7 @@
 
 func (s *stream) close() { _ = s.conn.Close() }
 
+// usable reports whether an idle stream may be reused.
 func (s *stream) usable() bool { return isOpen(s.conn) && time.Since(s.idleSince) < idleStreamTimeout }
 
 func isOpen(conn *drpcconn.Conn) bool {
@@ -65,18 +68,17 @@
 	}
 }
 
-// NewClient returns a client that dials from local, if that is valid, and with
-// TLS, if secure is not nil.
-func NewClient(local netip.Addr, secure *tls.Config, traffic *Traffic) *Client {
+// NewClient returns a client that dials from the local address, if that is valid, and with TLS, if tlsConfig is not nil.
+func NewClient(local netip.Addr, tlsConfig *tls.Config, traffic *Traffic) *Client {
 	return &Client{
-		local: local, tlsConfig: secure, traffic: traffic,
+		local: local, tlsConfig: tlsConfig, traffic: traffic,
 		idleStreams: map[netip.AddrPort][]*stream{},
 		idleCalls:   map[netip.AddrPort][]*drpcconn.Conn{},
 		busy:        map[netip.AddrPort]map[*stream]struct{}{},
 	}
 }
 
-// Close closes all idle connections.
+// Close closes all idle connections. Connections in use are closed when their call or exchange ends.
 func (c *Client) Close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -94,8 +96,8 @@
 	c.idleStreams, c.idleCalls = nil, nil
 }
 
-// CloseHost closes all connections to a host that is gone. Exchanges with it end
-// with ErrLost, rather than wait for an answer that never comes.
+// CloseHost closes all connections to a dead host, but for those of running calls. Exchanges with the host fail with ErrLost
+// instead of waiting for an answer that never comes.
 func (c *Client) CloseHost(addr netip.AddrPort) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -113,6 +115,7 @@
 	delete(c.idleCalls, addr)
 }
 
+// dial opens a connection to a host.
 func (c *Client) dial(ctx context.Context, addr netip.AddrPort) (*drpcconn.Conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
@@ -122,18 +125,19 @@
 	}
 	conn = c.traffic.meter(conn)
 	if c.tlsConfig != nil {
-		secured := tls.Client(conn, c.tlsConfig)
-		if err := secured.HandshakeContext(ctx); err != nil {
+		tlsConn := tls.Client(conn, c.tlsConfig)
+		if err := tlsConn.HandshakeContext(ctx); err != nil {
 			_ = conn.Close()
 			return nil, errors.Wrapf(err, "secure the connection to host %s", addr)
 		}
-		conn = secured
+		conn = tlsConn
 	}
 	return drpcconn.NewWithOptions(conn, drpcconn.Options{Manager: streamOptions()}), nil
 }
 
-// takeNewest removes and returns the newest usable element of a list.
-func takeNewest[T any](list []T, usable func(T) bool, discard func(T)) (rest []T, got T, ok bool) {
+// takeNewest removes the newest usable element from a list and returns it with the remaining list. It discards the
+// unusable ones that it passes. ok is false if there is no usable element.
+func takeNewest[T any](list []T, usable func(T) bool, discard func(T)) (rest []T, newest T, ok bool) {
 	for len(list) > 0 {
 		last := list[len(list)-1]
 		list = list[:len(list)-1]
@@ -142,10 +146,10 @@
 		}
 		discard(last)
 	}
-	return list, got, false
+	return list, newest, false
 }
 
-// call sends one message and waits for the answer.
+// call sends one message to a host and waits for the answer. It keeps the connection for the next call.
 func call[In, Out any, P interface {
 	*In
 	message
@@ -184,12 +188,12 @@
 	return &out, nil
 }
 
-// maxIdleCallConns is how many idle connections for calls are kept over all hosts. It
-// exceeds the number of neighbours that a host probes.
+// maxIdleCallConns is the number of hosts to which idle connections for calls are kept, one each. It exceeds the number of
+// neighbours that a host probes.
 const maxIdleCallConns = 10
 
-// evictCallConn closes an idle connection of another host if there are too many.
-// c.mu is held.
+// evictCallConn closes the idle connection to a host other than keep if there are more than maxIdleCallConns. c.mu must be
+// held.
 func (c *Client) evictCallConn(keep netip.AddrPort) {
 	if len(c.idleCalls) <= maxIdleCallConns {
 		return
@@ -206,12 +210,12 @@
 	}
 }
 
-// Probe sends a probe and returns the host's own.
+// Probe sends a probe and returns the one that the host answers with.
 func (c *Client) Probe(ctx context.Context, addr netip.AddrPort, m *Probe) (*Probe, error) {
 	return call[Probe, Probe](ctx, c, addr, probeCall, m)
 }
 
-// Relay asks a host to probe another one.
+// Relay asks a host to probe another host.
 func (c *Client) Relay(ctx context.Context, addr netip.AddrPort, m *Relay) (*Verdict, error) {
 	return call[Relay, Verdict](ctx, c, addr, relayCall, m)
 }
@@ -221,55 +225,56 @@
 	return call[Reach, Verdict](ctx, c, addr, reachCall, m)
 }
 
-// Cancel passes a cancel request on.
+// Cancel forwards a cancel request to a host.
 func (c *Client) Cancel(ctx context.Context, addr netip.AddrPort, m *Cancel) (*Verdict, error) {
 	return call[Cancel, Verdict](ctx, c, addr, cancelCall, m)
 }
 
-// Pull asks for a newer configuration.
+// Pull asks a host for a newer configuration.
 func (c *Client) Pull(ctx context.Context, addr netip.AddrPort, m *Pull) (*Pulled, error) {
 	return call[Pull, Pulled](ctx, c, addr, pullCall, m)
 }
 
-// Confirm asks the next owner of a group to confirm.
+// Confirm asks the next owner of a group to confirm the position that the primary has now.
 func (c *Client) Confirm(ctx context.Context, addr netip.AddrPort, m *Confirm) (*Verdict, error) {
 	return call[Confirm, Verdict](ctx, c, addr, confirmCall, m)
 }
 
-// Released tells the next owner of a group that it is free.
+// Released tells the next owner of a group that this host has released it.
 func (c *Client) Released(ctx context.Context, addr netip.AddrPort, m *Released) (*Verdict, error) {
 	return call[Released, Verdict](ctx, c, addr, releasedCall, m)
 }
 
-// Assume asks a host to own a group for a while.
+// Assume asks a host to own a group for a limited time.
 func (c *Client) Assume(ctx context.Context, addr netip.AddrPort, m *Assume) (*Verdict, error) {
 	return call[Assume, Verdict](ctx, c, addr, assumeCall, m)
 }
 
-// Begin opens an exchange with the owner at addr. Nothing is sent until its
-// first unit.
+// Begin returns an exchange with the owner of a group at addr. Nothing is sent before the first unit.
 func (c *Client) Begin(addr netip.AddrPort, r *statement.Request) *RemoteExchange {
 	return &RemoteExchange{client: c, addr: addr, request: r}
 }
 
-// ErrNotSent means that a unit certainly did not reach the owner.
+// ErrNotSent means that a unit was not sent completely, so that the owner does not run it.
 var ErrNotSent = errors.New("the unit was not sent")
 
-// ErrLost means that the owner was lost after a unit was sent.
+// ErrLost means that the connection to the owner failed after a unit was sent. The unit may have run.
 var ErrLost = errors.New("the owner was lost")
 
-// RemoteExchange is an exchange with another host. See upstream.Exchange.
+// RemoteExchange is an exchange with the owner of a group on another host. It is an Exchange. Only Cancel may be called while
+// another method runs.
 type RemoteExchange struct {
 	client  *Client
 	addr    netip.AddrPort
 	request *statement.Request
-	stream  *stream
-	// AnswerStarted is true once a part of the present answer was passed on.
+	// stream is nil before the first unit and after the exchange has ended.
+	stream *stream
+	// AnswerStarted is true once the sink was given a part of the answer to the present unit.
 	AnswerStarted bool
 }
 
-// Do runs a unit. The error is a *statement.Refusal of the owner, ErrNotSent,
-// ErrLost, or an error of sink.
+// Do runs a unit on the owner and passes the parts of the answer to sink. The error is a *statement.Refusal of the owner,
+// ErrNotSent, ErrLost, or an error of sink.
 func (x *RemoteExchange) Do(ctx context.Context, u *statement.Unit, sink func([]byte) error) (statement.Outcome, error) {
 	x.AnswerStarted = false
 	first := x.stream == nil
@@ -286,13 +291,13 @@
 	}
 	if err := x.stream.drpc.MsgSend(m, encoding{}); err != nil {
 		x.Close()
-		// The owner acts on whole messages only, and this one was not whole.
+		// The owner runs a unit only once the whole message has arrived.
 		return statement.Outcome{}, errors.Wrap(ErrNotSent, err.Error())
 	}
 	return x.receive(ctx, u, sink)
 }
 
-// receive reads the answer to a unit.
+// receive reads the answer to a unit. It closes the stream when ctx ends or the answer is late.
 func (x *RemoteExchange) receive(ctx context.Context, u *statement.Unit, sink func([]byte) error) (statement.Outcome, error) {
 	s := x.stream
 	stop := context.AfterFunc(ctx, s.close)
@@ -327,11 +332,11 @@
 	}
 }
 
-// lateAnswerTimeout is how long after a unit's deadline the owner may still answer.
-// It is longer than the owner's own grace towards the member.
+// lateAnswerTimeout is how long after a unit's deadline the owner may still answer. It is longer than the time that the
+// owner itself gives the member after the deadline.
 const lateAnswerTimeout = time.Second
 
-// openStream opens a stream of the call with a connection of its own.
+// openStream opens a stream of the given call on a new connection.
 func (c *Client) openStream(ctx context.Context, addr netip.AddrPort, call string) (*stream, error) {
 	conn, err := c.dial(ctx, addr)
 	if err != nil {
@@ -345,7 +350,7 @@
 	return &stream{conn: conn, drpc: opened}, nil
 }
 
-// acquireStream returns a stream for an exchange.
+// acquireStream returns an idle or new stream for an exchange, and records it as busy.
 func (c *Client) acquireStream(ctx context.Context, addr netip.AddrPort) (*stream, error) {
 	c.mu.Lock()
 	rest, s, ok := takeNewest(c.idleStreams[addr], (*stream).usable, (*stream).close)
@@ -372,7 +377,7 @@
 	return s, nil
 }
 
-// markBusy records that a stream carries an exchange. c.mu is held.
+// markBusy records that a stream carries an exchange. c.mu must be held.
 func (c *Client) markBusy(addr netip.AddrPort, s *stream) {
 	if c.busy[addr] == nil {
 		c.busy[addr] = map[*stream]struct{}{}
@@ -380,14 +385,15 @@
 	c.busy[addr][s] = struct{}{}
 }
 
-// releaseStream keeps the stream for the next exchange.
+// releaseStream keeps the stream for a later exchange.
 func (x *RemoteExchange) releaseStream() {
 	s := x.stream
 	x.stream = nil
 	x.client.putIdleStream(x.addr, s)
 }
 
-// putIdleStream keeps a stream for use again.
+// putIdleStream keeps a stream for reuse, or closes it if it is broken or enough streams are kept. Above maxIdleStreams it
+// closes an idle stream to another host.
 func (c *Client) putIdleStream(addr netip.AddrPort, s *stream) {
 	s.idleSince = time.Now()
 	c.mu.Lock()
@@ -404,7 +410,7 @@
 	}
 }
 
-// closeBusyStream closes a stream that is in use.
+// closeBusyStream closes a stream that carries an exchange.
 func (c *Client) closeBusyStream(addr netip.AddrPort, s *stream) {
 	s.close()
 	c.mu.Lock()
@@ -412,7 +418,7 @@
 	delete(c.busy[addr], s)
 }
 
-// evictIdleStream closes an idle stream to another host than keep. c.mu is held.
+// evictIdleStream closes an idle stream to a host other than keep. c.mu must be held.
 func (c *Client) evictIdleStream(keep netip.AddrPort) {
 	for addr, list := range c.idleStreams {
 		if addr == keep || len(list) == 0 {
@@ -433,7 +439,7 @@
 	return err
 }
 
-// Close ends the exchange. The owner rolls an open transaction back.
+// Close ends the exchange. The owner rolls back an open transaction.
 func (x *RemoteExchange) Close() {
 	if x.stream == nil {
 		return
@@ -442,7 +448,7 @@
 	x.stream = nil
 }
 
-// UnknownOutcome returns the refusal of a unit whose owner was lost.
+// UnknownOutcome returns the refusal of a unit whose outcome is unknown because of err.
 func UnknownOutcome(err error) *statement.Refusal {
 	return &statement.Refusal{Code: postgres.CodeTransactionUnknown, Reason: "the outcome of the request is unknown: " + err.Error()}
 }
--- a/io/peer/codec.go
+++ b/io/peer/codec.go
@@ -12,20 +12,20 @@
 	"storj.io/drpc"
 )
 
-// Version is the version of the inner protocol. A host refuses a unit of
-// another major version politely, so that a fleet can be upgraded host by host.
+// Version is the version of the inner protocol. A host refuses a unit of another version as not run, so that a fleet can be
+// upgraded host by host.
 const Version = 1
 
-// message is a wire message.
+// message is a message of the inner protocol.
 type message interface {
 	// fields writes the message's fields.
 	fields(w *fieldWriter)
-	// field reads the field of the given name, or returns false to skip it:
-	// newer hosts may send fields that this one does not know.
+	// field reads the value of the field with the given name. It returns false for a field that it does not know, which is
+	// then skipped: newer hosts may send more fields.
 	field(name string, r *fieldReader) bool
 }
 
-// encoding is the drpc encoding of messages.
+// encoding implements drpc.Encoding for messages.
 type encoding struct{}
 
 var _ drpc.Encoding = encoding{}
@@ -33,8 +33,7 @@
 // Marshal implements drpc.Encoding.
 func (e encoding) Marshal(msg drpc.Message) ([]byte, error) { return e.MarshalAppend(nil, msg) }
 
-// MarshalAppend appends the encoded message to buf. drpc uses it where it can,
-// to encode into a buffer that it keeps.
+// MarshalAppend appends the encoded message to buf. drpc calls it in place of Marshal where it can reuse a buffer.
 func (encoding) MarshalAppend(buf []byte, msg drpc.Message) ([]byte, error) {
 	m, ok := msg.(message)
 	if !ok {
@@ -67,8 +66,8 @@
 	return errors.Wrapf(r.err, "decode %T", msg)
 }
 
-// mapHeader is MessagePack's map 16: the count of fields follows in two bytes,
-// so that it can be filled in at the end.
+// mapHeader is the code of MessagePack's map 16. The number of fields follows in two bytes, which are filled in after the
+// fields are written.
 const mapHeader = 0xde
 
 var writers = sync.Pool{New: func() any {
@@ -83,13 +82,14 @@
 	return r
 }}
 
-// fieldWriter writes the fields of a message. Fields that have their zero value
-// are left out.
+// fieldWriter encodes the fields of a message. It omits fields that have their zero value, except for nested messages.
 type fieldWriter struct {
-	e     *msgpack.Encoder
-	buf   []byte
+	e   *msgpack.Encoder
+	buf []byte
+	// count is the number of fields written to the present message.
 	count int
-	err   error
+	// err is the first error.
+	err error
 }
 
 // Write implements io.Writer for the encoder.
@@ -137,12 +137,12 @@
 	}
 }
 
-// duration writes a duration in microseconds. A negative one counts as zero.
+// duration writes a duration in microseconds, and a negative one as zero.
 func (w *fieldWriter) duration(name string, v time.Duration) {
 	w.uint(name, uint64(max(0, v.Microseconds())))
 }
 
-// writeList writes a list of messages.
+// writeList writes a field that is a list of messages. An empty list is omitted.
 func writeList[M any, P interface {
 	*M
 	message
@@ -157,7 +157,7 @@
 	}
 }
 
-// nested writes a message as a value.
+// nested writes a message as a value, without a field name.
 func (w *fieldWriter) nested(m message) {
 	start, outer := len(w.buf), w.count
 	w.buf = append(w.buf, mapHeader, 0, 0)
@@ -167,19 +167,22 @@
 	w.count = outer
 }
 
-// message writes a field that is a message itself.
+// message writes a field that is a nested message.
 func (w *fieldWriter) message(name string, m message) {
 	w.writeName(name)
 	w.nested(m)
 }
 
-// fieldReader reads the fields of a message.
+// fieldReader decodes the fields of a message. After an error, the values that it reads are undefined. Its methods for
+// single fields return true, so that a message's field method can return their result.
 type fieldReader struct {
-	in  bytes.Reader
-	d   *msgpack.Decoder
+	in bytes.Reader
+	d  *msgpack.Decoder
+	// err is the first error.
 	err error
 }
 
+// message reads a message, including the header of its map.
 func (r *fieldReader) message(m message) {
 	n, err := r.d.DecodeMapLen()
 	r.setErr(err)
@@ -195,11 +198,11 @@
 	}
 }
 
-// maxSkipDepth bounds the nesting of a field of a newer version. Ours nest four deep.
+// maxSkipDepth bounds the nesting of a field of a newer version. The fields of this version nest at most four levels deep.
 const maxSkipDepth = 32
 
-// skip passes over a value. The library's own Skip believes a length before it has read
-// so many bytes: five bytes would make it allocate four gigabytes.
+// skip skips a value that nests at most depth levels deep. The library's Skip is not used for values with a length, since it
+// allocates that length before it reads the bytes: a message of five bytes could make it allocate four gigabytes.
 func (r *fieldReader) skip(depth int) {
 	code, err := r.d.PeekCode()
 	r.setErr(err)
@@ -226,12 +229,14 @@
 	}
 }
 
+// skipAll skips n elements of a value that skip was called for with depth.
 func (r *fieldReader) skipAll(n, depth int) {
 	for i := 0; i < n && r.err == nil; i++ {
 		r.skip(depth - 1)
 	}
 }
 
+// isStringOrBin reports whether the code starts a string or a byte slice.
 func isStringOrBin(code byte) bool { return msgpcode.IsString(code) || msgpcode.IsBin(code) }
 
 func isArray(code byte) bool {
@@ -242,8 +247,7 @@
 	return msgpcode.IsFixedMap(code) || code == msgpcode.Map16 || code == msgpcode.Map32
 }
 
-// byteLen reads the length of a string or of bytes, which is bounded by what the message
-// still holds.
+// byteLen reads the length of a string or byte slice. A length above the number of bytes that are left is an error.
 func (r *fieldReader) byteLen() int {
 	n, err := r.d.DecodeBytesLen()
 	r.setErr(err)
@@ -256,7 +260,7 @@
 	return max(n, 0)
 }
 
-// discard passes over bytes.
+// discard skips n bytes.
 func (r *fieldReader) discard(n int) {
 	if n > r.in.Len() {
 		r.setErr(errors.Errorf("%d bytes are announced, and %d left", n, r.in.Len()))
@@ -266,7 +270,7 @@
 	r.setErr(err)
 }
 
-// readBytes reads a string or bytes.
+// readBytes reads a string or a byte slice.
 func (r *fieldReader) readBytes() []byte {
 	out := make([]byte, r.byteLen())
 	_, err := io.ReadFull(&r.in, out)
@@ -311,11 +315,11 @@
 	return true
 }
 
-// maxListLen bounds the length of a list in a message: a length field must not
-// make the process allocate more than the message itself can hold.
+// maxListLen bounds the number of elements of a list in a message: a length field must not make the process allocate more
+// than the message itself can hold.
 const maxListLen = 1 << 16
 
-// readList reads a list of messages.
+// readList reads a list of messages and appends them to list.
 func readList[M any, P interface {
 	*M
 	message
@@ -334,7 +338,7 @@
 	return true
 }
 
-// readUint reads a number into a type of its own.
+// readUint reads an unsigned number into a variable of any integer type. It does not check for overflow.
 func readUint[N ~int | ~int64 | ~uint8 | ~uint32 | ~uint64](r *fieldReader, v *N) bool {
 	var n uint64
 	r.uint(&n)
--- a/io/peer/gateway_client.go
+++ b/io/peer/gateway_client.go
@@ -13,7 +13,7 @@
 	"pearlatch/internal/quotas"
 )
 
-// GatewayClient speaks to other gateways. Use NewGatewayClient.
+// GatewayClient implements gateway.Peers. Use NewGatewayClient.
 type GatewayClient struct {
 	client *Client
 	links  links
@@ -21,7 +21,7 @@
 
 var _ gateway.Peers = (*GatewayClient)(nil)
 
-// NewGatewayClient returns a client that dials from local, if that is valid.
+// NewGatewayClient returns a client that dials from the local address, if that is valid.
 func NewGatewayClient(local netip.Addr, traffic *Traffic) *GatewayClient {
 	c := NewClient(local, nil, traffic)
 	return &GatewayClient{client: c, links: links{client: c}}
@@ -36,12 +36,12 @@
 	return k.newStream(), nil
 }
 
-// linkOutcomeTimeout is how long a question may take on the link until it is asked over a
-// connection of its own: a few round trips within a region.
+// linkOutcomeTimeout bounds a query of an outcome on a link. After it, the query is repeated on a separate connection. It
+// covers a few round trips within a region.
 const linkOutcomeTimeout = 60 * time.Millisecond
 
-// QueryOutcome implements gateway.Peers. It asks on the link at first, which needs no handshake
-// at a host under load, and then over a connection of its own, since the link may be silent.
+// QueryOutcome implements gateway.Peers. It asks on the link first, which costs a host under load no handshake, and then on a
+// separate connection, since the link may have gone silent.
 func (c *GatewayClient) QueryOutcome(ctx context.Context, to netip.AddrPort, from string, serial uint64) (gateway.RequestOutcome, error) {
 	in := &recallRequest{from, serial}
 	if k := c.links.existing(to); k != nil {
@@ -83,7 +83,7 @@
 		return gateway.LeaseReply{}, err
 	}
 	if reply.lease == nil {
-		return gateway.LeaseReply{}, errors.Errorf("host %s answered something else than a lease", to)
+		return gateway.LeaseReply{}, errors.Errorf("reply of host %s to a lease request contains no lease", to)
 	}
 	return gateway.LeaseReply(*reply.lease), nil
 }
@@ -92,7 +92,7 @@
 func (c *GatewayClient) RevokeLease(ctx context.Context, to netip.AddrPort, groupName, memberID string, planned bool) error {
 	reply, err := c.askOnLink(ctx, to, &linkRequest{revokeLease: &revokeLeaseRequest{groupName, memberID, planned}})
 	if err == nil && !reply.leaseRevoked {
-		err = errors.Errorf("host %s did not give its lease back", to)
+		err = errors.Errorf("host %s did not give up its lease", to)
 	}
 	return err
 }
@@ -104,7 +104,7 @@
 		return quotas.Reply{}, err
 	}
 	if reply.quota == nil {
-		return quotas.Reply{}, errors.Errorf("host %s answered something else than a quota", to)
+		return quotas.Reply{}, errors.Errorf("reply of host %s to a quota request contains no grants", to)
 	}
 	return quotas.Reply(*reply.quota), nil
 }
@@ -116,24 +116,24 @@
 		return quotas.TellReply{}, err
 	}
 	if reply.told == nil {
-		return quotas.TellReply{}, errors.Errorf("host %s answered something else than what it holds", to)
+		return quotas.TellReply{}, errors.Errorf("reply of host %s does not say which quotas it holds", to)
 	}
 	return quotas.TellReply(*reply.told), nil
 }
 
-// askOnLink asks a host something on the link to it. A link on which nothing came while the
-// answer was due is replaced: it may have gone silent.
+// askOnLink sends a request that belongs to no session on the link to a host, and waits for the reply. If the request fails
+// and nothing has arrived on the link meanwhile, the link may have gone silent and is replaced.
 func (c *GatewayClient) askOnLink(ctx context.Context, to netip.AddrPort, in *linkRequest) (*linkReply, error) {
 	k, err := c.links.get(ctx, to)
 	if err != nil {
 		return nil, err
 	}
-	l := k.newStream()
-	in.lane = l.id
-	asked := time.Now()
+	s := k.newStream()
+	in.lane = s.id
+	sent := time.Now()
 	reply, err := k.ask(ctx, in)
 	if err != nil {
-		l.ReplaceIfSilent(time.Since(asked))
+		s.ReplaceIfSilent(time.Since(sent))
 	}
 	return reply, err
 }
@@ -152,7 +152,7 @@
 	return f, nil
 }
 
-// feed is a stream of news.
+// feed receives updates of the store from another host.
 type feed struct {
 	addr   netip.AddrPort
 	stream *stream
--- a/io/peer/gateway_messages.go
+++ b/io/peer/gateway_messages.go
@@ -6,7 +6,7 @@
 	"pearlatch/internal/gateway"
 )
 
-// Names of the calls between gateways.
+// Names of the drpc calls between gateways.
 const (
 	linkCall   = "/pearlatch.Gateway/Link"
 	recallCall = "/pearlatch.Gateway/Recall"
@@ -14,8 +14,8 @@
 	memberCall = "/pearlatch.Gateway/ProbeMember"
 )
 
-// peerRequestVersion is the version of statements on a lane. Up to version 1 they named no client account: a host
-// that does not know of accounts would run them under its own name, so it must refuse newer ones.
+// peerRequestVersion is the version of a forwarded request. Up to version 1, requests named no client account. A host that does
+// not know accounts would run a request under the host's own name, so it must refuse newer versions.
 const peerRequestVersion = 2
 
 // positionMessage is a log position on the wire.
@@ -36,7 +36,7 @@
 	return false
 }
 
-// preparedStatementMessage is the text of a prepared statement on the wire.
+// preparedStatementMessage is a gateway.PreparedStatement on the wire.
 type preparedStatementMessage gateway.PreparedStatement
 
 func (m *preparedStatementMessage) fields(w *fieldWriter) {
@@ -54,7 +54,7 @@
 	return false
 }
 
-// beginMessage is the start of a transaction on the wire.
+// beginMessage is a gateway.Begin on the wire.
 type beginMessage gateway.Begin
 
 func (m *beginMessage) fields(w *fieldWriter) { w.bool("read_only", m.ReadOnly) }
@@ -63,7 +63,7 @@
 	return name == "read_only" && r.bool(&m.ReadOnly)
 }
 
-// sessionValueMessage is a session value on the wire.
+// sessionValueMessage is a session value and its name on the wire.
 type sessionValueMessage struct{ name, value string }
 
 func (m *sessionValueMessage) fields(w *fieldWriter) {
@@ -81,7 +81,7 @@
 	return false
 }
 
-// The kinds of statement that hosts pass on.
+// The kinds of forwarded statements on the wire.
 const (
 	kindRead = iota + 1
 	kindWrite
@@ -90,12 +90,14 @@
 	kindRollback
 )
 
-// statementMessage is a caller's statement on the wire.
+// statementMessage is a gateway.Statement on the wire.
 type statementMessage struct {
 	kind            uint64
 	name, arguments string
 }
 
+// toStatementMessage returns the message for the statement. Its kind is zero for any other statement than those of the kinds
+// above.
 func toStatementMessage(s gateway.Statement) statementMessage {
 	switch s := s.(type) {
 	case gateway.Read:
@@ -112,7 +114,7 @@
 	return statementMessage{}
 }
 
-// statement returns the statement, or Unknown for a kind of a newer version.
+// statement returns the statement, or gateway.Unknown if the kind is not known.
 func (m *statementMessage) statement() gateway.Statement {
 	switch m.kind {
 	case kindRead:
@@ -147,9 +149,10 @@
 	return false
 }
 
-// routeMessage is what a statement's route asks for.
+// routeMessage is the route of a forwarded statement on the wire.
 type routeMessage struct {
 	gateway.Route
+	// class is the freshness class as text.
 	class string
 }
 
@@ -255,7 +258,7 @@
 	return m.messageField(name, r)
 }
 
-// messageField reads the fields that are messages themselves.
+// messageField reads the fields that are nested messages or lists of them.
 func (m *peerRequestMessage) messageField(name string, r *fieldReader) bool {
 	q := &m.PeerRequest
 	switch name {
@@ -335,7 +338,7 @@
 	return false
 }
 
-// rowMessage is a row of an answer on the wire.
+// rowMessage is a row of a reply on the wire.
 type rowMessage struct{ text string }
 
 func (m *rowMessage) fields(w *fieldWriter) { w.str("text", m.text) }
@@ -344,7 +347,7 @@
 	return name == "text" && r.str(&m.text)
 }
 
-// failureMessage is a failure on the wire.
+// failureMessage is a gateway.Failure on the wire.
 type failureMessage gateway.Failure
 
 func (m *failureMessage) fields(w *fieldWriter) {
@@ -362,7 +365,7 @@
 	return false
 }
 
-// recallRequest asks what became of a request.
+// recallRequest asks for the outcome of a request. from and serial are the request's gateway.PeerRequest.From and Serial.
 type recallRequest struct {
 	from   string
 	serial uint64
@@ -383,8 +386,8 @@
 	return false
 }
 
-// recallReply is a gateway.Recalled on the wire: running, or else a reply, or else
-// unknown to the process.
+// recallReply is a gateway.RequestOutcome on the wire. It stands for OutcomeRunning if running is true, for OutcomeDone if
+// reply is not nil, and otherwise for OutcomeUnknown with the process.
 type recallReply struct {
 	running bool
 	process string
@@ -413,7 +416,7 @@
 	return false
 }
 
-// memberRequest asks for the status of a member.
+// memberRequest asks a host to probe a member for its status.
 type memberRequest struct{ group, member string }
 
 func (m *memberRequest) fields(w *fieldWriter) {
--- a/io/peer/gateway_server.go
+++ b/io/peer/gateway_server.go
@@ -12,14 +12,14 @@
 	"pearlatch/internal/gateway"
 )
 
-// ServeGateway answers other gateways that connect to lis until ctx ends.
+// ServeGateway answers the calls of gateways that connect to lis until ctx ends.
 func ServeGateway(ctx context.Context, lis net.Listener, h *gateway.Host, traffic *Traffic) error {
 	lis = meteredListener{lis, traffic}
 	s := drpcserver.NewWithOptions(&gatewayRouter{h: h, traffic: traffic}, drpcserver.Options{Manager: streamOptions()})
 	return errors.Wrap(s.Serve(ctx, lis), "serve peers")
 }
 
-// gatewayRouter maps the names of calls between gateways to a host.
+// gatewayRouter dispatches drpc calls between gateways to a host.
 type gatewayRouter struct {
 	h       *gateway.Host
 	traffic *Traffic
@@ -45,7 +45,7 @@
 	return errors.Errorf("call %q is not known to version %d", rpc, Version)
 }
 
-// feed serves a stream of news.
+// feed serves a stream of the store's updates.
 func (r *gatewayRouter) feed(stream drpc.Stream) error {
 	var in feedRequest
 	if err := stream.MsgRecv(&in, encoding{}); err != nil {
@@ -65,14 +65,15 @@
 	return outcomeReply(r.h, in), nil
 }
 
+// outcomeReply returns the outcome of a request as far as the host knows it.
 func outcomeReply(h *gateway.Host, in *recallRequest) *recallReply {
-	switch got := h.OutcomeOf(in.from, in.serial).(type) {
+	switch outcome := h.OutcomeOf(in.from, in.serial).(type) {
 	case gateway.OutcomeRunning:
 		return &recallReply{running: true}
 	case gateway.OutcomeDone:
-		return &recallReply{reply: (*peerReplyMessage)(got.Reply)}
+		return &recallReply{reply: (*peerReplyMessage)(outcome.Reply)}
 	case gateway.OutcomeUnknown:
-		return &recallReply{process: got.Process}
+		return &recallReply{process: outcome.Process}
 	}
 	return &recallReply{}
 }
--- a/io/peer/lease_messages.go
+++ b/io/peer/lease_messages.go
@@ -60,10 +60,11 @@
 	return false
 }
 
-// revokeLeaseRequest asks a host to give its lease on a primary back.
+// revokeLeaseRequest asks a host to give up its lease on a primary.
 type revokeLeaseRequest struct {
 	group, member string
-	planned       bool
+	// planned is true for a switchover.
+	planned bool
 }
 
 func (m *revokeLeaseRequest) fields(w *fieldWriter) {
--- a/io/peer/link.go
+++ b/io/peer/link.go
@@ -7,37 +7,37 @@
 	"storj.io/drpc"
 )
 
-// linkQueueSize is how many messages wait for the way to a host. An overloaded host that
-// reads slowly is given no more than a second's worth.
+// linkQueueSize is the number of messages that may be queued on a link, so that the backlog of an overloaded host that reads
+// slowly is at most a second of messages.
 const linkQueueSize = 256
 
-// errLinkFull means that the other side reads too slowly.
+// errLinkFull means that the queue of a link is full, since the other host reads too slowly.
 var errLinkFull = errors.New("the link is full")
 
-// linkWriter sends messages on a stream from a goroutine of its own, so that nobody waits
-// for a host that doesn't read. Use newLinkWriter.
+// linkWriter queues messages and sends them on a drpc stream from its own goroutine, so that senders do not wait for a host
+// that doesn't read. Its methods may be called from several goroutines. Use newLinkWriter.
 type linkWriter struct {
 	stream drpc.Stream
 	queue  chan drpc.Message
 	once   sync.Once
-	// closed is closed when the stream failed or close was called.
+	// closed is closed when sending fails or close is called.
 	closed chan struct{}
 }
 
-// newLinkWriter returns a writer on the stream. When writing fails it calls broken.
-func newLinkWriter(stream drpc.Stream, broken func()) *linkWriter {
+// newLinkWriter returns a writer on the stream. It calls onError when sending fails.
+func newLinkWriter(stream drpc.Stream, onError func()) *linkWriter {
 	w := &linkWriter{stream: stream, queue: make(chan drpc.Message, linkQueueSize), closed: make(chan struct{})}
-	go w.run(broken)
+	go w.run(onError)
 	return w
 }
 
-func (w *linkWriter) run(broken func()) {
+func (w *linkWriter) run(onError func()) {
 	for {
 		select {
 		case m := <-w.queue:
 			if err := w.stream.MsgSend(m, encoding{}); err != nil {
 				w.close()
-				broken()
+				onError()
 				return
 			}
 		case <-w.closed:
@@ -46,7 +46,7 @@
 	}
 }
 
-// send queues a message. It never waits.
+// send queues a message. It never blocks. The error is errLinkFull if the queue is full.
 func (w *linkWriter) send(m drpc.Message) error {
 	select {
 	case <-w.closed:
@@ -61,4 +61,5 @@
 	}
 }
 
+// close stops sending. Queued messages are lost.
 func (w *linkWriter) close() { w.once.Do(func() { close(w.closed) }) }
--- a/io/peer/link_client.go
+++ b/io/peer/link_client.go
@@ -12,25 +12,27 @@
 	"pearlatch/internal/gateway"
 )
 
-// links keeps one link to each host that requests are sent to: many lanes share it, so
-// that a host under load needs neither a connection nor a handshake for each statement.
-// The zero value with a client is ready for use.
+// links keeps one link to each host that requests are sent to. Many streams share a link, so that a host under load needs no
+// connection and handshake for each statement. The methods may be called from several goroutines. The zero value with a client
+// is ready for use.
 type links struct {
 	client *Client
-	mu     sync.Mutex
-	open   map[netip.AddrPort]*link
-	// dials holds what waits for a link that is being opened.
+
+	mu   sync.Mutex
+	open map[netip.AddrPort]*link
+	// dials holds the links that are being opened.
 	dials map[netip.AddrPort]*linkDial
 }
 
-// linkDial is a link that is being opened. done is closed when the others are set.
+// linkDial is a link that is being opened.
 type linkDial struct {
+	// done is closed when link or err is set.
 	done chan struct{}
 	link *link
 	err  error
 }
 
-// get returns the link to a host, opening it if there is none.
+// get returns the link to a host, and opens it if there is none. Callers that come while it is being opened share the result.
 func (l *links) get(ctx context.Context, addr netip.AddrPort) (*link, error) {
 	l.mu.Lock()
 	if k := l.open[addr]; k != nil && !k.broken() {
@@ -55,7 +57,7 @@
 	}
 }
 
-// existing returns the link to a host if there is one.
+// existing returns the open link to a host, or nil.
 func (l *links) existing(addr netip.AddrPort) *link {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -66,6 +68,7 @@
 	return k
 }
 
+// dial opens the link to a host and tells those who wait for d.
 func (l *links) dial(addr netip.AddrPort, d *linkDial) {
 	d.link, d.err = l.client.openLink(addr)
 	l.mu.Lock()
@@ -89,21 +92,22 @@
 	return k, nil
 }
 
-// link carries the requests of many lanes to one host.
+// link is a connection to a host that many streams share. Its methods may be called from several goroutines.
 type link struct {
 	addr   netip.AddrPort
 	stream *stream
 	writer *linkWriter
 
 	mu sync.Mutex
-	// pending holds who waits for an answer, by lane.
+	// pending holds a channel for each expected reply, by the identifier of the stream.
 	pending map[uint64]chan *linkReply
-	lastID  uint64
-	// lastReceived is when the host last sent anything, or the link was opened.
+	// lastID is the identifier of the latest stream.
+	lastID uint64
+	// lastReceived is when the latest message arrived, or when the link was opened if there is none.
 	lastReceived time.Time
 }
 
-// read passes answers on until the link ends.
+// read delivers replies to those who wait for them until the link fails.
 func (k *link) read() {
 	defer k.shutdown()
 	for {
@@ -113,21 +117,22 @@
 		}
 		k.mu.Lock()
 		k.lastReceived = time.Now()
-		waiting := k.pending[in.lane]
+		waiter := k.pending[in.lane]
 		delete(k.pending, in.lane)
 		k.mu.Unlock()
-		if waiting != nil {
-			waiting <- in
+		if waiter != nil {
+			waiter <- in
 		}
 	}
 }
 
-// shutdown closes the link. Whoever waits for an answer is told.
+// shutdown closes the link. Requests that wait for a reply fail.
 func (k *link) shutdown() {
 	k.writer.close()
 	k.stream.close()
 }
 
+// broken reports whether the link is closed.
 func (k *link) broken() bool {
 	select {
 	case <-k.writer.closed:
@@ -137,7 +142,7 @@
 	}
 }
 
-// send queues a message, and ends a link that doesn't take it.
+// send queues a message. It closes the link if the queue is full.
 func (k *link) send(m drpc.Message) error {
 	err := k.writer.send(m)
 	if errors.Is(err, errLinkFull) {
@@ -146,7 +151,7 @@
 	return err
 }
 
-// linkStream carries the work of one session at a time.
+// linkStream is a stream on a link. It carries one request at a time.
 type linkStream struct {
 	link *link
 	id   uint64
@@ -154,6 +159,7 @@
 
 var _ gateway.Stream = (*linkStream)(nil)
 
+// newStream returns a stream with a new identifier. Nothing is sent.
 func (k *link) newStream() *linkStream {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -161,27 +167,27 @@
 	return &linkStream{link: k, id: k.lastID}
 }
 
-// Do implements gateway.Lane.
-func (l *linkStream) Do(ctx context.Context, r *gateway.PeerRequest) (*gateway.PeerReply, error) {
-	reply, err := l.link.ask(ctx, &linkRequest{lane: l.id, peerRequestMessage: peerRequestMessage{version: peerRequestVersion, PeerRequest: *r}})
+// Do implements gateway.Stream.
+func (s *linkStream) Do(ctx context.Context, r *gateway.PeerRequest) (*gateway.PeerReply, error) {
+	reply, err := s.link.ask(ctx, &linkRequest{lane: s.id, peerRequestMessage: peerRequestMessage{version: peerRequestVersion, PeerRequest: *r}})
 	if err != nil {
 		return nil, err
 	}
 	return (*gateway.PeerReply)(&reply.peerReplyMessage), nil
 }
 
-// ask sends a message and waits for its answer. ErrNotSent means that it was not sent.
+// ask sends a request and waits for the reply. gateway.ErrNotSent means that the request was not sent.
 func (k *link) ask(ctx context.Context, m *linkRequest) (*linkReply, error) {
-	answer := make(chan *linkReply, 1)
+	replies := make(chan *linkReply, 1)
 	k.mu.Lock()
-	k.pending[m.lane] = answer
+	k.pending[m.lane] = replies
 	k.mu.Unlock()
 	if err := k.send(m); err != nil {
 		k.removePending(m.lane)
 		return nil, errors.Wrap(gateway.ErrNotSent, err.Error())
 	}
 	select {
-	case reply := <-answer:
+	case reply := <-replies:
 		return reply, nil
 	case <-k.writer.closed:
 		k.removePending(m.lane)
@@ -192,14 +198,14 @@
 	}
 }
 
-func (k *link) removePending(lane uint64) {
+// removePending drops the reply on the stream if it still arrives.
+func (k *link) removePending(id uint64) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	delete(k.pending, lane)
+	delete(k.pending, id)
 }
 
-// queryOutcome asks on the link what became of a request. It returns nil if there is no answer
-// soon.
+// queryOutcome asks for the outcome of a request on the link. It returns nil if no answer arrives within linkOutcomeTimeout.
 func (k *link) queryOutcome(ctx context.Context, in *recallRequest) *recallReply {
 	ctx, cancel := context.WithTimeout(ctx, linkOutcomeTimeout)
 	defer cancel()
@@ -210,18 +216,18 @@
 	return reply.recalled
 }
 
-// Close implements gateway.Lane.
-func (l *linkStream) Close() {
-	// A link that has ended takes its lanes along.
-	_ = l.link.send(&linkRequest{lane: l.id, closes: true})
+// Close implements gateway.Stream.
+func (s *linkStream) Close() {
+	// An error is ignored: the other host closes all streams of a link that has failed.
+	_ = s.link.send(&linkRequest{lane: s.id, closes: true})
 }
 
-// ReplaceIfSilent implements gateway.Lane.
-func (l *linkStream) ReplaceIfSilent(age time.Duration) {
-	l.link.mu.Lock()
-	silent := time.Since(l.link.lastReceived) > age
-	l.link.mu.Unlock()
+// ReplaceIfSilent implements gateway.Stream.
+func (s *linkStream) ReplaceIfSilent(age time.Duration) {
+	s.link.mu.Lock()
+	silent := time.Since(s.link.lastReceived) > age
+	s.link.mu.Unlock()
 	if silent {
-		l.link.shutdown()
+		s.link.shutdown()
 	}
 }
--- a/io/peer/link_messages.go
+++ b/io/peer/link_messages.go
@@ -1,9 +1,11 @@
 package peer
 
-// linkRequest is a request on a lane of a link, the end of the lane, or a question what
-// became of a request.
+// linkRequest is a message to the host that serves a link. It holds one of the fields below lane, and a forwarded request if
+// none of them is set.
 type linkRequest struct {
-	lane        uint64
+	// lane identifies the stream within the link.
+	lane uint64
+	// closes is true if the stream is closed.
 	closes      bool
 	recall      *recallRequest
 	lease       *leaseRequest
@@ -63,12 +65,14 @@
 	return m.peerRequestMessage.field(name, r)
 }
 
-// linkReply answers a linkRequest.
+// linkReply answers a linkRequest. It holds one of the fields below lane, and the reply to a forwarded request if none of them
+// is set.
 type linkReply struct {
+	// lane identifies the stream that the request came on.
 	lane     uint64
 	recalled *recallReply
 	lease    *leaseReply
-	// leaseRevoked is true once a lease was given back.
+	// leaseRevoked is true if the host has given up a lease.
 	leaseRevoked bool
 	quota        *quotaReply
 	told         *tellReply
--- a/io/peer/link_server.go
+++ b/io/peer/link_server.go
@@ -12,7 +12,7 @@
 	"pearlatch/internal/quotas"
 )
 
-// servedLink answers the requests that come on one link.
+// servedLink serves the requests that another host sends on one link.
 type servedLink struct {
 	host   *gateway.Host
 	writer *linkWriter
@@ -21,18 +21,18 @@
 	streams map[uint64]*servedStream
 }
 
-// servedStream is a lane with a request under way or a transaction open.
+// servedStream is a stream with a running request or an open transaction.
 type servedStream struct {
 	session *gateway.ForwardedSession
-	// running is true while a request is under way, and closed once the other side has
-	// given the lane up.
+	// running is true while a request runs. closed is true once the stream is closed; a request that is still running is
+	// finished first.
 	running, closed bool
-	// idleTimer ends a transaction that rests for too long.
+	// idleTimer rolls back a transaction on which no request arrives for too long.
 	idleTimer *time.Timer
 }
 
-// serveLink serves a link until it ends. What was begun on it is ended too, also when the
-// other host goes: it may ask for the outcome.
+// serveLink serves a link until it fails. It then closes all streams and rolls back their transactions, also if the other host
+// has failed. Requests that are still running are finished, since the other host may query their outcome.
 func serveLink(stream drpc.Stream, h *gateway.Host) error {
 	l := &servedLink{host: h, streams: map[uint64]*servedStream{}}
 	l.writer = newLinkWriter(stream, func() { _ = stream.Close() })
@@ -67,31 +67,31 @@
 	}
 }
 
-// start starts a request on its lane.
+// start starts a request on its stream, unless the session declines it.
 func (l *servedLink) start(in *linkRequest) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	k := l.streams[in.lane]
-	if k == nil {
-		k = &servedStream{session: l.host.NewForwardedSession()}
-		l.streams[in.lane] = k
+	s := l.streams[in.lane]
+	if s == nil {
+		s = &servedStream{session: l.host.NewForwardedSession()}
+		l.streams[in.lane] = s
 	}
-	if k.idleTimer != nil {
-		k.idleTimer.Stop()
+	if s.idleTimer != nil {
+		s.idleTimer.Stop()
 	}
-	if k.running {
-		return // a lane carries one request at a time: its answer is still to come
+	if s.running {
+		return // a stream carries one request at a time, and the running one is still to be answered
 	}
-	if declined := k.session.Accept(&in.PeerRequest); declined != nil {
-		l.closeStreamLocked(in.lane, k)
+	if declined := s.session.Accept(&in.PeerRequest); declined != nil {
+		l.closeStreamLocked(in.lane, s)
 		l.send(&linkReply{lane: in.lane, peerReplyMessage: peerReplyMessage(*declined)})
 		return
 	}
-	k.running = true
-	go l.run(in, k)
+	s.running = true
+	go l.run(in, s)
 }
 
-// send queues an answer, and ends a link that doesn't take it.
+// send queues a reply. It closes the link if the queue is full.
 func (l *servedLink) send(m *linkReply) {
 	if err := l.writer.send(m); errors.Is(err, errLinkFull) {
 		l.writer.close()
@@ -99,16 +99,17 @@
 	}
 }
 
-func (l *servedLink) run(in *linkRequest, k *servedStream) {
-	reply := k.session.Run(context.Background(), &in.PeerRequest)
+// run runs a request, sends the reply, and forgets a stream without an open transaction.
+func (l *servedLink) run(in *linkRequest, s *servedStream) {
+	reply := s.session.Run(context.Background(), &in.PeerRequest)
 	l.mu.Lock()
-	k.running = false
-	open := k.session.HasOpenTransaction()
+	s.running = false
+	open := s.session.HasOpenTransaction()
 	switch {
-	case k.closed:
-		go k.session.Close()
+	case s.closed:
+		go s.session.Close()
 	case open:
-		k.idleTimer = time.AfterFunc(k.session.IdleTimeout(), func() { l.expire(in.lane, k) })
+		s.idleTimer = time.AfterFunc(s.session.IdleTimeout(), func() { l.expire(in.lane, s) })
 	default:
 		delete(l.streams, in.lane)
 	}
@@ -116,47 +117,47 @@
 	l.send(&linkReply{lane: in.lane, peerReplyMessage: peerReplyMessage(*reply)})
 }
 
-// expire rolls back a transaction that rested for too long.
-func (l *servedLink) expire(id uint64, k *servedStream) {
+// expire rolls back a transaction on which no request has arrived for too long.
+func (l *servedLink) expire(id uint64, s *servedStream) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if k.running || k.closed {
+	if s.running || s.closed {
 		return
 	}
-	k.closed = true
+	s.closed = true
 	delete(l.streams, id)
-	go k.session.Expire()
+	go s.session.Expire()
 }
 
-// closeStream ends a lane that the other side has given up.
+// closeStream closes a stream that the other host has closed.
 func (l *servedLink) closeStream(id uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	k := l.streams[id]
-	if k == nil {
+	s := l.streams[id]
+	if s == nil {
 		return
 	}
-	l.closeStreamLocked(id, k)
+	l.closeStreamLocked(id, s)
 }
 
-// closeStreamLocked ends a lane, or marks it while a request is under way. l.mu is held.
-func (l *servedLink) closeStreamLocked(id uint64, k *servedStream) {
-	k.closed = true
+// closeStreamLocked closes a stream. If a request is running, run closes the session afterwards. l.mu must be held.
+func (l *servedLink) closeStreamLocked(id uint64, s *servedStream) {
+	s.closed = true
 	delete(l.streams, id)
-	if k.idleTimer != nil {
-		k.idleTimer.Stop()
+	if s.idleTimer != nil {
+		s.idleTimer.Stop()
 	}
-	if !k.running {
-		go k.session.Close()
+	if !s.running {
+		go s.session.Close()
 	}
 }
 
-// closeAll ends all lanes.
+// closeAll closes the writer and all streams.
 func (l *servedLink) closeAll() {
 	l.writer.close()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for id, k := range l.streams {
-		l.closeStreamLocked(id, k)
+	for id, s := range l.streams {
+		l.closeStreamLocked(id, s)
 	}
 }
--- a/io/peer/news_messages.go
+++ b/io/peer/news_messages.go
@@ -7,10 +7,10 @@
 	"pearlatch/internal/follow"
 )
 
-// feedRequest asks for a feed.
+// feedRequest asks for the store's updates after a revision.
 type feedRequest struct {
 	after kv.Revision
-	// readsCompressedLists is true if the asker reads lists that are compressed as a whole.
+	// readsCompressedLists is true if the sender can read an item list that is compressed as a whole.
 	readsCompressedLists bool
 }
 
@@ -32,8 +32,9 @@
 // newsMessage is follow.News on the wire.
 type newsMessage struct {
 	follow.News
-	// compressor compresses large values, and if packs is true whole lists.
-	compressor   *compressor
+	compressor *compressor
+	// compressList is true if the items of a full update are compressed as a whole. Otherwise, and in other updates, each
+	// large value is compressed.
 	compressList bool
 }
 
@@ -47,16 +48,16 @@
 	}
 	writeList(w, "elsewhere", elsewhere)
 	if m.compressList && m.Full {
-		packed, err := m.compressor.compressSnapshot(m.Snapshot)
+		compressed, err := m.compressor.compressSnapshot(m.Snapshot)
 		w.setErr(err)
-		w.bytes("packed_items", packed)
+		w.bytes("packed_items", compressed)
 		return
 	}
 	items := make([]itemMessage, len(m.Items))
 	for i, each := range m.Items {
-		packed, err := m.compressor.compress(each)
+		compressed, err := m.compressor.compress(each)
 		w.setErr(err)
-		items[i] = itemMessage{each, packed}
+		items[i] = itemMessage{each, compressed}
 	}
 	writeList(w, "items", items)
 }
@@ -73,9 +74,9 @@
 		m.Items = readItems(r)
 		return true
 	case "packed_items":
-		var packed []byte
-		r.bytes(&packed)
-		items, err := decompressItems(packed)
+		var compressed []byte
+		r.bytes(&compressed)
+		items, err := decompressItems(compressed)
 		r.setErr(err)
 		m.Items = items
 		return true
@@ -90,6 +91,7 @@
 	return false
 }
 
+// readItems reads a list of items.
 func readItems(r *fieldReader) []kv.Item {
 	var list []itemMessage
 	readList(r, &list)
@@ -100,7 +102,7 @@
 	return out
 }
 
-// listMessage is a list of keys of the store, to be compressed as a whole.
+// listMessage is a list of items of the store that is encoded by itself, to be compressed as a whole.
 type listMessage struct{ items []kv.Item }
 
 func (m *listMessage) fields(w *fieldWriter) {
@@ -119,7 +121,7 @@
 	return true
 }
 
-// addrMessage is a host's address for other hosts.
+// addrMessage is the address of a host for other hosts, on the wire.
 type addrMessage struct{ netip.AddrPort }
 
 func (m *addrMessage) fields(w *fieldWriter) { w.str("addr", m.String()) }
@@ -128,10 +130,10 @@
 	return name == "addr" && readAddr(r, &m.AddrPort)
 }
 
-// itemMessage is a key of the store on the wire. If packed is not empty it stands for
-// the value.
+// itemMessage is an item of the store on the wire.
 type itemMessage struct {
 	kv.Item
+	// compressed is the compressed value. If it is not nil, it is sent in place of the value.
 	compressed []byte
 }
 
--- a/io/peer/pack.go
+++ b/io/peer/pack.go
@@ -12,55 +12,56 @@
 )
 
 const (
-	// minCompressSize is the size in bytes from which a value is compressed for other hosts. A
-	// configuration of 1,400 routes has 300 KB, which a link of 10 Mbit/s carries to
-	// one host in a quarter of a second, and the statements behind it wait.
+	// minCompressSize is the size in bytes from which a value is compressed for other hosts. A configuration of 1,400 routes
+	// has 300 KB, which takes a network link of 10 Mbit/s a quarter of a second for each host, and the statements behind it wait.
 	minCompressSize = 2 << 10
-	// maxInflatedSize bounds what a compressed value may expand to.
+	// maxInflatedSize bounds the decompressed size of a value, in bytes.
 	maxInflatedSize = 16 << 20
 )
 
-// compressor compresses large values of the store, each revision of a key once, and whole lists, the same one once. The zero
-// value is ready for use.
+// compressor compresses values and snapshots of the store for other hosts, and caches the results. The zero value is ready
+// for use. It is safe for concurrent use.
 type compressor struct {
-	mu     sync.Mutex
+	mu sync.Mutex
+	// values holds the latest compressed value of each key.
 	values map[string]compressedValue
-	// list is the last list that was compressed.
+	// list is the latest compressed snapshot.
 	list compressedValue
 }
 
+// compressedValue is the compressed form of a value or a snapshot at a revision.
 type compressedValue struct {
 	revision kv.Revision
 	bytes    []byte
 }
 
-// compress returns the item's value compressed, or nil if it is small.
-func (p *compressor) compress(i kv.Item) ([]byte, error) {
-	if len(i.Value) < minCompressSize {
+// compress returns the compressed value of the item, or nil if the value is smaller than minCompressSize.
+func (c *compressor) compress(item kv.Item) ([]byte, error) {
+	if len(item.Value) < minCompressSize {
 		return nil, nil
 	}
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if known := p.values[i.Key]; known.revision == i.Revision {
-		return known.bytes, nil
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if cached := c.values[item.Key]; cached.revision == item.Revision {
+		return cached.bytes, nil
 	}
-	out, err := deflate(i.Value)
+	out, err := deflate(item.Value)
 	if err != nil {
-		return nil, errors.Wrapf(err, "compress %s", i.Key)
+		return nil, errors.Wrapf(err, "compress %s", item.Key)
 	}
-	if p.values == nil {
-		p.values = map[string]compressedValue{}
+	if c.values == nil {
+		c.values = map[string]compressedValue{}
 	}
-	p.values[i.Key] = compressedValue{i.Revision, out}
+	c.values[item.Key] = compressedValue{item.Revision, out}
 	return out, nil
 }
 
-// compressSnapshot returns the list compressed. Hosts that need one at the same time are sent the same.
-func (p *compressor) compressSnapshot(s kv.Snapshot) ([]byte, error) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if p.list.revision == s.Revision {
-		return p.list.bytes, nil
+// compressSnapshot returns the compressed items of the snapshot. Hosts that ask for the same revision share one result.
+func (c *compressor) compressSnapshot(s kv.Snapshot) ([]byte, error) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.list.revision == s.Revision {
+		return c.list.bytes, nil
 	}
 	plain, err := encoding{}.Marshal(&listMessage{s.Items})
 	if err != nil {
@@ -70,13 +71,13 @@
 	if err != nil {
 		return nil, errors.Wrapf(err, "compress the list of revision %v", s.Revision)
 	}
-	p.list = compressedValue{s.Revision, out}
+	c.list = compressedValue{s.Revision, out}
 	return out, nil
 }
 
-// decompressItems is the inverse of packList.
-func decompressItems(packed []byte) ([]kv.Item, error) {
-	plain, err := inflate(packed)
+// decompressItems returns the items of a list that compressSnapshot compressed.
+func decompressItems(compressed []byte) ([]kv.Item, error) {
+	plain, err := inflate(compressed)
 	if err != nil {
 		return nil, err
 	}
@@ -85,6 +86,7 @@
 	return m.items, err
 }
 
+// deflate compresses a value with DEFLATE.
 func deflate(value []byte) ([]byte, error) {
 	var b bytes.Buffer
 	w, err := flate.NewWriter(&b, flate.BestSpeed)
@@ -100,8 +102,9 @@
 	return b.Bytes(), nil
 }
 
-func inflate(packed []byte) ([]byte, error) {
-	r := flate.NewReader(bytes.NewReader(packed))
+// inflate decompresses a value. It fails if the result exceeds maxInflatedSize.
+func inflate(compressed []byte) ([]byte, error) {
+	r := flate.NewReader(bytes.NewReader(compressed))
 	out, err := io.ReadAll(io.LimitReader(r, maxInflatedSize+1))
 	if err != nil {
 		return nil, errors.Wrap(err, "decompress a value")
--- a/io/peer/quota_messages.go
+++ b/io/peer/quota_messages.go
@@ -7,15 +7,15 @@
 	"pearlatch/internal/quotas"
 )
 
-// microsPerUnit is how many parts an operation, or an operation per second, has on the wire.
+// microsPerUnit is the factor by which numbers of operations and rates are multiplied on the wire.
 const microsPerUnit = 1e6
 
-// fraction writes a number that is not negative, in millionths.
+// fraction writes a number in millionths, and a negative one as zero.
 func (w *fieldWriter) fraction(name string, v float64) {
 	w.uint(name, uint64(math.Round(max(0, v)*microsPerUnit)))
 }
 
-// fraction reads what a fieldWriter's fraction wrote.
+// fraction reads a number that fieldWriter.fraction wrote.
 func (r *fieldReader) fraction(v *float64) bool {
 	var n uint64
 	r.uint(&n)
@@ -23,7 +23,8 @@
 	return true
 }
 
-// accountRequestMessage is a quota.Question on the wire. The granter knows the quota by itself.
+// accountRequestMessage is a quota.AccountRequest on the wire. It omits the quota, which the granter takes from its own
+// configuration.
 type accountRequestMessage quota.AccountRequest
 
 func (m *accountRequestMessage) fields(w *fieldWriter) {
--- a/io/peer/server.go
+++ b/io/peer/server.go
@@ -17,17 +17,16 @@
 	"pearlatch/io/postgres"
 )
 
-// Exchange runs the units of one transaction. See upstream.Exchange.
+// Exchange runs the units of one transaction. See upstream.Exchange for its methods.
 type Exchange interface {
 	Do(ctx context.Context, u *statement.Unit, sink func([]byte) error) (statement.Outcome, error)
 	Cancel(ctx context.Context) error
 	Close()
 }
 
-// Handler answers other hosts.
+// Handler answers the calls of other hosts. Its methods are called from several goroutines.
 type Handler interface {
-	// Begin opens an exchange with the group that this host owns. The error is a
-	// *statement.Refusal.
+	// Begin opens an exchange with a group that this host owns. The error is a *statement.Refusal.
 	Begin(r *statement.Request) (Exchange, error)
 	Probe(ctx context.Context, m *Probe) (*Probe, error)
 	Relay(ctx context.Context, m *Relay) (*Verdict, error)
@@ -39,11 +38,11 @@
 	Assume(ctx context.Context, m *Assume) (*Verdict, error)
 }
 
-// maxMessageSize bounds a message of the inner protocol, in bytes. A unit is one
-// message, so it is a little more than a caller's largest message.
+// maxMessageSize bounds a message of the inner protocol, in bytes. Since a unit is sent as one message, the bound is somewhat
+// above the size of the largest message of a caller.
 const maxMessageSize = postgres.MaxFrame + 1<<20
 
-// streamOptions are what both sides of a connection use.
+// streamOptions returns the drpc options for both sides of a connection.
 func streamOptions() drpcmanager.Options {
 	return drpcmanager.Options{
 		WriterBufferSize: writerBufferSize,
@@ -51,21 +50,21 @@
 	}
 }
 
-// writerBufferSize is how much drpc collects before it writes, in bytes.
+// writerBufferSize is the number of bytes that drpc collects before it writes.
 const writerBufferSize = 4 << 10
 
-// Serve answers hosts that connect to lis until ctx ends. A TLS configuration
-// that is not nil demands certificates from them.
-func Serve(ctx context.Context, lis net.Listener, h Handler, secure *tls.Config, traffic *Traffic) error {
+// Serve answers the calls of hosts that connect to lis until ctx ends. If tlsConfig is not nil, it uses TLS, and
+// the hosts must present the certificates that tlsConfig demands.
+func Serve(ctx context.Context, lis net.Listener, h Handler, tlsConfig *tls.Config, traffic *Traffic) error {
 	lis = meteredListener{lis, traffic}
-	if secure != nil {
-		lis = tls.NewListener(lis, secure)
+	if tlsConfig != nil {
+		lis = tls.NewListener(lis, tlsConfig)
 	}
 	s := drpcserver.NewWithOptions(&router{h: h, traffic: traffic}, drpcserver.Options{Manager: streamOptions()})
 	return errors.Wrap(s.Serve(ctx, lis), "serve peers")
 }
 
-// router maps the names of calls to a handler.
+// router dispatches drpc calls to a handler.
 type router struct {
 	h       Handler
 	traffic *Traffic
@@ -101,7 +100,7 @@
 	return errors.Errorf("call %q is not known to version %d", rpc, Version)
 }
 
-// unary answers one message with one.
+// unary serves a call with one request and one reply.
 func unary[In, Out any, P interface {
 	*In
 	message
@@ -120,7 +119,7 @@
 	return stream.MsgSend(Q(out), encoding{})
 }
 
-// exchange serves a stream that carries one exchange after another.
+// exchange serves a stream of exchanges, one at a time. It closes an open exchange when the stream ends.
 func (r *router) exchange(stream drpc.Stream) error {
 	var x Exchange
 	defer func() {
@@ -152,12 +151,12 @@
 	}
 }
 
-// maxBufferedAnswer is up to how many bytes of an answer wait for its end, to go with
-// it in one message. Longer parts are sent as they come.
+// maxBufferedAnswer is the size in bytes up to which a part of an answer is buffered. It is sent together with the end of the
+// answer, or by itself when another part follows.
 const maxBufferedAnswer = 8 << 10
 
-// answerWriter sends an answer. It holds a short last part back, which takes a
-// message less for most statements.
+// answerWriter sends the parts of an answer. It buffers a short part, so that most answers take a single message: the caller
+// sends buffered with the end of the answer.
 type answerWriter struct {
 	stream   drpc.Stream
 	buffered []byte
@@ -178,6 +177,7 @@
 	return w.stream.MsgSend(&answerMessage{data: b}, encoding{})
 }
 
+// runUnit runs a unit on the open exchange x. The first unit of an exchange opens it.
 func (r *router) runUnit(stream drpc.Stream, x *Exchange, in *unitMessage, answer *answerWriter) (statement.Outcome, error) {
 	if in.version != Version {
 		return statement.Outcome{}, statement.NewNotRunRefusal(postgres.CodeFeatureNotSupported,
@@ -190,11 +190,11 @@
 			*x = nil
 		}
 		request := in.request
-		began, err := r.h.Begin(&request)
+		opened, err := r.h.Begin(&request)
 		if err != nil {
 			return statement.Outcome{}, err
 		}
-		*x = began
+		*x = opened
 	}
 	if *x == nil {
 		return statement.Outcome{}, statement.NewNotRunRefusal(postgres.CodeProtocolViolation, "no exchange is open on the stream")
@@ -202,6 +202,7 @@
 	return (*x).Do(stream.Context(), &in.unit, answer.write)
 }
 
+// refusalOf returns the refusal in err. The outcome of a unit that failed with another error is unknown.
 func refusalOf(err error) statement.Refusal {
 	var r *statement.Refusal
 	if stderrors.As(err, &r) {
--- a/io/peer/traffic.go
+++ b/io/peer/traffic.go
@@ -5,25 +5,24 @@
 	"sync/atomic"
 )
 
-// Traffic counts what a host exchanges with others. The zero value is ready for
-// use, and safe for concurrent use.
+// Traffic counts the traffic of a host with other hosts. The zero value is ready for use. It is safe for concurrent use.
 type Traffic struct {
-	// In and Out count bytes, without the headers of TCP and IP.
+	// In and Out count the bytes received and sent, without TCP and IP headers.
 	In, Out atomic.Int64
-	// Calls counts the calls made and Served those answered. Streams that carry
-	// exchanges do not count.
+	// Calls counts the calls made, and Served the calls answered. Streams are not counted.
 	Calls, Served atomic.Int64
-	// Conns counts the connections open now, in both directions.
+	// Conns is the number of open connections in both directions.
 	Conns atomic.Int64
 }
 
-// meteredConn counts the bytes of a connection.
+// meteredConn counts the bytes of a connection in traffic.
 type meteredConn struct {
 	net.Conn
 	traffic *Traffic
 	closed  atomic.Bool
 }
 
+// meter counts conn, and from now on its bytes. The returned connection replaces conn.
 func (t *Traffic) meter(conn net.Conn) net.Conn {
 	t.Conns.Add(1)
 	return &meteredConn{Conn: conn, traffic: t}
@@ -48,7 +47,7 @@
 	return c.Conn.Close()
 }
 
-// meteredListener counts the bytes of accepted connections.
+// meteredListener counts the connections that it accepts and their bytes.
 type meteredListener struct {
 	net.Listener
 	traffic *Traffic
--- a/io/peer/unit.go
+++ b/io/peer/unit.go
@@ -7,13 +7,16 @@
 	"pearlatch/core/statement"
 )
 
-// unitMessage carries a unit to the owner, and with the first one the request.
+// unitMessage is a unit on its way to the owner of the group. The first unit of an exchange carries the request too.
 type unitMessage struct {
-	version  uint64
-	first    bool
-	request  statement.Request
-	class    string
-	unit     statement.Unit
+	version uint64
+	// first is true if request is set.
+	first   bool
+	request statement.Request
+	// class is the request's freshness class as text.
+	class string
+	unit  statement.Unit
+	// timeLeft is the time until the unit's deadline. The receiver adds it to the time by its own clock.
 	timeLeft time.Duration
 }
 
@@ -122,7 +125,7 @@
 	return false
 }
 
-// preparedMessage is a named statement that a unit refers to.
+// preparedMessage is a prepared statement that a unit refers to.
 type preparedMessage statement.Prepared
 
 func (m *preparedMessage) fields(w *fieldWriter) {
@@ -140,11 +143,12 @@
 	return false
 }
 
-// answerMessage carries a part of an answer, or its end.
+// answerMessage is a part of the answer to a unit. The last part has end set, and the outcome or the refusal.
 type answerMessage struct {
 	data    []byte
 	end     bool
 	outcome statement.Outcome
+	// refused is true if refusal is set.
 	refused bool
 	refusal statement.Refusal
 }
@@ -186,7 +190,7 @@
 	return false
 }
 
-// refusalMessage is a refusal on the wire.
+// refusalMessage is a statement.Refusal on the wire.
 type refusalMessage statement.Refusal
 
 func (m *refusalMessage) fields(w *fieldWriter) {
