--- a/io/peer/gateway_codec_test.go
+++ b/io/peer/gateway_codec_test.go
@@ -21,7 +21,7 @@
 
 var update = flag.Bool("update", false, "write the golden files")
 
-// samples holds a message of each kind between gateways, with every field set.
+// samples returns messages between gateways, by the names of their golden files.
 func samples() map[string]message {
 	position := group.Position{Term: 3, LSN: 1207}
 	reply := peerReplyMessage{
@@ -70,8 +70,7 @@
 	}
 }
 
-// Hosts of two versions speak to each other while a fleet is upgraded: the bytes of a
-// message must not change unnoticed.
+// Hosts of two versions exchange messages while a fleet is upgraded, so a message's encoding must not change unnoticed.
 func TestGatewayMessagesOnTheWire(t *testing.T) {
 	for name, m := range samples() {
 		got, err := encoding{}.Marshal(m)
@@ -108,7 +107,7 @@
 			n.compressor = m.(*newsMessage).compressor
 		}
 		if !reflect.DeepEqual(out, m) {
-			t.Errorf("%s came back as\n%+v, want\n%+v", name, out, m)
+			t.Errorf("%s is decoded as\n%+v, want\n%+v", name, out, m)
 		}
 	}
 }
@@ -119,46 +118,47 @@
 	} {
 		m := toStatementMessage(s)
 		if got := m.statement(); got != s {
-			t.Errorf("%T came back as %#v", s, got)
+			t.Errorf("%T is decoded as %#v", s, got)
 		}
 	}
 	if got := (&statementMessage{kind: 99}).statement(); got != (gateway.Unknown{}) {
-		t.Errorf("a kind of a newer version came back as %#v", got)
+		t.Errorf("a kind of a newer version is decoded as %#v", got)
 	}
 }
 
-// A configuration of many routes is passed to every host at once; as it stands it would
-// fill a small host's link for a quarter of a second each.
+// A configuration of many routes is sent to every host at once. Uncompressed, it would fill the network link of a small host
+// for a quarter of a second per receiver.
 func TestLargeValuesAreCompressedOnce(t *testing.T) {
 	item := kv.Item{Key: "config", Value: []byte(strings.Repeat(`{"name":"r-68k7b2e","host":"fiti832ti23"}`, 1400)), Revision: 3}
-	p := &compressor{}
-	text, err := encoding{}.Marshal(&newsMessage{News: follow.News{Update: kv.Update{Snapshot: kv.Snapshot{Items: []kv.Item{item}}}}, compressor: p})
+	c := &compressor{}
+	text, err := encoding{}.Marshal(&newsMessage{News: follow.News{Update: kv.Update{Snapshot: kv.Snapshot{Items: []kv.Item{item}}}}, compressor: c})
 	if err != nil {
 		t.Fatal(err)
 	}
 	if len(text) > len(item.Value)/20 {
-		t.Errorf("%d bytes are sent as %d", len(item.Value), len(text))
+		t.Errorf("%d bytes are compressed to %d", len(item.Value), len(text))
 	}
 	var out newsMessage
 	if err := (encoding{}).Unmarshal(text, &out); err != nil {
 		t.Fatal(err)
 	}
 	if !reflect.DeepEqual(out.Items, []kv.Item{item}) {
-		t.Error("the value came back changed")
+		t.Error("the decoded value differs")
 	}
-	first, _ := p.compress(item)
-	again, _ := p.compress(item)
+	first, _ := c.compress(item)
+	again, _ := c.compress(item)
 	if &first[0] != &again[0] {
 		t.Error("the same revision was compressed twice")
 	}
 	item.Revision++
-	if next, _ := p.compress(item); &first[0] == &next[0] {
+	if next, _ := c.compress(item); &first[0] == &next[0] {
 		t.Error("a new revision was not compressed")
 	}
 }
 
-// A fleet that starts sends the list of 1,000 groups' members to each host: plain, it fills the link of a host with sixteen
-// below it for seconds. A host of a version that does not read packed lists is sent a plain one.
+// When a fleet starts, each host is sent the list of the members of 1,000 groups. Uncompressed, it fills the network link of a
+// host that sends it to sixteen others for seconds. A host of a version that does not read compressed lists is sent an
+// uncompressed one.
 func TestWholeListIsCompressedOnce(t *testing.T) {
 	s := kv.Snapshot{Revision: 9}
 	for i := range 3000 {
@@ -167,13 +167,13 @@
 			Value: fmt.Appendf(nil, `{"service":"allergen-core-%d","address":"10.1.%d.%d:5432","zone":"z","slots":3,"state":"ready"}`, i/3, i/256, i%256),
 		})
 	}
-	p := &compressor{}
-	news := func(packs bool) *newsMessage {
-		return &newsMessage{News: follow.News{Update: kv.Update{Snapshot: s, Full: true}}, compressor: p, compressList: packs}
+	c := &compressor{}
+	newsOf := func(compressed bool) *newsMessage {
+		return &newsMessage{News: follow.News{Update: kv.Update{Snapshot: s, Full: true}}, compressor: c, compressList: compressed}
 	}
 	sizes := map[bool]int{}
-	for _, packs := range []bool{false, true} {
-		text, err := encoding{}.Marshal(news(packs))
+	for _, compressed := range []bool{false, true} {
+		text, err := encoding{}.Marshal(newsOf(compressed))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -182,31 +182,31 @@
 			t.Fatal(err)
 		}
 		if !out.Full || !reflect.DeepEqual(out.Items, s.Items) {
-			t.Errorf("packed %t: the list came back changed", packs)
+			t.Errorf("compressed %t: the decoded list differs", compressed)
 		}
-		sizes[packs] = len(text)
+		sizes[compressed] = len(text)
 	}
 	if sizes[true] > sizes[false]/4 {
-		t.Errorf("%d bytes are sent as %d", sizes[false], sizes[true])
+		t.Errorf("%d bytes are compressed to %d", sizes[false], sizes[true])
 	}
-	first, _ := p.compressSnapshot(s)
-	again, _ := p.compressSnapshot(s)
+	first, _ := c.compressSnapshot(s)
+	again, _ := c.compressSnapshot(s)
 	if &first[0] != &again[0] {
 		t.Error("the same list was compressed twice")
 	}
 }
 
-// A value that claims to expand without end must not take the host's memory.
+// A small compressed value that expands to a huge one must not exhaust the host's memory.
 func TestCompressedValueIsBounded(t *testing.T) {
 	bomb, err := deflate(make([]byte, maxInflatedSize+1))
 	if err != nil {
 		t.Fatal(err)
 	}
 	if _, err := inflate(bomb); err == nil {
-		t.Error("a value beyond the bound was taken")
+		t.Error("a value above the bound was decompressed")
 	}
 	if _, err := inflate([]byte("no such thing")); err == nil {
-		t.Error("garbage was taken")
+		t.Error("invalid data was decompressed")
 	}
 }
 
@@ -221,7 +221,7 @@
 	f.Fuzz(func(_ *testing.T, text []byte) {
 		for _, m := range samples() {
 			out := reflect.New(reflect.TypeOf(m).Elem()).Interface().(message)
-			// Whatever comes, decoding ends with a message or an error.
+			// Decoding any bytes must end with a message or an error.
 			_ = encoding{}.Unmarshal(text, out)
 		}
 	})
--- a/io/peer/link_test.go
+++ b/io/peer/link_test.go
@@ -15,7 +15,7 @@
 
 var serial uint64
 
-// request returns a statement for the stub's group.
+// request returns a request with the next serial for the stub's group.
 func request(id string, s gateway.Statement) *gateway.PeerRequest {
 	serial++
 	return &gateway.PeerRequest{
@@ -25,13 +25,14 @@
 	}
 }
 
+// begin returns the first request of a transaction.
 func begin(id string) *gateway.PeerRequest {
 	r := request(id, gateway.Read{})
 	r.Begin = &gateway.Begin{}
 	return r
 }
 
-// continuation returns a further statement of a transaction.
+// continuation returns a later request of a transaction.
 func continuation(id string, s gateway.Statement) *gateway.PeerRequest {
 	r := request(id, s)
 	r.Continues = true
@@ -40,20 +41,20 @@
 
 func openStream(t *testing.T, c *GatewayClient, addr netip.AddrPort) gateway.Stream {
 	t.Helper()
-	l, err := c.OpenStream(t.Context(), addr)
+	stream, err := c.OpenStream(t.Context(), addr)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return l
+	return stream
 }
 
 func newClient() *GatewayClient {
 	return NewGatewayClient(netip.MustParseAddr("127.0.0.1"), &Traffic{})
 }
 
-func mustDo(t *testing.T, l gateway.Stream, r *gateway.PeerRequest) *gateway.PeerReply {
+func mustDo(t *testing.T, stream gateway.Stream, r *gateway.PeerRequest) *gateway.PeerReply {
 	t.Helper()
-	out, err := l.Do(t.Context(), r)
+	out, err := stream.Do(t.Context(), r)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -63,8 +64,7 @@
 	return out
 }
 
-// Many statements are under way to one host at once. Each gets its own answer, over one
-// connection.
+// Many statements run concurrently on one host. Each must get its own reply, over a single connection.
 func TestStreamsShareALink(t *testing.T) {
 	h := serveStub(t, &stubBackend{})
 	c := newClient()
@@ -75,12 +75,12 @@
 	var wait sync.WaitGroup
 	for _, r := range requests {
 		wait.Go(func() {
-			l, err := c.OpenStream(context.Background(), h.addr)
+			stream, err := c.OpenStream(context.Background(), h.addr)
 			if err != nil {
 				t.Error(err)
 				return
 			}
-			out, err := l.Do(context.Background(), r)
+			out, err := stream.Do(context.Background(), r)
 			if err != nil || len(out.Reply.Rows) != 1 || !strings.HasSuffix(out.Reply.Rows[0], " "+r.Request.ID) {
 				t.Errorf("%s was answered with %+v, %v", r.Request.ID, out, err)
 			}
@@ -92,8 +92,8 @@
 	}
 }
 
-// Two callers of one host have transactions open on another one, over the same link, and
-// take turns. Each must stay on the member's connection that its transaction began on.
+// Two callers of a host have open transactions on another host, over the same link, and send statements in turn. Each must
+// stay on the connection to the member on which its transaction began.
 func TestTransactionsOnALinkUseTheirOwnConnections(t *testing.T) {
 	h := serveStub(t, &stubBackend{})
 	c := newClient()
@@ -101,25 +101,25 @@
 	connOf := func(r *gateway.PeerReply) string { return strings.Fields(r.Reply.Rows[0])[0] }
 	first, second := connOf(mustDo(t, one, begin("1a"))), connOf(mustDo(t, two, begin("2a")))
 	if first == second {
-		t.Fatal("both run on one connection")
+		t.Fatal("both transactions run on one connection")
 	}
 	for i := range 5 {
 		if got := connOf(mustDo(t, one, continuation(fmt.Sprint("1b", i), gateway.Write{}))); got != first {
-			t.Errorf("the first moved to connection %s", got)
+			t.Errorf("the first transaction moved to connection %s", got)
 		}
 		if got := connOf(mustDo(t, two, continuation(fmt.Sprint("2b", i), gateway.Write{}))); got != second {
-			t.Errorf("the second moved to connection %s", got)
+			t.Errorf("the second transaction moved to connection %s", got)
 		}
 	}
 	mustDo(t, one, continuation("1c", gateway.Commit{}))
 	mustDo(t, two, continuation("2c", gateway.Commit{}))
 	if h.ForwardedCount() != 0 {
-		t.Errorf("%d guests are left", h.ForwardedCount())
+		t.Errorf("%d transactions are left open", h.ForwardedCount())
 	}
 }
 
-// A caller leaves in the middle of a transaction, or its host's whole link breaks. The
-// transaction must not hold its connection.
+// A caller disconnects within a transaction, or the link of its host fails. The transaction must not keep its connection to
+// the member.
 func TestAbandonedTransactionsAreRolledBack(t *testing.T) {
 	h := serveStub(t, &stubBackend{})
 	c := newClient()
@@ -136,51 +136,51 @@
 	mustDo(t, openStream(t, c, h.addr), request("3", gateway.Read{}))
 }
 
-// A link goes silent while new connections work. What was sent on it never arrived; the
-// other host says so, and the next statement goes over a new link.
+// A link goes silent while new connections work. The request sent on it has not arrived, which the other host confirms on a
+// new connection. The next statement must go over a new link.
 func TestSilentLinkIsReplaced(t *testing.T) {
 	h := serveStub(t, &stubBackend{})
 	p := proxyTo(t, h.addr)
 	c := newClient()
 	mustDo(t, openStream(t, c, p.addr), request("1", gateway.Read{}))
 	p.stall()
-	l := openStream(t, c, p.addr)
+	stream := openStream(t, c, p.addr)
 	lost := request("2", gateway.Write{})
 	ctx, cancel := context.WithTimeout(t.Context(), 50*time.Millisecond)
 	defer cancel()
-	if _, err := l.Do(ctx, lost); err == nil {
+	if _, err := stream.Do(ctx, lost); err == nil {
 		t.Fatal("a silent link answered")
 	}
 	got, err := c.QueryOutcome(t.Context(), p.addr, lost.From, lost.Serial)
 	if _, unknown := got.(gateway.OutcomeUnknown); err != nil || !unknown {
-		t.Fatalf("recalled %#v, %v", got, err)
+		t.Fatalf("outcome %#v, %v", got, err)
 	}
-	l.ReplaceIfSilent(50 * time.Millisecond)
+	stream.ReplaceIfSilent(50 * time.Millisecond)
 	mustDo(t, openStream(t, c, p.addr), request("3", gateway.Read{}))
 }
 
-// A link that has answered since a request was sent is not to blame for that request.
+// A link on which a message has arrived since a request was sent must not be replaced because of that request.
 func TestBusyLinkIsKept(t *testing.T) {
 	h := serveStub(t, &stubBackend{})
 	c := newClient()
-	l := openStream(t, c, h.addr)
-	mustDo(t, l, request("1", gateway.Read{}))
-	l.ReplaceIfSilent(time.Hour)
-	if l.(*linkStream).link.broken() {
-		t.Error("a link that answers was given up")
+	stream := openStream(t, c, h.addr)
+	mustDo(t, stream, request("1", gateway.Read{}))
+	stream.ReplaceIfSilent(time.Hour)
+	if stream.(*linkStream).link.broken() {
+		t.Error("a link that is not silent was replaced")
 	}
 }
 
-// A statement takes long, and its host asks for it: it runs, then its answer is kept.
+// The sender queries the outcome of a slow statement while it runs and after it has finished.
 func TestQueryOutcomeOverTheWire(t *testing.T) {
 	s := &stubBackend{hold: make(chan struct{})}
 	h := serveStub(t, s)
 	c := newClient()
 	r := request("1", gateway.Write{})
 	done := make(chan error, 1)
-	l := openStream(t, c, h.addr)
+	stream := openStream(t, c, h.addr)
 	go func() {
-		_, err := l.Do(context.Background(), r)
+		_, err := stream.Do(context.Background(), r)
 		done <- err
 	}()
 	eventually(t, "the statement runs", func() bool { return h.ForwardedCount() == 1 })
@@ -197,7 +197,7 @@
 	}
 }
 
-// A host learns the store's news from another one: all of it at first, then changes.
+// A host follows the store through another host. It is sent a full update first, and then the changes.
 func TestFeedOverTheWire(t *testing.T) {
 	s := &stubBackend{}
 	h := serveStub(t, s)
@@ -217,7 +217,7 @@
 			t.Fatal(err)
 		}
 		if next.Full {
-			t.Errorf("all was sent again: %+v", next)
+			t.Errorf("a full update was sent again: %+v", next)
 		}
 		if next.Revision == 3 {
 			break
@@ -238,25 +238,25 @@
 		t.Errorf("%+v, %v", got, err)
 	}
 	if _, err := newClient().Probe(t.Context(), h.addr, "nothing", "a"); err == nil {
-		t.Error("a group that is not known was answered for")
+		t.Error("a probe for an unknown group succeeded")
 	}
 }
 
-// A transaction was rolled back because its lane was given up, and its next statement comes
-// all the same. It must not run by itself, nor in the transaction of another caller.
+// A transaction is rolled back because its stream was closed, and its next statement arrives all the same. It must not run
+// outside a transaction, nor may a statement run in a transaction that it does not belong to.
 func TestStatementWithoutItsTransactionIsDeclined(t *testing.T) {
 	h := serveStub(t, &stubBackend{})
 	c := newClient()
-	l := openStream(t, c, h.addr)
-	mustDo(t, l, begin("1"))
-	l.Close()
+	stream := openStream(t, c, h.addr)
+	mustDo(t, stream, begin("1"))
+	stream.Close()
 	eventually(t, "the transaction ended", func() bool { return h.ForwardedCount() == 0 })
-	if out, err := l.Do(t.Context(), continuation("2", gateway.Write{})); err != nil || out.Declined != gateway.NoTransaction {
+	if out, err := stream.Do(t.Context(), continuation("2", gateway.Write{})); err != nil || out.Declined != gateway.NoTransaction {
 		t.Errorf("answered with %+v, %v", out, err)
 	}
 	other := openStream(t, c, h.addr)
 	mustDo(t, other, begin("3"))
 	if out, err := other.Do(t.Context(), request("4", gateway.Read{})); err != nil || out.Declined != gateway.NoTransaction {
-		t.Errorf("a statement of its own ran in a transaction: %+v, %v", out, err)
+		t.Errorf("a statement without a transaction ran in an open one: %+v, %v", out, err)
 	}
 }
--- a/io/peer/pack_bench_test.go
+++ b/io/peer/pack_bench_test.go
@@ -8,7 +8,7 @@
 	"pearlatch/core/kv"
 )
 
-// storeSnapshot returns what a store holds for n hosts before as many groups of three members, without the configuration.
+// storeSnapshot returns what a store holds for n hosts that serve n groups of three members, without the configuration.
 func storeSnapshot(n int) kv.Snapshot {
 	random := rand.New(rand.NewPCG(1, 2))
 	s := kv.Snapshot{Revision: kv.Revision(7 * n)}
@@ -32,7 +32,7 @@
 	return s
 }
 
-// BenchmarkWholeList is what a host that starts is sent by another one, and what putting it together costs.
+// BenchmarkWholeList measures the size of the list that a starting host is sent by another one, and the cost to encode it.
 func BenchmarkWholeList(b *testing.B) {
 	for _, n := range []int{10, 195, 986, 2000, 10000} {
 		b.Run(fmt.Sprintf("hosts=%d", n), func(b *testing.B) {
@@ -42,29 +42,29 @@
 				b.Fatal(err)
 			}
 			b.ReportAllocs()
-			var packed []byte
+			var compressed []byte
 			for b.Loop() {
-				if packed, err = (&compressor{}).compressSnapshot(s); err != nil {
+				if compressed, err = (&compressor{}).compressSnapshot(s); err != nil {
 					b.Fatal(err)
 				}
 			}
 			b.ReportMetric(float64(len(plain))/1e6, "plain_MB")
-			b.ReportMetric(float64(len(packed))/1e6, "packed_MB")
+			b.ReportMetric(float64(len(compressed))/1e6, "packed_MB")
 		})
 	}
 }
 
-// BenchmarkReadWholeList is what it costs the host that starts.
+// BenchmarkReadWholeList measures the cost to decode the list, which the starting host bears.
 func BenchmarkReadWholeList(b *testing.B) {
 	for _, n := range []int{10, 195, 986, 2000} {
 		b.Run(fmt.Sprintf("hosts=%d", n), func(b *testing.B) {
-			packed, err := (&compressor{}).compressSnapshot(storeSnapshot(n))
+			compressed, err := (&compressor{}).compressSnapshot(storeSnapshot(n))
 			if err != nil {
 				b.Fatal(err)
 			}
 			b.ReportAllocs()
 			for b.Loop() {
-				if _, err := decompressItems(packed); err != nil {
+				if _, err := decompressItems(compressed); err != nil {
 					b.Fatal(err)
 				}
 			}
--- a/io/peer/stubsite_test.go
+++ b/io/peer/stubsite_test.go
@@ -22,17 +22,17 @@
 	stubGroup    = "lessons"
 	stubDatabase = "booking"
 	stubPrimary  = "a"
-	// eventTimeout bounds waits for what happens without a signal. No test measures it.
+	// eventTimeout bounds the wait for an expected event. No test measures it.
 	eventTimeout = 10 * time.Second
 )
 
-// stubBackend is a store, a promotion service and two members, the first of which leads.
+// stubBackend is a store, a promotion service and two members. The member stubPrimary is the primary.
 type stubBackend struct {
 	mu       sync.Mutex
 	revision kv.Revision
 	changed  chan struct{}
 	conns    int
-	// hold, if not nil, keeps each statement until it is closed.
+	// hold, if not nil, blocks each statement until it is closed.
 	hold chan struct{}
 }
 
@@ -104,11 +104,11 @@
 	return &stubConn{backend: s, name: string(rune('A' + s.conns)), isPrimary: m.ID == stubPrimary}, nil
 }
 
-// stubConn answers each statement with a row that names the connection and the request.
+// stubConn is a connection to a member. It answers each statement with a row that names the connection and the request.
 type stubConn struct {
 	backend *stubBackend
 	name    string
-	// isPrimary is true for a connection to the primary.
+	// isPrimary is true if the member is the primary. open is true while a transaction is open.
 	isPrimary, open bool
 }
 
@@ -151,7 +151,7 @@
 func (c *stubConn) Alive() bool  { return true }
 func (c *stubConn) Close() error { return nil }
 
-// stubHost is a host that serves other hosts on a loopback address.
+// stubHost is a host that answers other hosts on a loopback address.
 type stubHost struct {
 	*gateway.Host
 	addr    netip.AddrPort
@@ -194,23 +194,23 @@
 	return out
 }
 
-// eventually waits until something holds.
-func eventually(t *testing.T, what string, holds func() bool) {
+// eventually waits until the condition holds, and fails the test after eventTimeout.
+func eventually(t *testing.T, event string, holds func() bool) {
 	t.Helper()
 	for until := time.Now().Add(eventTimeout); !holds(); {
 		if time.Now().After(until) {
-			t.Fatalf("not: %s", what)
+			t.Fatalf("timed out waiting until %s", event)
 		}
 		time.Sleep(time.Millisecond)
 	}
 }
 
-// stallableProxy passes bytes on to a host until it is stalled: then connections stay open
-// and silent, and new ones work.
+// stallableProxy forwards connections to a host. When it is stalled, the open connections stay open but no longer carry data,
+// and new ones work.
 type stallableProxy struct {
 	addr netip.AddrPort
 	mu   sync.Mutex
-	// silenced is closed to silence the connections that are open.
+	// silenced is closed to silence the connections that are open, and then replaced.
 	silenced chan struct{}
 }
 
@@ -234,15 +234,16 @@
 				continue
 			}
 			p.mu.Lock()
-			stalled := p.silenced
+			silenced := p.silenced
 			p.mu.Unlock()
-			go pump(in, out, stalled)
-			go pump(out, in, stalled)
+			go pump(in, out, silenced)
+			go pump(out, in, silenced)
 		}
 	}()
 	return p
 }
 
+// stall silences the connections that are open.
 func (p *stallableProxy) stall() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -250,13 +251,14 @@
 	p.silenced = make(chan struct{})
 }
 
-func pump(to io.WriteCloser, from io.ReadCloser, stalled chan struct{}) {
+// pump copies data from one connection to the other, and drops it once silenced is closed.
+func pump(to io.WriteCloser, from io.ReadCloser, silenced chan struct{}) {
 	b := make([]byte, 4096)
 	for {
 		n, err := from.Read(b)
 		select {
-		case <-stalled:
-			continue // what arrives is lost, and nobody is told
+		case <-silenced:
+			continue // the data is dropped, and neither side gets an error
 		default:
 		}
 		if err != nil {
