--- a/internal/gateway/acquire.go
+++ b/internal/gateway/acquire.go
@@ -18,7 +18,7 @@
 	entryRevision kv.Revision
 	// inherited is what is taken over from the previous coordinator's record. It is nil if the transaction does not
 	// rewrite the record.
-	inherited   *inheritedRecord
+	inherited   *inheritance
 	transaction kv.Transaction
 }
 
@@ -86,7 +86,7 @@
 	if d.recordSeparately {
 		return a
 	}
-	i := d.newInheritedRecord(stored, epoch)
+	i := d.newInheritance(stored, epoch)
 	value, err := encodeRecord(i.record)
 	if err != nil {
 		d.log("record_not_written", "err", err)
--- a/internal/gateway/execute.go
+++ b/internal/gateway/execute.go
@@ -31,7 +31,7 @@
 // runSingle runs a statement outside a transaction. It retries the statement only if it has
 // certainly not run or only reads.
 func (s *Session) runSingle(ctx context.Context, r Request, op operation) Reply {
-	if op.servedElsewhere {
+	if op.shouldForward {
 		if reply, ok := s.runOnOtherHost(ctx, r, &op); ok {
 			return reply
 		}
@@ -118,7 +118,7 @@
 		return Reply{}, &retry{}
 	}
 	setup, name := p.setupCommands(s.values, op.prepared)
-	commands := append(setup, Forward{Request: r, After: op.need.MinPosition, Name: name})
+	commands := append(setup, RunStatement{Request: r, After: op.need.MinPosition, Name: name})
 	done := func(bool) {}
 	if op.writes {
 		done = g.beginWrite()
@@ -279,9 +279,9 @@
 		next.delay = busyRetryInterval
 	case Lagging:
 		g.noteLag(p.member, reply.Position)
-	case ReadOnly:
+	case NotPrimary:
 		g.notePrimaryRefusal(p.member.ID)
-	case UnknownStatement:
+	case UnknownPrepared:
 		clear(p.prepared)
 	case Failed, TimedOut:
 		if op.writes || op.need.Avoid != "" {
--- a/internal/gateway/fakeconn_test.go
+++ b/internal/gateway/fakeconn_test.go
@@ -134,7 +134,7 @@
 
 func (c *fakeConn) run(timeout time.Duration, command Command) (Reply, error) {
 	switch command := command.(type) {
-	case Forward:
+	case RunStatement:
 		return c.runStatement(timeout, command)
 	case OpenTransaction:
 		return c.open(command), nil
@@ -166,7 +166,7 @@
 	c.site.mu.Lock()
 	defer c.site.mu.Unlock()
 	if !o.ReadOnly && !c.m.isPrimary {
-		return Reply{Failure: &Failure{ReadOnly, c.m.id}}
+		return Reply{Failure: &Failure{NotPrimary, c.m.id}}
 	}
 	if o.After.Compare(c.m.applied) > 0 {
 		return Reply{Failure: &Failure{Lagging, c.m.id}, Position: c.m.applied}
@@ -175,7 +175,7 @@
 	return Reply{Position: c.m.applied}
 }
 
-func (c *fakeConn) runStatement(timeout time.Duration, f Forward) (Reply, error) {
+func (c *fakeConn) runStatement(timeout time.Duration, f RunStatement) (Reply, error) {
 	c.site.mu.Lock()
 	refused := c.refuse(f)
 	work := c.m.work
@@ -191,7 +191,7 @@
 	c.m.running--
 	if _, writes := f.Request.Statement.(Write); !c.m.isPrimary && (writes || c.readWrite && c.state == InTransaction) {
 		c.site.mu.Unlock()
-		return Reply{Failure: &Failure{ReadOnly, c.m.id}, Position: c.applied()}, nil
+		return Reply{Failure: &Failure{NotPrimary, c.m.id}, Position: c.applied()}, nil
 	}
 	c.m.runs = append(c.m.runs, f.Request.ID)
 	c.site.ranFor[f.Request.ID] = c.account
@@ -222,7 +222,7 @@
 	return Reply{Rows: []string{row}, Signature: "by " + c.m.id, Position: c.applied()}, nil
 }
 
-func (c *fakeConn) refuse(f Forward) *Failure {
+func (c *fakeConn) refuse(f RunStatement) *Failure {
 	_, writes := f.Request.Statement.(Write)
 	switch {
 	case c.m.full:
@@ -230,7 +230,7 @@
 	case f.After.Compare(c.m.applied) > 0:
 		return &Failure{Lagging, c.m.id}
 	case !c.m.isPrimary && (writes || c.state == InTransaction && c.readWrite):
-		return &Failure{ReadOnly, c.m.id}
+		return &Failure{NotPrimary, c.m.id}
 	}
 	return nil
 }
--- a/internal/gateway/forward.go
+++ b/internal/gateway/forward.go
@@ -87,7 +87,7 @@
 // is decided, its time to wait is over, or this host is to serve the group itself. If this host
 // serves the group, it tries the alternative hosts.
 func (s *Session) tryServingHosts(ctx context.Context, op *operation, send sendFunc) {
-	if !op.servedElsewhere {
+	if !op.shouldForward {
 		s.tryAlternatives(op, send)
 		return
 	}
@@ -204,7 +204,7 @@
 		}
 		return nil, errNotRun
 	}
-	h.metrics.forward(r.Group, "answered")
+	h.metrics.sentForward(r.Group, "answered")
 	return reply, nil
 }
 
@@ -339,7 +339,7 @@
 func (h *Host) logForward(s *Session, r *PeerRequest, server, outcome string, err error) {
 	h.log("forward", "request", r.Request.ID, "database", s.database, "group", r.Group, "peer", server,
 		"outcome", outcome, "age_ms", r.Age.Milliseconds(), "err", err)
-	h.metrics.forward(r.Group, "failed")
+	h.metrics.sentForward(r.Group, "failed")
 }
 
 // forwardInTransaction forwards a statement or the commit of a transaction. The first one also
--- a/internal/gateway/group.go
+++ b/internal/gateway/group.go
@@ -274,7 +274,7 @@
 			m.missingSince = now
 		}
 		if !m.missingAsPrimary {
-			g.noteDeparture(laterTime(m.missingSince, m.statusAt))
+			g.noteDeparture(laterTime(m.missingSince, m.controlAnsweredAt))
 		}
 		g.dropMember(m)
 		delete(g.members, id)
@@ -414,7 +414,7 @@
 	if m == nil {
 		return time.Time{}, false
 	}
-	return m.heardAt, !m.heardAt.IsZero()
+	return m.statementAnsweredAt, !m.statementAnsweredAt.IsZero()
 }
 
 // maxReadStaleness returns the shortest maximum age among the group's routes, or zero.
@@ -471,9 +471,9 @@
 func (g *Group) noteAnswer(m *member, sentAt time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	m.heardAt, m.silentSince = g.now(), time.Time{}
-	m.poolMember.ObserveLatency(m.heardAt.Sub(sentAt))
-	g.metrics.memberCall(g.name, m.ID, m.ID == g.primaryID, m.heardAt.Sub(sentAt))
+	m.statementAnsweredAt, m.silentSince = g.now(), time.Time{}
+	m.poolMember.ObserveLatency(m.statementAnsweredAt.Sub(sentAt))
+	g.metrics.memberCall(g.name, m.ID, m.ID == g.primaryID, m.statementAnsweredAt.Sub(sentAt))
 }
 
 // heardSince reports whether the member has answered a statement after the given time.
@@ -481,7 +481,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	m := g.members[id]
-	return m != nil && m.heardAt.After(since)
+	return m != nil && m.statementAnsweredAt.After(since)
 }
 
 // hasEnded reports whether the process of a member that does not answer has certainly ended: the
@@ -503,7 +503,7 @@
 	out := map[string]bool{}
 	now := g.now()
 	for id, m := range g.members {
-		if m.isLost(now) {
+		if m.missingBeyondGrace(now) {
 			out[id] = true
 		}
 	}
--- a/internal/gateway/group_monitor.go
+++ b/internal/gateway/group_monitor.go
@@ -212,7 +212,7 @@
 	switch {
 	case w.primary.Leaving || w.group.primaryMissingFor() > missingMemberGrace:
 		w.switchOver(ctx, primary, replicas)
-	case w.shouldRelieve(primary, replicas):
+	case w.detectOverload(primary, replicas):
 		w.switchOver(ctx, primary, replicas)
 	case stuck && canReplacePrimary(replicas):
 		w.log("primary_cut_off", "member", w.primary.ID, "position", primary.status.Received, "answers", formatResults(replicas))
--- a/internal/gateway/groups_test.go
+++ b/internal/gateway/groups_test.go
@@ -42,7 +42,7 @@
 			t.Fatalf("%s is kept although it is not relevant", irrelevant)
 		}
 		target, err := h.route(irrelevant, account.Caller{})
-		if err != nil || target.group == nil || len(target.group.listMembers()) != 3 || !target.group.servedElsewhere() {
+		if err != nil || target.group == nil || len(target.group.listMembers()) != 3 || !target.group.servedByOthers() {
 			t.Fatalf("the statement is routed to %+v, %v", target, err)
 		}
 		h.ensureGroupStarted(t.Context(), target.group, func(func()) {})
--- a/internal/gateway/health.go
+++ b/internal/gateway/health.go
@@ -82,7 +82,7 @@
 	switch {
 	case m == nil || m.Leaving || !m.missingSince.IsZero() || !m.silentSince.IsZero():
 		return false
-	case now.Sub(m.heardAt) > probeInterval:
+	case now.Sub(m.statementAnsweredAt) > probeInterval:
 		return false
 	case !g.noAckSince.IsZero() && now.Sub(g.noAckSince) > hangingWriteTimeout:
 		return false
--- a/internal/gateway/local_replica.go
+++ b/internal/gateway/local_replica.go
@@ -46,7 +46,7 @@
 		return Reply{}, false // before setRequirements, which would request the primary's position
 	}
 	local := *op
-	local.servedElsewhere = false
+	local.shouldForward = false
 	local.setRequirements(s.lastWrite)
 	if !op.group.canReadLocally(local.need) {
 		return Reply{}, false
--- a/internal/gateway/member.go
+++ b/internal/gateway/member.go
@@ -36,8 +36,8 @@
 	// member is the primary. What no replica had received from it was never acknowledged, so nothing
 	// acknowledged is lost with it.
 	missingAsPrimary bool
-	// statusAt is when the member last answered a control command.
-	statusAt time.Time
+	// controlAnsweredAt is when the member last answered a control command.
+	controlAnsweredAt time.Time
 	// term is the newest term in which the member reported to be the primary or a replica, and
 	// refusedTerm the last one in which it refused a write.
 	term, refusedTerm group.Term
@@ -47,8 +47,8 @@
 	// received is the last known end of the member's log, in the term receivedTerm.
 	received     group.Position
 	receivedTerm group.Term
-	// heardAt is when the member last answered a statement.
-	heardAt time.Time
+	// statementAnsweredAt is when the member last answered a statement.
+	statementAnsweredAt time.Time
 	// leavingSince is when the member was first listed as leaving.
 	leavingSince time.Time
 }
@@ -56,23 +56,25 @@
 // usable reports whether the member may get new work. A missing member remains usable for
 // missingMemberGrace, since the entries of all members may have lapsed while the store was
 // unavailable. They return within about two seconds of its recovery.
-func (m *member) usable(now time.Time) bool { return !m.dropped && !m.Leaving && !m.isLost(now) }
+func (m *member) usable(now time.Time) bool {
+	return !m.dropped && !m.Leaving && !m.missingBeyondGrace(now)
+}
 
 // possiblyLeftAt returns when the member may have left the group together with its log, or the zero
 // time.
 func (m *member) possiblyLeftAt() time.Time {
 	switch {
 	case !m.missingSince.IsZero() && !m.missingAsPrimary:
-		return laterTime(m.missingSince, m.statusAt)
+		return laterTime(m.missingSince, m.controlAnsweredAt)
 	case m.missingSince.IsZero():
 		return m.restartSuspectedSince
 	}
 	return time.Time{}
 }
 
-// isLost reports whether the member has been missing for longer than entries that lapsed by mistake
+// missingBeyondGrace reports whether the member has been missing for longer than entries that lapsed by mistake
 // take to return.
-func (m *member) isLost(now time.Time) bool {
+func (m *member) missingBeyondGrace(now time.Time) bool {
 	return !m.missingSince.IsZero() && now.Sub(m.missingSince) > missingMemberGrace
 }
 
@@ -111,7 +113,7 @@
 	if m.missingSince.IsZero() {
 		return false
 	}
-	return now.Sub(m.missingSince) > missingMemberRetention && now.Sub(m.statusAt) > missingMemberRetention
+	return now.Sub(m.missingSince) > missingMemberRetention && now.Sub(m.controlAnsweredAt) > missingMemberRetention
 }
 
 // lacks reports whether the member is believed not to have applied the log up to the position.
--- a/internal/gateway/metrics.go
+++ b/internal/gateway/metrics.go
@@ -60,8 +60,8 @@
 	m.count(fmt.Sprintf("member_statements_total{group=%q,member=%q}", group, member), 1)
 }
 
-// forwardedStatement counts a statement that this host ran for another host.
-func (m hostMetrics) forwardedStatement(group, outcome string) {
+// receivedForward counts a statement that this host ran for another host.
+func (m hostMetrics) receivedForward(group, outcome string) {
 	m.count(fmt.Sprintf("guest_statements_total{group=%q,outcome=%q}", group, outcome), 1)
 }
 
@@ -70,8 +70,8 @@
 	m.count(fmt.Sprintf("near_reads_total{group=%q,outcome=%q}", group, outcome), 1)
 }
 
-// forward counts a statement that was forwarded to another host.
-func (m hostMetrics) forward(group, outcome string) {
+// sentForward counts a statement that was forwarded to another host.
+func (m hostMetrics) sentForward(group, outcome string) {
 	m.count(fmt.Sprintf("forwards_total{group=%q,outcome=%q}", group, outcome), 1)
 }
 
--- a/internal/gateway/operation.go
+++ b/internal/gateway/operation.go
@@ -21,9 +21,9 @@
 	// data.
 	freshReads bool
 	deadline   time.Time
-	// servedElsewhere is true if other hosts serve the group. They then decide what is required of
+	// shouldForward is true if other hosts serve the group. They then decide what is required of
 	// the member.
-	servedElsewhere bool
+	shouldForward bool
 }
 
 // planOperation returns the operation for a request, with its requirements. For a transaction,
@@ -36,7 +36,7 @@
 	g := target.group
 	op := operation{group: g, route: target.route, writes: writes, need: pool.Request{Account: target.account.Name, Priority: target.route.Priority, ArrivedAt: arrived}}
 	if s.origin == nil && s.host.shouldForward(g) {
-		op.servedElsewhere = true
+		op.shouldForward = true
 		return op, nil
 	}
 	op.setRequirements(s.lastWrite)
@@ -91,7 +91,7 @@
 	case Execute:
 		statement, ok := s.prepared[st.Name]
 		if !ok {
-			return false, nil, &Failure{UnknownStatement, st.Name}
+			return false, nil, &Failure{UnknownPrepared, st.Name}
 		}
 		return statement.Writes, &statement, nil
 	}
@@ -129,7 +129,7 @@
 // outageRefusal returns a failure with the code if the operation needs the primary and the outage
 // is expected to outlast its deadline, or nil.
 func (op *operation) outageRefusal(code Code) *Failure {
-	if !op.need.PrimaryOnly || op.servedElsewhere {
+	if !op.need.PrimaryOnly || op.shouldForward {
 		return nil
 	}
 	op.group.notePrimaryNeeded()
--- a/internal/gateway/ports.go
+++ b/internal/gateway/ports.go
@@ -54,8 +54,8 @@
 type Command interface{ isCommand() }
 
 type (
-	// Forward runs a caller's statement.
-	Forward struct {
+	// RunStatement runs a caller's statement.
+	RunStatement struct {
 		Request Request
 		// After is the position that the member must have, or zero.
 		After group.Position
@@ -80,7 +80,7 @@
 	Reset struct{}
 )
 
-func (Forward) isCommand()         {}
+func (RunStatement) isCommand()    {}
 func (OpenTransaction) isCommand() {}
 func (Abort) isCommand()           {}
 func (Assign) isCommand()          {}
--- a/internal/gateway/primary.go
+++ b/internal/gateway/primary.go
@@ -218,12 +218,12 @@
 	if m == nil {
 		return
 	}
-	m.statusAt, m.silentSince = g.now(), time.Time{}
+	m.controlAnsweredAt, m.silentSince = g.now(), time.Time{}
 	if s.Term == m.receivedTerm && s.Received.Compare(m.received) < 0 && id != g.primaryID {
 		// A log only shrinks in a promotion, which begins a new term. This member was restarted
 		// with an empty log and lost the writes that it had acknowledged.
 		g.log("member_lost_its_log", "member", id, "held", m.received, "holds", s.Received)
-		g.noteDeparture(m.statusAt)
+		g.noteDeparture(m.controlAnsweredAt)
 	}
 	if m.receivedBeforeMissing != (group.Position{}) && s.Received.Compare(m.receivedBeforeMissing) >= 0 {
 		m.restartSuspectedSince = time.Time{}
--- a/internal/gateway/propagation_test.go
+++ b/internal/gateway/propagation_test.go
@@ -76,7 +76,7 @@
 // The store stops answering two of the three hosts that watch it, so each of them uses another host as its update source. If
 // they use each other, the updates that they exchange must not keep their view looking current: a new configuration must be
 // in force within 3 s.
-func TestHostsRejectedByStoreDoNotFollowEachOther(t *testing.T) {
+func TestHostsWithoutStoreDoNotFollowEachOther(t *testing.T) {
 	withFleet(t, 30, 20, freshness.Latest{}, func(_ *fakeSite, f *fakeFleet) {
 		for _, h := range f.mutualSources() {
 			f.setFault(f.storeSilentFor, h.settings.Host, true)
--- a/internal/gateway/record.go
+++ b/internal/gateway/record.go
@@ -61,8 +61,8 @@
 	return leadership.NewStoredRecord(r, item.Revision), true
 }
 
-// inheritedRecord is what a coordinator takes over from the previous one.
-type inheritedRecord struct {
+// inheritance is what a coordinator takes over from the previous one.
+type inheritance struct {
 	// found is the newest known record of the previous coordinator.
 	found leadership.StoredRecord
 	// certain is true if no other host can have held the role since the record was written.
@@ -73,11 +73,11 @@
 	record leadership.Record
 }
 
-// newInheritedRecord evaluates the stored record that was read in the epoch.
-func (d *coordinator) newInheritedRecord(item kv.Item, epoch kv.Epoch) inheritedRecord {
+// newInheritance evaluates the stored record that was read in the epoch.
+func (d *coordinator) newInheritance(item kv.Item, epoch kv.Epoch) inheritance {
 	stored, readable := d.parseStoredRecord(item)
 	found, certain := leadership.Inherit(stored, d.newestKnownRecord(), epoch)
-	i := inheritedRecord{found: found, certain: certain && readable, formerGranters: found.Granters, record: found.Record}
+	i := inheritance{found: found, certain: certain && readable, formerGranters: found.Granters, record: found.Record}
 	if !i.certain {
 		// The store may have lost the entry of a later coordinator, which may have been any host.
 		i.formerGranters = leadership.Union(i.formerGranters, d.host.fleet.ListedIDs()...)
@@ -94,7 +94,7 @@
 	if err != nil {
 		return err
 	}
-	i := d.newInheritedRecord(item, d.acquiredEpoch())
+	i := d.newInheritance(item, d.acquiredEpoch())
 	call, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
 	if err := d.writeRecord(call, i.record, item.Revision, kv.Transaction{}); err != nil {
@@ -105,7 +105,7 @@
 }
 
 // adoptRecord takes over the previous coordinator's record, once it has been rewritten with this host as the holder.
-func (d *coordinator) adoptRecord(i inheritedRecord) {
+func (d *coordinator) adoptRecord(i inheritance) {
 	r, found := i.record, i.found
 	d.group.inheritFloor(r, found.Revision)
 	d.group.noteTerm(r.Term)
--- a/internal/gateway/relief.go
+++ b/internal/gateway/relief.go
@@ -2,8 +2,8 @@
 
 import "pearlatch/core/group"
 
-// shouldRelieve reports whether the primary is overloaded and to be replaced in a switchover.
-func (w *groupMonitor) shouldRelieve(primary controlResult, replicas []controlResult) bool {
+// detectOverload reports whether the primary is overloaded and to be replaced in a switchover.
+func (w *groupMonitor) detectOverload(primary controlResult, replicas []controlResult) bool {
 	maxStaleness := w.group.maxReadStaleness()
 	lagging := len(replicas) > 0 && maxStaleness > 0
 	for _, r := range replicas {
--- a/internal/gateway/reply.go
+++ b/internal/gateway/reply.go
@@ -32,14 +32,14 @@
 	Aborted
 	// Lagging means that the member's log has not reached the required position.
 	Lagging
-	// ReadOnly means that the member is not the primary.
-	ReadOnly
+	// NotPrimary means that the member is not the primary.
+	NotPrimary
 	// Misrouted means that the address now belongs to another member.
 	Misrouted
 	// TooManyConnections means that the member accepts no further connection.
 	TooManyConnections // TooMany
-	// UnknownStatement means that there is no prepared statement of that name.
-	UnknownStatement
+	// UnknownPrepared means that there is no prepared statement of that name.
+	UnknownPrepared
 	// Failed means that the statement ran and returned an error.
 	Failed
 	// TimedOut means that the statement exceeded its time limit.
@@ -59,7 +59,7 @@
 // NotRun reports whether a member that replies with the code has certainly not run the statement.
 func (c Code) NotRun() bool {
 	switch c {
-	case Busy, Lagging, ReadOnly, Misrouted, TooManyConnections, UnknownStatement:
+	case Busy, Lagging, NotPrimary, Misrouted, TooManyConnections, UnknownPrepared:
 		return true
 	}
 	return false
--- a/internal/gateway/restore_test.go
+++ b/internal/gateway/restore_test.go
@@ -68,7 +68,7 @@
 // The store does not answer two of the three hosts that watch it, before its restore and after. These hosts, and those that
 // receive updates from them, learn of the restore only from other hosts, which knew the same revision numbers in another
 // epoch. The next acknowledged configuration must be in force on all hosts within 3 s.
-func TestHostsRejectedByStoreLearnOfRestore(t *testing.T) {
+func TestHostsWithoutStoreLearnOfRestore(t *testing.T) {
 	withFleet(t, 12, 20, freshness.Latest{}, func(s *fakeSite, f *fakeFleet) {
 		for _, h := range f.mutualSources() {
 			f.setFault(f.storeSilentFor, h.settings.Host, true)
@@ -190,7 +190,7 @@
 // old primary answers again. The next coordinator saw the record before the restore and must still take the pending
 // promotion into account: if it let the old primary acknowledge writes with the other replica, these would be lost. The
 // fault was that it read only the store's record ("record_inherited", "ordered":"" right after a "promotion_open").
-func TestOpenPromotionSurvivesStoreRestore(t *testing.T) {
+func TestPendingPromotionSurvivesStoreRestore(t *testing.T) {
 	testPendingPromotion(t, func(s *fakeSite, b storeBackup) {
 		delete(b.items, "own/duty/"+testGroup)
 		s.restore(b)
--- a/internal/gateway/serving.go
+++ b/internal/gateway/serving.go
@@ -11,15 +11,15 @@
 // shouldForward reports whether a statement is to run on another host. If this host is one of those that replace
 // unreachable serving hosts, it starts to serve the group as a fallback.
 func (h *Host) shouldForward(g *Group) bool {
-	if g.servedElsewhere() && h.serversFor(g).fallback {
+	if g.servedByOthers() && h.serversFor(g).fallback {
 		g.startFallback()
 		return false
 	}
 	return g.shouldForward()
 }
 
-// servedElsewhere reports whether other hosts serve the group.
-func (g *Group) servedElsewhere() bool {
+// servedByOthers reports whether other hosts serve the group.
+func (g *Group) servedByOthers() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.plan.ServedByOthers
--- a/internal/gateway/serving_test.go
+++ b/internal/gateway/serving_test.go
@@ -87,7 +87,7 @@
 		caller := openSession(t, others[0])
 		execIn(caller, Begin{})
 		execIn(caller, Read{})
-		wantCode(t, execIn(caller, Execute{Name: "nothing"}), UnknownStatement)
+		wantCode(t, execIn(caller, Execute{Name: "nothing"}), UnknownPrepared)
 		wantCode(t, execIn(caller, Read{}), Malformed)
 		wantCode(t, execIn(caller, Commit{}), Aborted)
 		if r := execIn(caller, Read{}); r.Failure != nil {
@@ -147,7 +147,7 @@
 
 // A stream loses the reply of a write that has run. The caller must still receive the reply, and the write must run only
 // once.
-func TestLostPeerReplyIsQueried(t *testing.T) {
+func TestLostReplyOfOtherHostIsQueried(t *testing.T) {
 	withFleet(t, 30, 20, freshness.Latest{}, func(s *fakeSite, f *fakeFleet) {
 		serving, others := f.serving()
 		for _, server := range serving {
--- a/internal/gateway/session.go
+++ b/internal/gateway/session.go
@@ -163,7 +163,7 @@
 		return // no member was involved
 	}
 	if s.origin != nil {
-		s.host.metrics.forwardedStatement(s.origin.group.name, outcome)
+		s.host.metrics.receivedForward(s.origin.group.name, outcome)
 		return
 	}
 	s.host.metrics.statement(s.database, outcome, s.host.now().Sub(arrived))
@@ -205,7 +205,7 @@
 
 func (s *Session) deallocate(st Deallocate) Reply {
 	if _, ok := s.prepared[st.Name]; !ok {
-		return failureReply(UnknownStatement, st.Name)
+		return failureReply(UnknownPrepared, st.Name)
 	}
 	delete(s.prepared, st.Name)
 	return Reply{}
--- a/internal/gateway/session_test.go
+++ b/internal/gateway/session_test.go
@@ -65,7 +65,7 @@
 			}
 		}
 		execIn(first, Deallocate{"s"})
-		wantCode(t, execIn(first, Execute{Name: "s"}), UnknownStatement)
+		wantCode(t, execIn(first, Execute{Name: "s"}), UnknownPrepared)
 	})
 }
 
@@ -99,7 +99,7 @@
 
 // A route accepts data of up to two seconds' age. While the replicas are further behind, the
 // primary must answer.
-func TestBoundedAgeHoldsOnLaggingReplicas(t *testing.T) {
+func TestMaxAgeHoldsOnLaggingReplicas(t *testing.T) {
 	withHost(t, freshness.MaxAge{Age: 2 * time.Second}, func(s *fakeSite, h *Host) {
 		exec(h, Write{})
 		if got := rowFromWarmConns(h); got == "a" {
@@ -144,7 +144,7 @@
 
 // The reply to a write is lost after the member has run it. The caller must not be told that
 // nothing was kept, and the write must not run again.
-func TestLostAnswerOfAWriteIsInDoubtAndNotRepeated(t *testing.T) {
+func TestLostReplyToWriteIsInDoubtAndNotRepeated(t *testing.T) {
 	withHost(t, freshness.Latest{}, func(s *fakeSite, h *Host) {
 		exec(h, Write{})
 		s.updateMember("a", func(m *fakeMember) { m.breaksAfter = 1; m.runs = nil })
@@ -157,7 +157,7 @@
 }
 
 // The reply to a read is lost. The read changed nothing, so it is retried on another member.
-func TestLostReadReplyIsRetriedElsewhere(t *testing.T) {
+func TestLostReplyToReadIsRetriedElsewhere(t *testing.T) {
 	withHost(t, freshness.OwnWrites{}, func(s *fakeSite, h *Host) {
 		for _, m := range s.members {
 			s.updateMember(m.id, func(m *fakeMember) { m.breaksAfter = 1 })
@@ -194,7 +194,7 @@
 
 // The reply to a commit is lost. If the transaction wrote, its outcome is unknown; otherwise there
 // was nothing to keep.
-func TestLostAnswerOfACommit(t *testing.T) {
+func TestLostReplyToCommit(t *testing.T) {
 	for _, c := range []struct {
 		statement Statement
 		want      Code
@@ -332,7 +332,7 @@
 // Both replicas apply the log far too late, so all reads go to the primary, which is overloaded.
 // Another member must be promoted: it is up to date at once, and the old primary serves reads as a
 // replica.
-func TestOverloadedPrimaryIsRelievedWhileReplicasLag(t *testing.T) {
+func TestOverloadedPrimaryIsReplacedWhileReplicasLag(t *testing.T) {
 	withHost(t, freshness.MaxAge{Age: time.Second}, func(s *fakeSite, h *Host) {
 		for _, id := range []string{"b", "c"} {
 			s.updateMember(id, func(m *fakeMember) { m.lagging = true })
--- a/internal/gateway/transaction.go
+++ b/internal/gateway/transaction.go
@@ -42,7 +42,7 @@
 // runsElsewhere reports whether the next statement is to be forwarded to another host: the
 // transaction has begun there, or it has not begun and other hosts serve the group.
 func (t *transaction) runsElsewhere() bool {
-	return t.remote != nil || t.op.servedElsewhere && t.conn == nil
+	return t.remote != nil || t.op.shouldForward && t.conn == nil
 }
 
 // rollbackTimeout bounds the rollback on a member or another host. A connection or stream that
@@ -198,7 +198,7 @@
 	setup, name := p.setupCommands(s.values, op.prepared)
 	sentAt := g.now()
 	t.sentWrite = t.sentWrite || writes
-	commands := append(setup, Forward{Request: r, Name: name})
+	commands := append(setup, RunStatement{Request: r, Name: name})
 	replies, err := p.conn.Do(g.callTimeout(p.member, op.deadline.Sub(sentAt), true), commands...)
 	if err != nil {
 		t.conn = nil
@@ -221,7 +221,7 @@
 		g.noteOverload(p.member)
 		return Reply{}, &retry{delay: busyRetryInterval}
 	}
-	if reply.Failure.Code == ReadOnly && !t.readOnly {
+	if reply.Failure.Code == NotPrimary && !t.readOnly {
 		g.notePrimaryRefusal(p.member.ID)
 		if t.answeredCount == 0 {
 			t.rollback(s)
@@ -278,7 +278,7 @@
 	for {
 		sentAt := g.now()
 		done := g.beginWrite()
-		replies, err := p.conn.Do(g.callTimeout(p.member, op.deadline.Sub(sentAt), true), Forward{Request: r})
+		replies, err := p.conn.Do(g.callTimeout(p.member, op.deadline.Sub(sentAt), true), RunStatement{Request: r})
 		done(err == nil && replies[0].Failure == nil)
 		if err != nil {
 			g.discard(p, err)
@@ -309,7 +309,7 @@
 	if reply.Failure == nil && t.sentWrite {
 		s.advanceLastWrite(reply.Position)
 	}
-	if reply.Failure != nil && reply.Failure.Code == ReadOnly {
+	if reply.Failure != nil && reply.Failure.Code == NotPrimary {
 		g.notePrimaryRefusal(p.member.ID)
 	}
 	if reply.State != Idle {
--- a/internal/site/session.go
+++ b/internal/site/session.go
@@ -102,7 +102,7 @@
 	if reply.Position == (group.Position{}) {
 		reply.Position = m.catchUp(time.Now())
 	}
-	if _, forwarded := c.(gateway.Forward); forwarded && rand.Float64() < m.lose {
+	if _, forwarded := c.(gateway.RunStatement); forwarded && rand.Float64() < m.lose {
 		return gateway.Reply{}, errBroken
 	}
 	return reply, nil
@@ -110,7 +110,7 @@
 
 func (s *session) run(c gateway.Command) (gateway.Reply, error) {
 	switch c := c.(type) {
-	case gateway.Forward:
+	case gateway.RunStatement:
 		return s.forward(c)
 	case gateway.OpenTransaction:
 		return s.open(c), nil
@@ -141,7 +141,7 @@
 	defer m.group.mu.Unlock()
 	switch applied := m.catchUp(time.Now()); {
 	case !o.ReadOnly && !m.leads:
-		return refuse(gateway.ReadOnly, m.id)
+		return refuse(gateway.NotPrimary, m.id)
 	case o.After.Compare(applied) > 0:
 		return refuse(gateway.Lagging, m.id)
 	}
@@ -150,7 +150,7 @@
 }
 
 // forward runs a caller's statement.
-func (s *session) forward(f gateway.Forward) (gateway.Reply, error) {
+func (s *session) forward(f gateway.RunStatement) (gateway.Reply, error) {
 	m := s.member
 	if refused := s.admit(f); refused != nil {
 		return gateway.Reply{Failure: refused}, nil
@@ -167,7 +167,7 @@
 }
 
 // admit refuses what the member can't run, and notes what must not come at all.
-func (s *session) admit(f gateway.Forward) *gateway.Failure {
+func (s *session) admit(f gateway.RunStatement) *gateway.Failure {
 	m, site := s.member, s.member.group.site
 	m.group.mu.Lock()
 	defer m.group.mu.Unlock()
@@ -185,13 +185,13 @@
 	case f.After.Compare(m.catchUp(time.Now())) > 0:
 		return &gateway.Failure{Code: gateway.Lagging, Detail: m.id}
 	case !m.leads && s.needsPrimary(f):
-		return &gateway.Failure{Code: gateway.ReadOnly, Detail: m.id}
+		return &gateway.Failure{Code: gateway.NotPrimary, Detail: m.id}
 	}
 	return nil
 }
 
 // needsPrimary reports whether only the primary may run the statement.
-func (s *session) needsPrimary(f gateway.Forward) bool {
+func (s *session) needsPrimary(f gateway.RunStatement) bool {
 	if s.state == gateway.InTransaction {
 		_, ends := f.Request.Statement.(gateway.Commit)
 		return !s.readOnly && !(ends && len(s.writes) == 0)
@@ -200,7 +200,7 @@
 }
 
 // writesWith reports whether the statement writes.
-func (s *session) writesWith(f gateway.Forward) bool {
+func (s *session) writesWith(f gateway.RunStatement) bool {
 	switch f.Request.Statement.(type) {
 	case gateway.Write:
 		return true
@@ -241,7 +241,7 @@
 const slotPoll = time.Millisecond
 
 // execute runs the statement at the end of its work.
-func (s *session) execute(f gateway.Forward) (gateway.Reply, error) {
+func (s *session) execute(f gateway.RunStatement) (gateway.Reply, error) {
 	m := s.member
 	m.group.mu.Lock()
 	defer m.group.mu.Unlock()
@@ -249,7 +249,7 @@
 		return gateway.Reply{}, errBroken
 	}
 	if !m.leads && s.needsPrimary(f) {
-		return refuse(gateway.ReadOnly, m.id), nil
+		return refuse(gateway.NotPrimary, m.id), nil
 	}
 	if _, ends := f.Request.Statement.(gateway.Commit); ends {
 		return s.commit(f.Request.ID)
@@ -265,7 +265,7 @@
 }
 
 // row tells what the connection held as the statement ran.
-func (s *session) row(f gateway.Forward) string {
+func (s *session) row(f gateway.RunStatement) string {
 	var b strings.Builder
 	for _, name := range slices.Sorted(maps.Keys(s.values)) {
 		fmt.Fprintf(&b, "%s=%s;", name, s.values[name])
--- a/internal/site/site_test.go
+++ b/internal/site/site_test.go
@@ -43,7 +43,7 @@
 	site.History().Issue(id)
 	answer := make(chan gateway.Reply, 1)
 	go func() {
-		if r, err := s.Do(gateway.Forward{Request: gateway.Request{ID: id, Text: "WRITE 1 x", Statement: gateway.Write{}}}); err == nil {
+		if r, err := s.Do(gateway.RunStatement{Request: gateway.Request{ID: id, Text: "WRITE 1 x", Statement: gateway.Write{}}}); err == nil {
 			answer <- r
 		}
 	}()
--- a/internal/soak/caller.go
+++ b/internal/soak/caller.go
@@ -111,7 +111,7 @@
 		return false
 	}
 	switch a.reply.Failure.Code {
-	case gateway.Busy, gateway.Aborted, gateway.Lagging, gateway.ReadOnly, gateway.Misrouted, gateway.TooManyConnections:
+	case gateway.Busy, gateway.Aborted, gateway.Lagging, gateway.NotPrimary, gateway.Misrouted, gateway.TooManyConnections:
 		return true
 	}
 	return false
--- a/internal/soak/flaw_test.go
+++ b/internal/soak/flaw_test.go
@@ -128,10 +128,10 @@
 }
 
 // each changes the statements of callers among commands.
-func each(commands []gateway.Command, change func(*gateway.Forward)) []gateway.Command {
+func each(commands []gateway.Command, change func(*gateway.RunStatement)) []gateway.Command {
 	out := make([]gateway.Command, len(commands))
 	for i, c := range commands {
-		if f, ok := c.(gateway.Forward); ok {
+		if f, ok := c.(gateway.RunStatement); ok {
 			change(&f)
 			c = f
 		}
@@ -144,14 +144,14 @@
 type blindConn struct{ gateway.Conn }
 
 func (c blindConn) Do(timeout time.Duration, commands ...gateway.Command) ([]gateway.Reply, error) {
-	return c.Conn.Do(timeout, each(commands, func(f *gateway.Forward) { f.After = group.Position{} })...)
+	return c.Conn.Do(timeout, each(commands, func(f *gateway.RunStatement) { f.After = group.Position{} })...)
 }
 
 // doublingConn sends single writes twice.
 type doublingConn struct{ gateway.Conn }
 
 func (c doublingConn) Do(timeout time.Duration, commands ...gateway.Command) ([]gateway.Reply, error) {
-	last, ok := commands[len(commands)-1].(gateway.Forward)
+	last, ok := commands[len(commands)-1].(gateway.RunStatement)
 	if _, writes := last.Request.Statement.(gateway.Write); ok && writes {
 		commands = append(commands, last)
 	}
@@ -163,7 +163,7 @@
 
 func (c lyingConn) Do(timeout time.Duration, commands ...gateway.Command) ([]gateway.Reply, error) {
 	replies, err := c.Conn.Do(timeout, commands...)
-	last, ok := commands[len(commands)-1].(gateway.Forward)
+	last, ok := commands[len(commands)-1].(gateway.RunStatement)
 	if _, writes := last.Request.Statement.(gateway.Write); err != nil && ok && writes {
 		for len(replies) < len(commands) {
 			replies = append(replies, gateway.Reply{Failure: &gateway.Failure{Code: gateway.Aborted}})
@@ -190,7 +190,7 @@
 type renamingConn struct{ gateway.Conn }
 
 func (c renamingConn) Do(timeout time.Duration, commands ...gateway.Command) ([]gateway.Reply, error) {
-	return c.Conn.Do(timeout, each(commands, func(f *gateway.Forward) { f.Request.ID += "x" })...)
+	return c.Conn.Do(timeout, each(commands, func(f *gateway.RunStatement) { f.Request.ID += "x" })...)
 }
 
 // shareConns gives the same connection to a member out twice.
--- a/io/peer/stubsite_test.go
+++ b/io/peer/stubsite_test.go
@@ -127,7 +127,7 @@
 		c.open = true
 	case gateway.Abort:
 		c.open = false
-	case gateway.Forward:
+	case gateway.RunStatement:
 		c.backend.mu.Lock()
 		hold := c.backend.hold
 		c.backend.mu.Unlock()
