--- a/io/upstream/pool.go
+++ b/io/upstream/pool.go
@@ -54,7 +54,7 @@
 	mu      sync.Mutex
 	members []memberPool
 	queue   *admission.Queue[*want]
-	held    admission.Estimate
+	held    admission.WaitEstimator
 	primary int // that the connections were opened for
 	// room is how many connections may be open now. It is below limit while an
 	// earlier owner holds some, and zero until those were counted.
