--- a/io/peer/unit.go
+++ b/io/peer/unit.go
@@ -27,7 +27,7 @@
 	}
 	w.uint("kind", uint64(m.unit.Kind))
 	w.bytes("data", m.unit.Data)
-	w.uint("expect", uint64(m.unit.Expect))
+	w.uint("expect", uint64(m.unit.ReplyEnd))
 	w.uint("replies", uint64(m.unit.Replies))
 	w.bool("begins", m.unit.ControlsTransaction)
 	w.bool("pins", m.unit.Pins)
@@ -55,7 +55,7 @@
 	case "data":
 		return r.bytes(&m.unit.Data)
 	case "expect":
-		return readUint(r, &m.unit.Expect)
+		return readUint(r, &m.unit.ReplyEnd)
 	case "replies":
 		return readUint(r, &m.unit.Replies)
 	case "begins":
