--- a/io/peer/gateway_client.go
+++ b/io/peer/gateway_client.go
@@ -98,27 +98,27 @@
 }
 
 // RequestQuota implements gateway.Peers.
-func (c *GatewayClient) RequestQuota(ctx context.Context, to netip.AddrPort, r quotas.Request) (quotas.Reply, error) {
+func (c *GatewayClient) RequestQuota(ctx context.Context, to netip.AddrPort, r quotas.Request) (quotas.Response, error) {
 	reply, err := c.askOnLink(ctx, to, &linkRequest{quota: (*quotaRequest)(&r)})
 	if err != nil {
-		return quotas.Reply{}, err
+		return quotas.Response{}, err
 	}
 	if reply.quota == nil {
-		return quotas.Reply{}, errors.Errorf("reply of host %s to a quota request contains no grants", to)
+		return quotas.Response{}, errors.Errorf("reply of host %s to a quota request contains no grants", to)
 	}
-	return quotas.Reply(*reply.quota), nil
+	return quotas.Response(*reply.quota), nil
 }
 
 // TellQuota implements gateway.Peers.
-func (c *GatewayClient) TellQuota(ctx context.Context, to netip.AddrPort, r quotas.TellRequest) (quotas.TellReply, error) {
+func (c *GatewayClient) TellQuota(ctx context.Context, to netip.AddrPort, r quotas.ReportRequest) (quotas.ReportResponse, error) {
 	reply, err := c.askOnLink(ctx, to, &linkRequest{tell: (*tellRequest)(&r)})
 	if err != nil {
-		return quotas.TellReply{}, err
+		return quotas.ReportResponse{}, err
 	}
 	if reply.told == nil {
-		return quotas.TellReply{}, errors.Errorf("reply of host %s does not say which quotas it holds", to)
+		return quotas.ReportResponse{}, errors.Errorf("reply of host %s does not say which quotas it holds", to)
 	}
-	return quotas.TellReply(*reply.told), nil
+	return quotas.ReportResponse(*reply.told), nil
 }
 
 // askOnLink sends a request that belongs to no session on the link to a host, and waits for the reply. If the request fails
@@ -161,14 +161,14 @@
 var _ follow.Feed = (*feed)(nil)
 
 // Next implements follow.Feed.
-func (f *feed) Next(atMost time.Duration) (follow.News, error) {
+func (f *feed) Next(atMost time.Duration) (follow.StoreUpdate, error) {
 	late := time.AfterFunc(atMost, f.stream.close)
 	defer late.Stop()
 	var in newsMessage
 	if err := f.stream.drpc.MsgRecv(&in, encoding{}); err != nil {
-		return follow.News{}, errors.Wrapf(err, "news of host %s", f.addr)
+		return follow.StoreUpdate{}, errors.Wrapf(err, "news of host %s", f.addr)
 	}
-	return in.News, nil
+	return in.StoreUpdate, nil
 }
 
 // Close implements follow.Feed.
