--- a/io/peer/client.go
+++ b/io/peer/client.go
@@ -17,46 +17,49 @@
 )
 
 const (
-	// dialTimeout bounds the opening of a connection to a host.
+	// dialTimeout bounds the dial and the TLS handshake.
 	dialTimeout = 300 * time.Millisecond
-	// idleStreams is how many idle exchange streams are kept to one host.
-	idleStreams = 64
-	// allIdleStreams is how many are kept over all hosts: idle streams to each of
-	// a thousand hosts would take more memory than a host has for control.
-	allIdleStreams = 256
-	// idleTime is how long an idle stream is kept.
-	idleTime = 30 * time.Second
+	// maxIdleStreamsPerHost is the number of idle exchange streams that are kept to one host.
+	maxIdleStreamsPerHost = 64
+	// maxIdleStreams is the number of idle exchange streams that are kept to all hosts together. Idle streams to each of a
+	// thousand hosts would take more memory than a host has for control traffic.
+	maxIdleStreams = 256
+	// idleStreamTimeout is how long an idle stream may be reused.
+	idleStreamTimeout = 30 * time.Second
 )
 
-// Client speaks to other hosts. It keeps connections for use again: drpc runs
-// one stream at a time on a connection. Use NewClient.
+// Client calls other hosts. Since drpc runs one stream at a time on a connection, it keeps a pool of connections for reuse.
+// Its methods may be called from several goroutines. Use NewClient.
 type Client struct {
-	local   netip.Addr
-	secure  *tls.Config
-	traffic *Traffic
-
-	mu      sync.Mutex
-	streams map[netip.AddrPort][]*stream
-	calls   map[netip.AddrPort][]*drpcconn.Conn
+	local     netip.Addr
+	tlsConfig *tls.Config
+	traffic   *Traffic
+
+	mu sync.Mutex
+	// idleStreams holds the exchange streams that are not in use, the most recently used ones last.
+	idleStreams map[netip.AddrPort][]*stream
+	// idleCalls holds the connections for calls that are not in use.
+	idleCalls map[netip.AddrPort][]*drpcconn.Conn
 	// busy holds the streams that carry an exchange.
 	busy map[netip.AddrPort]map[*stream]struct{}
-	// idle is how many streams are in streams.
-	idle   int
-	closed bool
+	// idleStreamCount is the number of streams in idleStreams.
+	idleStreamCount int
+	closed          bool
 }
 
-// stream is an exchange stream with a connection of its own.
+// stream is a drpc stream with its own connection.
 type stream struct {
-	conn *drpcconn.Conn
-	drpc drpc.Stream
-	idle time.Time
+	conn      *drpcconn.Conn
+	drpc      drpc.Stream
+	idleSince time.Time
 }
 
 func (s *stream) close() { _ = s.conn.Close() }
 
-func (s *stream) usable() bool { return open(s.conn) && time.Since(s.idle) < idleTime }
+// usable reports whether an idle stream may be reused.
+func (s *stream) usable() bool { return isOpen(s.conn) && time.Since(s.idleSince) < idleStreamTimeout }
 
-func open(conn *drpcconn.Conn) bool {
+func isOpen(conn *drpcconn.Conn) bool {
 	select {
 	case <-conn.Closed():
 		return false
@@ -65,54 +68,54 @@
 	}
 }
 
-// NewClient returns a client that dials from local, if that is valid, and with
-// TLS, if secure is not nil.
-func NewClient(local netip.Addr, secure *tls.Config, traffic *Traffic) *Client {
+// NewClient returns a client that dials from the local address, if that is valid, and with TLS, if tlsConfig is not nil.
+func NewClient(local netip.Addr, tlsConfig *tls.Config, traffic *Traffic) *Client {
 	return &Client{
-		local: local, secure: secure, traffic: traffic,
-		streams: map[netip.AddrPort][]*stream{},
-		calls:   map[netip.AddrPort][]*drpcconn.Conn{},
-		busy:    map[netip.AddrPort]map[*stream]struct{}{},
+		local: local, tlsConfig: tlsConfig, traffic: traffic,
+		idleStreams: map[netip.AddrPort][]*stream{},
+		idleCalls:   map[netip.AddrPort][]*drpcconn.Conn{},
+		busy:        map[netip.AddrPort]map[*stream]struct{}{},
 	}
 }
 
-// Close closes all idle connections.
+// Close closes all idle connections. Connections in use are closed when their call or exchange ends.
 func (c *Client) Close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.closed = true
-	for _, list := range c.streams {
+	for _, list := range c.idleStreams {
 		for _, s := range list {
 			s.close()
 		}
 	}
-	for _, list := range c.calls {
+	for _, list := range c.idleCalls {
 		for _, conn := range list {
 			_ = conn.Close()
 		}
 	}
-	c.streams, c.calls = nil, nil
+	c.idleStreams, c.idleCalls = nil, nil
 }
 
-// Forget closes all connections to a host that is gone. Exchanges with it end
-// with ErrLost, rather than wait for an answer that never comes.
-func (c *Client) Forget(addr netip.AddrPort) {
+// CloseHost closes all connections to a dead host, but for those of running calls. Exchanges with the host fail with ErrLost
+// instead of waiting for an answer that never comes.
+func (c *Client) CloseHost(addr netip.AddrPort) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, s := range c.streams[addr] {
+	for _, s := range c.idleStreams[addr] {
 		s.close()
 	}
-	for _, conn := range c.calls[addr] {
+	for _, conn := range c.idleCalls[addr] {
 		_ = conn.Close()
 	}
 	for s := range c.busy[addr] {
 		s.close()
 	}
-	c.idle -= len(c.streams[addr])
-	delete(c.streams, addr)
-	delete(c.calls, addr)
+	c.idleStreamCount -= len(c.idleStreams[addr])
+	delete(c.idleStreams, addr)
+	delete(c.idleCalls, addr)
 }
 
+// dial opens a connection to a host.
 func (c *Client) dial(ctx context.Context, addr netip.AddrPort) (*drpcconn.Conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
@@ -120,20 +123,21 @@
 	if err != nil {
 		return nil, errors.Wrapf(err, "dial host %s", addr)
 	}
-	conn = c.traffic.wrap(conn)
-	if c.secure != nil {
-		secured := tls.Client(conn, c.secure)
-		if err := secured.HandshakeContext(ctx); err != nil {
+	conn = c.traffic.meter(conn)
+	if c.tlsConfig != nil {
+		tlsConn := tls.Client(conn, c.tlsConfig)
+		if err := tlsConn.HandshakeContext(ctx); err != nil {
 			_ = conn.Close()
 			return nil, errors.Wrapf(err, "secure the connection to host %s", addr)
 		}
-		conn = secured
+		conn = tlsConn
 	}
 	return drpcconn.NewWithOptions(conn, drpcconn.Options{Manager: streamOptions()}), nil
 }
 
-// take removes and returns the newest usable element of a list.
-func take[T any](list []T, usable func(T) bool, discard func(T)) (rest []T, got T, ok bool) {
+// takeNewest removes the newest usable element from a list and returns it with the remaining list. It discards the
+// unusable ones that it passes. ok is false if there is no usable element.
+func takeNewest[T any](list []T, usable func(T) bool, discard func(T)) (rest []T, newest T, ok bool) {
 	for len(list) > 0 {
 		last := list[len(list)-1]
 		list = list[:len(list)-1]
@@ -142,10 +146,10 @@
 		}
 		discard(last)
 	}
-	return list, got, false
+	return list, newest, false
 }
 
-// call sends one message and waits for the answer.
+// call sends one message to a host and waits for the answer. It keeps the connection for the next call.
 func call[In, Out any, P interface {
 	*In
 	message
@@ -155,11 +159,11 @@
 }](ctx context.Context, c *Client, addr netip.AddrPort, name string, in *In) (*Out, error) {
 	c.traffic.Calls.Add(1)
 	c.mu.Lock()
-	rest, conn, ok := take(c.calls[addr], open, func(conn *drpcconn.Conn) { _ = conn.Close() })
+	rest, conn, ok := takeNewest(c.idleCalls[addr], isOpen, func(conn *drpcconn.Conn) { _ = conn.Close() })
 	if len(rest) == 0 {
-		delete(c.calls, addr)
+		delete(c.idleCalls, addr)
 	} else {
-		c.calls[addr] = rest
+		c.idleCalls[addr] = rest
 	}
 	c.mu.Unlock()
 	if !ok {
@@ -175,43 +179,43 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.closed || len(c.calls[addr]) > 0 {
+	if c.closed || len(c.idleCalls[addr]) > 0 {
 		_ = conn.Close()
 		return &out, nil
 	}
-	c.calls[addr] = append(c.calls[addr], conn)
-	c.trimCalls(addr)
+	c.idleCalls[addr] = append(c.idleCalls[addr], conn)
+	c.evictCallConn(addr)
 	return &out, nil
 }
 
-// idleCalls is how many idle connections for calls are kept over all hosts. It
-// exceeds the number of neighbours that a host probes.
-const idleCalls = 10
+// maxIdleCallConns is the number of hosts to which idle connections for calls are kept, one each. It exceeds the number of
+// neighbours that a host probes.
+const maxIdleCallConns = 10
 
-// trimCalls closes an idle connection of another host if there are too many.
-// c.mu is held.
-func (c *Client) trimCalls(keep netip.AddrPort) {
-	if len(c.calls) <= idleCalls {
+// evictCallConn closes the idle connection to a host other than keep if there are more than maxIdleCallConns. c.mu must be
+// held.
+func (c *Client) evictCallConn(keep netip.AddrPort) {
+	if len(c.idleCalls) <= maxIdleCallConns {
 		return
 	}
-	for addr, list := range c.calls {
+	for addr, list := range c.idleCalls {
 		if addr == keep {
 			continue
 		}
 		for _, conn := range list {
 			_ = conn.Close()
 		}
-		delete(c.calls, addr)
+		delete(c.idleCalls, addr)
 		return
 	}
 }
 
-// Probe sends a probe and returns the host's own.
+// Probe sends a probe and returns the one that the host answers with.
 func (c *Client) Probe(ctx context.Context, addr netip.AddrPort, m *Probe) (*Probe, error) {
 	return call[Probe, Probe](ctx, c, addr, probeCall, m)
 }
 
-// Relay asks a host to probe another one.
+// Relay asks a host to probe another host.
 func (c *Client) Relay(ctx context.Context, addr netip.AddrPort, m *Relay) (*Verdict, error) {
 	return call[Relay, Verdict](ctx, c, addr, relayCall, m)
 }
@@ -221,60 +225,61 @@
 	return call[Reach, Verdict](ctx, c, addr, reachCall, m)
 }
 
-// Cancel passes a cancel request on.
+// Cancel forwards a cancel request to a host.
 func (c *Client) Cancel(ctx context.Context, addr netip.AddrPort, m *Cancel) (*Verdict, error) {
 	return call[Cancel, Verdict](ctx, c, addr, cancelCall, m)
 }
 
-// Pull asks for a newer configuration.
+// Pull asks a host for a newer configuration.
 func (c *Client) Pull(ctx context.Context, addr netip.AddrPort, m *Pull) (*Pulled, error) {
 	return call[Pull, Pulled](ctx, c, addr, pullCall, m)
 }
 
-// Confirm asks the next owner of a group to confirm.
+// Confirm asks the next owner of a group to confirm the position that the primary has now.
 func (c *Client) Confirm(ctx context.Context, addr netip.AddrPort, m *Confirm) (*Verdict, error) {
 	return call[Confirm, Verdict](ctx, c, addr, confirmCall, m)
 }
 
-// Released tells the next owner of a group that it is free.
+// Released tells the next owner of a group that this host has released it.
 func (c *Client) Released(ctx context.Context, addr netip.AddrPort, m *Released) (*Verdict, error) {
 	return call[Released, Verdict](ctx, c, addr, releasedCall, m)
 }
 
-// Assume asks a host to own a group for a while.
+// Assume asks a host to own a group for a limited time.
 func (c *Client) Assume(ctx context.Context, addr netip.AddrPort, m *Assume) (*Verdict, error) {
 	return call[Assume, Verdict](ctx, c, addr, assumeCall, m)
 }
 
-// Begin opens an exchange with the owner at addr. Nothing is sent until its
-// first unit.
+// Begin returns an exchange with the owner of a group at addr. Nothing is sent before the first unit.
 func (c *Client) Begin(addr netip.AddrPort, r *statement.Request) *RemoteExchange {
 	return &RemoteExchange{client: c, addr: addr, request: r}
 }
 
-// ErrNotSent means that a unit certainly did not reach the owner.
+// ErrNotSent means that a unit was not sent completely, so that the owner does not run it.
 var ErrNotSent = errors.New("the unit was not sent")
 
-// ErrLost means that the owner was lost after a unit was sent.
+// ErrLost means that the connection to the owner failed after a unit was sent. The unit may have run.
 var ErrLost = errors.New("the owner was lost")
 
-// RemoteExchange is an exchange with another host. See upstream.Exchange.
+// RemoteExchange is an exchange with the owner of a group on another host. It is an Exchange. Only Cancel may be called while
+// another method runs.
 type RemoteExchange struct {
 	client  *Client
 	addr    netip.AddrPort
 	request *statement.Request
-	stream  *stream
-	// Passed is true once a part of the present answer was passed on.
-	Passed bool
+	// stream is nil before the first unit and after the exchange has ended.
+	stream *stream
+	// AnswerStarted is true once the sink was given a part of the answer to the present unit.
+	AnswerStarted bool
 }
 
-// Do runs a unit. The error is a *statement.Refusal of the owner, ErrNotSent,
-// ErrLost, or an error of sink.
+// Do runs a unit on the owner and passes the parts of the answer to sink. The error is a *statement.Refusal of the owner,
+// ErrNotSent, ErrLost, or an error of sink.
 func (x *RemoteExchange) Do(ctx context.Context, u *statement.Unit, sink func([]byte) error) (statement.Outcome, error) {
-	x.Passed = false
+	x.AnswerStarted = false
 	first := x.stream == nil
 	if first {
-		s, err := x.client.takeStream(ctx, x.addr)
+		s, err := x.client.acquireStream(ctx, x.addr)
 		if err != nil {
 			return statement.Outcome{}, errors.Wrap(ErrNotSent, err.Error())
 		}
@@ -286,18 +291,18 @@
 	}
 	if err := x.stream.drpc.MsgSend(m, encoding{}); err != nil {
 		x.Close()
-		// The owner acts on whole messages only, and this one was not whole.
+		// The owner runs a unit only once the whole message has arrived.
 		return statement.Outcome{}, errors.Wrap(ErrNotSent, err.Error())
 	}
 	return x.receive(ctx, u, sink)
 }
 
-// receive reads the answer to a unit.
+// receive reads the answer to a unit. It closes the stream when ctx ends or the answer is late.
 func (x *RemoteExchange) receive(ctx context.Context, u *statement.Unit, sink func([]byte) error) (statement.Outcome, error) {
 	s := x.stream
 	stop := context.AfterFunc(ctx, s.close)
 	defer stop()
-	late := time.AfterFunc(time.Until(u.Deadline)+answerGrace, s.close)
+	late := time.AfterFunc(time.Until(u.Deadline)+lateAnswerTimeout, s.close)
 	defer late.Stop()
 	for {
 		var in answerMessage
@@ -306,7 +311,7 @@
 			return statement.Outcome{}, errors.Wrap(ErrLost, err.Error())
 		}
 		if len(in.data) > 0 {
-			x.Passed = true
+			x.AnswerStarted = true
 			if err := sink(in.data); err != nil {
 				x.Close()
 				return statement.Outcome{}, err
@@ -316,22 +321,22 @@
 			continue
 		}
 		if in.refused {
-			x.finish()
+			x.releaseStream()
 			refusal := in.refusal
 			return statement.Outcome{}, &refusal
 		}
 		if !in.outcome.Continues() {
-			x.finish()
+			x.releaseStream()
 		}
 		return in.outcome, nil
 	}
 }
 
-// answerGrace is how long after a unit's deadline the owner may still answer.
-// It is longer than the owner's own grace towards the member.
-const answerGrace = time.Second
+// lateAnswerTimeout is how long after a unit's deadline the owner may still answer. It is longer than the time that the
+// owner itself gives the member after the deadline.
+const lateAnswerTimeout = time.Second
 
-// openStream opens a stream of the call with a connection of its own.
+// openStream opens a stream of the given call on a new connection.
 func (c *Client) openStream(ctx context.Context, addr netip.AddrPort, call string) (*stream, error) {
 	conn, err := c.dial(ctx, addr)
 	if err != nil {
@@ -345,18 +350,18 @@
 	return &stream{conn: conn, drpc: opened}, nil
 }
 
-// takeStream returns a stream for an exchange.
-func (c *Client) takeStream(ctx context.Context, addr netip.AddrPort) (*stream, error) {
+// acquireStream returns an idle or new stream for an exchange, and records it as busy.
+func (c *Client) acquireStream(ctx context.Context, addr netip.AddrPort) (*stream, error) {
 	c.mu.Lock()
-	rest, s, ok := take(c.streams[addr], (*stream).usable, (*stream).close)
-	c.idle -= len(c.streams[addr]) - len(rest)
+	rest, s, ok := takeNewest(c.idleStreams[addr], (*stream).usable, (*stream).close)
+	c.idleStreamCount -= len(c.idleStreams[addr]) - len(rest)
 	if len(rest) == 0 {
-		delete(c.streams, addr)
+		delete(c.idleStreams, addr)
 	} else {
-		c.streams[addr] = rest
+		c.idleStreams[addr] = rest
 	}
 	if ok {
-		c.use(addr, s)
+		c.markBusy(addr, s)
 	}
 	c.mu.Unlock()
 	if ok {
@@ -368,60 +373,61 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.use(addr, s)
+	c.markBusy(addr, s)
 	return s, nil
 }
 
-// use records that a stream carries an exchange. c.mu is held.
-func (c *Client) use(addr netip.AddrPort, s *stream) {
+// markBusy records that a stream carries an exchange. c.mu must be held.
+func (c *Client) markBusy(addr netip.AddrPort, s *stream) {
 	if c.busy[addr] == nil {
 		c.busy[addr] = map[*stream]struct{}{}
 	}
 	c.busy[addr][s] = struct{}{}
 }
 
-// finish keeps the stream for the next exchange.
-func (x *RemoteExchange) finish() {
+// releaseStream keeps the stream for a later exchange.
+func (x *RemoteExchange) releaseStream() {
 	s := x.stream
 	x.stream = nil
-	x.client.keepStream(x.addr, s)
+	x.client.putIdleStream(x.addr, s)
 }
 
-// keepStream keeps a stream for use again.
-func (c *Client) keepStream(addr netip.AddrPort, s *stream) {
-	s.idle = time.Now()
+// putIdleStream keeps a stream for reuse, or closes it if it is broken or enough streams are kept. Above maxIdleStreams it
+// closes an idle stream to another host.
+func (c *Client) putIdleStream(addr netip.AddrPort, s *stream) {
+	s.idleSince = time.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	delete(c.busy[addr], s)
-	if c.closed || len(c.streams[addr]) >= idleStreams || !open(s.conn) {
+	if c.closed || len(c.idleStreams[addr]) >= maxIdleStreamsPerHost || !isOpen(s.conn) {
 		s.close()
 		return
 	}
-	c.streams[addr] = append(c.streams[addr], s)
-	c.idle++
-	if c.idle > allIdleStreams {
-		c.dropStream(addr)
+	c.idleStreams[addr] = append(c.idleStreams[addr], s)
+	c.idleStreamCount++
+	if c.idleStreamCount > maxIdleStreams {
+		c.evictIdleStream(addr)
 	}
 }
 
-// dropBusy closes a stream that is in use.
-func (c *Client) dropBusy(addr netip.AddrPort, s *stream) {
+// closeBusyStream closes a stream that carries an exchange.
+func (c *Client) closeBusyStream(addr netip.AddrPort, s *stream) {
 	s.close()
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	delete(c.busy[addr], s)
 }
 
-// dropStream closes an idle stream to another host than keep. c.mu is held.
-func (c *Client) dropStream(keep netip.AddrPort) {
-	for addr, list := range c.streams {
+// evictIdleStream closes an idle stream to a host other than keep. c.mu must be held.
+func (c *Client) evictIdleStream(keep netip.AddrPort) {
+	for addr, list := range c.idleStreams {
 		if addr == keep || len(list) == 0 {
 			continue
 		}
 		list[0].close()
-		c.idle--
-		if c.streams[addr] = list[1:]; len(list) == 1 {
-			delete(c.streams, addr)
+		c.idleStreamCount--
+		if c.idleStreams[addr] = list[1:]; len(list) == 1 {
+			delete(c.idleStreams, addr)
 		}
 		return
 	}
@@ -433,16 +439,16 @@
 	return err
 }
 
-// Close ends the exchange. The owner rolls an open transaction back.
+// Close ends the exchange. The owner rolls back an open transaction.
 func (x *RemoteExchange) Close() {
 	if x.stream == nil {
 		return
 	}
-	x.client.dropBusy(x.addr, x.stream)
+	x.client.closeBusyStream(x.addr, x.stream)
 	x.stream = nil
 }
 
-// Unknown returns the refusal of a unit whose owner was lost.
-func Unknown(err error) *statement.Refusal {
+// UnknownOutcome returns the refusal of a unit whose outcome is unknown because of err.
+func UnknownOutcome(err error) *statement.Refusal {
 	return &statement.Refusal{Code: postgres.CodeTransactionUnknown, Reason: "the outcome of the request is unknown: " + err.Error()}
 }
--- a/io/peer/gateway_client.go
+++ b/io/peer/gateway_client.go
@@ -13,7 +13,7 @@
 	"pearlatch/internal/quotas"
 )
 
-// GatewayClient speaks to other gateways. Use NewGatewayClient.
+// GatewayClient implements gateway.Peers. Use NewGatewayClient.
 type GatewayClient struct {
 	client *Client
 	links  links
@@ -21,7 +21,7 @@
 
 var _ gateway.Peers = (*GatewayClient)(nil)
 
-// NewGatewayClient returns a client that dials from local, if that is valid.
+// NewGatewayClient returns a client that dials from the local address, if that is valid.
 func NewGatewayClient(local netip.Addr, traffic *Traffic) *GatewayClient {
 	c := NewClient(local, nil, traffic)
 	return &GatewayClient{client: c, links: links{client: c}}
@@ -33,31 +33,31 @@
 	if err != nil {
 		return nil, err
 	}
-	return k.newLane(), nil
+	return k.newStream(), nil
 }
 
-// linkRecall is how long a question may take on the link until it is asked over a
-// connection of its own: a few round trips within a region.
-const linkRecall = 60 * time.Millisecond
+// linkOutcomeTimeout bounds a query of an outcome on a link. After it, the query is repeated on a separate connection. It
+// covers a few round trips within a region.
+const linkOutcomeTimeout = 60 * time.Millisecond
 
-// QueryOutcome implements gateway.Peers. It asks on the link at first, which needs no handshake
-// at a host under load, and then over a connection of its own, since the link may be silent.
+// QueryOutcome implements gateway.Peers. It asks on the link first, which costs a host under load no handshake, and then on a
+// separate connection, since the link may have gone silent.
 func (c *GatewayClient) QueryOutcome(ctx context.Context, to netip.AddrPort, from string, serial uint64) (gateway.RequestOutcome, error) {
 	in := &recallRequest{from, serial}
 	if k := c.links.existing(to); k != nil {
-		if out := k.recall(ctx, in); out != nil {
-			return out.recalled(), nil
+		if out := k.queryOutcome(ctx, in); out != nil {
+			return out.outcome(), nil
 		}
 	}
 	out, err := call[recallRequest, recallReply](ctx, c.client, to, recallCall, in)
 	if err != nil {
 		return nil, err
 	}
-	return out.recalled(), nil
+	return out.outcome(), nil
 }
 
-// recalled returns the outcome that the message carries.
-func (m *recallReply) recalled() gateway.RequestOutcome {
+// outcome returns the outcome that the message carries.
+func (m *recallReply) outcome() gateway.RequestOutcome {
 	switch {
 	case m.running:
 		return gateway.OutcomeRunning{}
@@ -78,62 +78,62 @@
 
 // RequestLease implements gateway.Peers.
 func (c *GatewayClient) RequestLease(ctx context.Context, to netip.AddrPort, r gateway.LeaseRequest) (gateway.LeaseReply, error) {
-	reply, err := c.question(ctx, to, &linkRequest{lease: (*leaseRequest)(&r)})
+	reply, err := c.askOnLink(ctx, to, &linkRequest{lease: (*leaseRequest)(&r)})
 	if err != nil {
 		return gateway.LeaseReply{}, err
 	}
 	if reply.lease == nil {
-		return gateway.LeaseReply{}, errors.Errorf("host %s answered something else than a lease", to)
+		return gateway.LeaseReply{}, errors.Errorf("reply of host %s to a lease request contains no lease", to)
 	}
 	return gateway.LeaseReply(*reply.lease), nil
 }
 
 // RevokeLease implements gateway.Peers.
 func (c *GatewayClient) RevokeLease(ctx context.Context, to netip.AddrPort, groupName, memberID string, planned bool) error {
-	reply, err := c.question(ctx, to, &linkRequest{ends: &endLeaseRequest{groupName, memberID, planned}})
-	if err == nil && !reply.ended {
-		err = errors.Errorf("host %s did not give its lease back", to)
+	reply, err := c.askOnLink(ctx, to, &linkRequest{revokeLease: &revokeLeaseRequest{groupName, memberID, planned}})
+	if err == nil && !reply.leaseRevoked {
+		err = errors.Errorf("host %s did not give up its lease", to)
 	}
 	return err
 }
 
 // RequestQuota implements gateway.Peers.
 func (c *GatewayClient) RequestQuota(ctx context.Context, to netip.AddrPort, r quotas.Request) (quotas.Response, error) {
-	reply, err := c.question(ctx, to, &linkRequest{quota: (*quotaRequest)(&r)})
+	reply, err := c.askOnLink(ctx, to, &linkRequest{quota: (*quotaRequest)(&r)})
 	if err != nil {
 		return quotas.Response{}, err
 	}
 	if reply.quota == nil {
-		return quotas.Response{}, errors.Errorf("host %s answered something else than a quota", to)
+		return quotas.Response{}, errors.Errorf("reply of host %s to a quota request contains no grants", to)
 	}
 	return quotas.Response(*reply.quota), nil
 }
 
 // TellQuota implements gateway.Peers.
 func (c *GatewayClient) TellQuota(ctx context.Context, to netip.AddrPort, r quotas.ReportRequest) (quotas.ReportResponse, error) {
-	reply, err := c.question(ctx, to, &linkRequest{tell: (*tellRequest)(&r)})
+	reply, err := c.askOnLink(ctx, to, &linkRequest{tell: (*tellRequest)(&r)})
 	if err != nil {
 		return quotas.ReportResponse{}, err
 	}
 	if reply.told == nil {
-		return quotas.ReportResponse{}, errors.Errorf("host %s answered something else than what it holds", to)
+		return quotas.ReportResponse{}, errors.Errorf("reply of host %s does not say which quotas it holds", to)
 	}
 	return quotas.ReportResponse(*reply.told), nil
 }
 
-// question asks a host something on the link to it. A link on which nothing came while the
-// answer was due is replaced: it may have gone silent.
-func (c *GatewayClient) question(ctx context.Context, to netip.AddrPort, in *linkRequest) (*linkReply, error) {
+// askOnLink sends a request that belongs to no session on the link to a host, and waits for the reply. If the request fails
+// and nothing has arrived on the link meanwhile, the link may have gone silent and is replaced.
+func (c *GatewayClient) askOnLink(ctx context.Context, to netip.AddrPort, in *linkRequest) (*linkReply, error) {
 	k, err := c.links.get(ctx, to)
 	if err != nil {
 		return nil, err
 	}
-	l := k.newLane()
-	in.lane = l.id
-	asked := time.Now()
+	s := k.newStream()
+	in.lane = s.id
+	sent := time.Now()
 	reply, err := k.ask(ctx, in)
 	if err != nil {
-		l.ReplaceIfSilent(time.Since(asked))
+		s.ReplaceIfSilent(time.Since(sent))
 	}
 	return reply, err
 }
@@ -145,14 +145,14 @@
 		return nil, err
 	}
 	f := &feed{addr: to, stream: s}
-	if err := s.drpc.MsgSend(&feedRequest{after: after, packs: true}, encoding{}); err != nil {
+	if err := s.drpc.MsgSend(&feedRequest{after: after, readsCompressedLists: true}, encoding{}); err != nil {
 		f.Close()
 		return nil, errors.Wrapf(err, "ask host %s for news", to)
 	}
 	return f, nil
 }
 
-// feed is a stream of news.
+// feed receives updates of the store from another host.
 type feed struct {
 	addr   netip.AddrPort
 	stream *stream
--- a/io/peer/gateway_codec_test.go
+++ b/io/peer/gateway_codec_test.go
@@ -21,10 +21,10 @@
 
 var update = flag.Bool("update", false, "write the golden files")
 
-// samples holds a message of each kind between gateways, with every field set.
+// samples returns messages between gateways, by the names of their golden files.
 func samples() map[string]message {
 	position := group.Position{Term: 3, LSN: 1207}
-	reply := laneReply{
+	reply := peerReplyMessage{
 		Process: "h2-1f", Declined: gateway.PrimaryUnreachable, LastWrite: position,
 		Reply: gateway.Reply{
 			Rows: []string{"qhzk", ""}, Signature: "7.1f3", State: gateway.InTransaction,
@@ -33,7 +33,7 @@
 	}
 	item := kv.Item{Key: "config", Value: []byte("v"), Revision: 9}
 	return map[string]message{
-		"link_request": &linkRequest{lane: 4, laneRequest: laneRequest{version: Version, PeerRequest: gateway.PeerRequest{
+		"link_request": &linkRequest{lane: 4, peerRequestMessage: peerRequestMessage{version: Version, PeerRequest: gateway.PeerRequest{
 			From: "h1-2a", Serial: 7, To: "h2-1f", Group: "lessons", Database: "booking",
 			Route: gateway.Route{
 				Name: "r", Class: freshness.MaxAge{Age: 1500 * time.Millisecond}, Timeout: 800 * time.Millisecond,
@@ -46,7 +46,7 @@
 		"link_close":     &linkRequest{lane: 4, closes: true},
 		"link_recall":    &linkRequest{lane: 5, recall: &recallRequest{from: "h1-2a", serial: 7}},
 		"link_recalled":  &linkReply{lane: 5, recalled: &recallReply{running: true}},
-		"link_reply":     &linkReply{lane: 4, laneReply: reply},
+		"link_reply":     &linkReply{lane: 4, peerReplyMessage: reply},
 		"recall_request": &recallRequest{from: "h1-2a", serial: 7},
 		"recall_reply":   &recallReply{running: true, process: "h2-1f", reply: &reply},
 		"member_request": &memberRequest{group: "lessons", member: "i-7f"},
@@ -54,24 +54,23 @@
 			IsPrimary: true, Received: position, Term: 3, Fenced: 4, Lag: 12 * time.Millisecond, Running: 2, Connections: 17,
 		},
 		"feed_request":        &feedRequest{after: 412},
-		"feed_request_packed": &feedRequest{after: 412, packs: true},
+		"feed_request_packed": &feedRequest{after: 412, readsCompressedLists: true},
 		"news_elsewhere": &newsMessage{StoreUpdate: follow.StoreUpdate{
 			Referrals: []netip.AddrPort{netip.MustParseAddrPort("10.1.0.8:8782"), netip.MustParseAddrPort("10.2.0.6:8782")}, Age: time.Hour,
-		}, packer: &packer{}},
+		}, compressor: &compressor{}},
 		"feed_request_of_a_later_epoch": &feedRequest{after: kv.NewRevision(3, 412)},
 		"news_of_a_later_epoch": &newsMessage{StoreUpdate: follow.StoreUpdate{Update: kv.Update{
 			Snapshot: kv.Snapshot{Items: []kv.Item{{Key: "k", Value: []byte("v"), Revision: kv.NewRevision(3, 9), Created: 4}}, Revision: kv.NewRevision(3, 10)},
 			Full:     true,
-		}}, packer: &packer{}},
+		}}, compressor: &compressor{}},
 		"news": &newsMessage{StoreUpdate: follow.StoreUpdate{Update: kv.Update{
 			Snapshot: kv.Snapshot{Items: []kv.Item{item, {Key: "gone", Revision: 10, Removed: true}}, Revision: 10},
 			Full:     true,
-		}, Age: time.Second}, packer: &packer{}},
+		}, Age: time.Second}, compressor: &compressor{}},
 	}
 }
 
-// Hosts of two versions speak to each other while a fleet is upgraded: the bytes of a
-// message must not change unnoticed.
+// Hosts of two versions exchange messages while a fleet is upgraded, so a message's encoding must not change unnoticed.
 func TestGatewayMessagesOnTheWire(t *testing.T) {
 	for name, m := range samples() {
 		got, err := encoding{}.Marshal(m)
@@ -105,10 +104,10 @@
 			t.Fatalf("%s: %v", name, err)
 		}
 		if n, ok := out.(*newsMessage); ok {
-			n.packer = m.(*newsMessage).packer
+			n.compressor = m.(*newsMessage).compressor
 		}
 		if !reflect.DeepEqual(out, m) {
-			t.Errorf("%s came back as\n%+v, want\n%+v", name, out, m)
+			t.Errorf("%s is decoded as\n%+v, want\n%+v", name, out, m)
 		}
 	}
 }
@@ -119,46 +118,47 @@
 	} {
 		m := toStatementMessage(s)
 		if got := m.statement(); got != s {
-			t.Errorf("%T came back as %#v", s, got)
+			t.Errorf("%T is decoded as %#v", s, got)
 		}
 	}
 	if got := (&statementMessage{kind: 99}).statement(); got != (gateway.Unknown{}) {
-		t.Errorf("a kind of a newer version came back as %#v", got)
+		t.Errorf("a kind of a newer version is decoded as %#v", got)
 	}
 }
 
-// A configuration of many routes is passed to every host at once; as it stands it would
-// fill a small host's link for a quarter of a second each.
+// A configuration of many routes is sent to every host at once. Uncompressed, it would fill the network link of a small host
+// for a quarter of a second per receiver.
 func TestLargeValuesAreCompressedOnce(t *testing.T) {
 	item := kv.Item{Key: "config", Value: []byte(strings.Repeat(`{"name":"r-68k7b2e","host":"fiti832ti23"}`, 1400)), Revision: 3}
-	p := &packer{}
-	text, err := encoding{}.Marshal(&newsMessage{StoreUpdate: follow.StoreUpdate{Update: kv.Update{Snapshot: kv.Snapshot{Items: []kv.Item{item}}}}, packer: p})
+	c := &compressor{}
+	text, err := encoding{}.Marshal(&newsMessage{StoreUpdate: follow.StoreUpdate{Update: kv.Update{Snapshot: kv.Snapshot{Items: []kv.Item{item}}}}, compressor: c})
 	if err != nil {
 		t.Fatal(err)
 	}
 	if len(text) > len(item.Value)/20 {
-		t.Errorf("%d bytes are sent as %d", len(item.Value), len(text))
+		t.Errorf("%d bytes are compressed to %d", len(item.Value), len(text))
 	}
 	var out newsMessage
 	if err := (encoding{}).Unmarshal(text, &out); err != nil {
 		t.Fatal(err)
 	}
 	if !reflect.DeepEqual(out.Items, []kv.Item{item}) {
-		t.Error("the value came back changed")
+		t.Error("the decoded value differs")
 	}
-	first, _ := p.pack(item)
-	again, _ := p.pack(item)
+	first, _ := c.compress(item)
+	again, _ := c.compress(item)
 	if &first[0] != &again[0] {
 		t.Error("the same revision was compressed twice")
 	}
 	item.Revision++
-	if next, _ := p.pack(item); &first[0] == &next[0] {
+	if next, _ := c.compress(item); &first[0] == &next[0] {
 		t.Error("a new revision was not compressed")
 	}
 }
 
-// A fleet that starts sends the list of 1,000 groups' members to each host: plain, it fills the link of a host with sixteen
-// below it for seconds. A host of a version that does not read packed lists is sent a plain one.
+// When a fleet starts, each host is sent the list of the members of 1,000 groups. Uncompressed, it fills the network link of a
+// host that sends it to sixteen others for seconds. A host of a version that does not read compressed lists is sent an
+// uncompressed one.
 func TestWholeListIsCompressedOnce(t *testing.T) {
 	s := kv.Snapshot{Revision: 9}
 	for i := range 3000 {
@@ -167,13 +167,13 @@
 			Value: fmt.Appendf(nil, `{"service":"allergen-core-%d","address":"10.1.%d.%d:5432","zone":"z","slots":3,"state":"ready"}`, i/3, i/256, i%256),
 		})
 	}
-	p := &packer{}
-	news := func(packs bool) *newsMessage {
-		return &newsMessage{StoreUpdate: follow.StoreUpdate{Update: kv.Update{Snapshot: s, Full: true}}, packer: p, packs: packs}
+	c := &compressor{}
+	newsOf := func(compressed bool) *newsMessage {
+		return &newsMessage{StoreUpdate: follow.StoreUpdate{Update: kv.Update{Snapshot: s, Full: true}}, compressor: c, compressList: compressed}
 	}
 	sizes := map[bool]int{}
-	for _, packs := range []bool{false, true} {
-		text, err := encoding{}.Marshal(news(packs))
+	for _, compressed := range []bool{false, true} {
+		text, err := encoding{}.Marshal(newsOf(compressed))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -182,31 +182,31 @@
 			t.Fatal(err)
 		}
 		if !out.Full || !reflect.DeepEqual(out.Items, s.Items) {
-			t.Errorf("packed %t: the list came back changed", packs)
+			t.Errorf("compressed %t: the decoded list differs", compressed)
 		}
-		sizes[packs] = len(text)
+		sizes[compressed] = len(text)
 	}
 	if sizes[true] > sizes[false]/4 {
-		t.Errorf("%d bytes are sent as %d", sizes[false], sizes[true])
+		t.Errorf("%d bytes are compressed to %d", sizes[false], sizes[true])
 	}
-	first, _ := p.packList(s)
-	again, _ := p.packList(s)
+	first, _ := c.compressSnapshot(s)
+	again, _ := c.compressSnapshot(s)
 	if &first[0] != &again[0] {
 		t.Error("the same list was compressed twice")
 	}
 }
 
-// A value that claims to expand without end must not take the host's memory.
+// A small compressed value that expands to a huge one must not exhaust the host's memory.
 func TestCompressedValueIsBounded(t *testing.T) {
-	bomb, err := deflate(make([]byte, maxUnpacked+1))
+	bomb, err := deflate(make([]byte, maxInflatedSize+1))
 	if err != nil {
 		t.Fatal(err)
 	}
 	if _, err := inflate(bomb); err == nil {
-		t.Error("a value beyond the bound was taken")
+		t.Error("a value above the bound was decompressed")
 	}
 	if _, err := inflate([]byte("no such thing")); err == nil {
-		t.Error("garbage was taken")
+		t.Error("invalid data was decompressed")
 	}
 }
 
@@ -221,7 +221,7 @@
 	f.Fuzz(func(_ *testing.T, text []byte) {
 		for _, m := range samples() {
 			out := reflect.New(reflect.TypeOf(m).Elem()).Interface().(message)
-			// Whatever comes, decoding ends with a message or an error.
+			// Decoding any bytes must end with a message or an error.
 			_ = encoding{}.Unmarshal(text, out)
 		}
 	})
--- a/io/peer/gateway_messages.go
+++ b/io/peer/gateway_messages.go
@@ -6,7 +6,7 @@
 	"pearlatch/internal/gateway"
 )
 
-// Names of the calls between gateways.
+// Names of the drpc calls between gateways.
 const (
 	linkCall   = "/pearlatch.Gateway/Link"
 	recallCall = "/pearlatch.Gateway/Recall"
@@ -14,9 +14,9 @@
 	memberCall = "/pearlatch.Gateway/ProbeMember"
 )
 
-// laneVersion is the version of statements on a lane. Up to version 1 they named no client account: a host
-// that does not know of accounts would run them under its own name, so it must refuse newer ones.
-const laneVersion = 2
+// peerRequestVersion is the version of a forwarded request. Up to version 1, requests named no client account. A host that does
+// not know accounts would run a request under the host's own name, so it must refuse newer versions.
+const peerRequestVersion = 2
 
 // positionMessage is a log position on the wire.
 type positionMessage group.Position
@@ -29,22 +29,22 @@
 func (m *positionMessage) field(name string, r *fieldReader) bool {
 	switch name {
 	case "term":
-		return readNumber(r, &m.Term)
+		return readUint(r, &m.Term)
 	case "lsn":
-		return readNumber(r, &m.LSN)
+		return readUint(r, &m.LSN)
 	}
 	return false
 }
 
-// shapeMessage is the text of a prepared statement on the wire.
-type shapeMessage gateway.PreparedStatement
+// preparedStatementMessage is a gateway.PreparedStatement on the wire.
+type preparedStatementMessage gateway.PreparedStatement
 
-func (m *shapeMessage) fields(w *fieldWriter) {
+func (m *preparedStatementMessage) fields(w *fieldWriter) {
 	w.bool("writes", m.Writes)
 	w.str("text", m.Text)
 }
 
-func (m *shapeMessage) field(name string, r *fieldReader) bool {
+func (m *preparedStatementMessage) field(name string, r *fieldReader) bool {
 	switch name {
 	case "writes":
 		return r.bool(&m.Writes)
@@ -54,7 +54,7 @@
 	return false
 }
 
-// beginMessage is the start of a transaction on the wire.
+// beginMessage is a gateway.Begin on the wire.
 type beginMessage gateway.Begin
 
 func (m *beginMessage) fields(w *fieldWriter) { w.bool("read_only", m.ReadOnly) }
@@ -63,15 +63,15 @@
 	return name == "read_only" && r.bool(&m.ReadOnly)
 }
 
-// valueMessage is a session value on the wire.
-type valueMessage struct{ name, value string }
+// sessionValueMessage is a session value and its name on the wire.
+type sessionValueMessage struct{ name, value string }
 
-func (m *valueMessage) fields(w *fieldWriter) {
+func (m *sessionValueMessage) fields(w *fieldWriter) {
 	w.str("name", m.name)
 	w.str("value", m.value)
 }
 
-func (m *valueMessage) field(name string, r *fieldReader) bool {
+func (m *sessionValueMessage) field(name string, r *fieldReader) bool {
 	switch name {
 	case "name":
 		return r.str(&m.name)
@@ -81,7 +81,7 @@
 	return false
 }
 
-// The kinds of statement that hosts pass on.
+// The kinds of forwarded statements on the wire.
 const (
 	kindRead = iota + 1
 	kindWrite
@@ -90,12 +90,14 @@
 	kindRollback
 )
 
-// statementMessage is a caller's statement on the wire.
+// statementMessage is a gateway.Statement on the wire.
 type statementMessage struct {
 	kind            uint64
 	name, arguments string
 }
 
+// toStatementMessage returns the message for the statement. Its kind is zero for any other statement than those of the kinds
+// above.
 func toStatementMessage(s gateway.Statement) statementMessage {
 	switch s := s.(type) {
 	case gateway.Read:
@@ -112,7 +114,7 @@
 	return statementMessage{}
 }
 
-// statement returns the statement, or Unknown for a kind of a newer version.
+// statement returns the statement, or gateway.Unknown if the kind is not known.
 func (m *statementMessage) statement() gateway.Statement {
 	switch m.kind {
 	case kindRead:
@@ -147,9 +149,10 @@
 	return false
 }
 
-// routeMessage is what a statement's route asks for.
+// routeMessage is the route of a forwarded statement on the wire.
 type routeMessage struct {
 	gateway.Route
+	// class is the freshness class as text.
 	class string
 }
 
@@ -169,7 +172,7 @@
 	case "class":
 		r.str(&m.class)
 		class, err := freshness.ParseClass(m.class)
-		r.keep(err)
+		r.setErr(err)
 		m.Class = class
 		return true
 	case "timeout_us":
@@ -177,20 +180,20 @@
 	case "target_us":
 		return r.duration(&m.LatencyTarget)
 	case "priority":
-		return readNumber(r, &m.Priority)
+		return readUint(r, &m.Priority)
 	case "public":
 		return r.bool(&m.Public)
 	}
 	return false
 }
 
-// laneRequest is a gateway.PeerRequest on the wire.
-type laneRequest struct {
+// peerRequestMessage is a gateway.PeerRequest on the wire.
+type peerRequestMessage struct {
 	version uint64
 	gateway.PeerRequest
 }
 
-func (m *laneRequest) fields(w *fieldWriter) {
+func (m *peerRequestMessage) fields(w *fieldWriter) {
 	q := &m.PeerRequest
 	w.uint("version", m.version)
 	w.str("from", q.From)
@@ -203,13 +206,13 @@
 	w.duration("age_us", q.Age)
 	w.duration("begin_age_us", q.BeginAge)
 	w.message("mark", (*positionMessage)(&q.LastWrite))
-	values := make([]valueMessage, 0, len(q.Values))
+	values := make([]sessionValueMessage, 0, len(q.Values))
 	for name, value := range q.Values {
-		values = append(values, valueMessage{name, value})
+		values = append(values, sessionValueMessage{name, value})
 	}
 	writeList(w, "values", values)
 	if q.Prepared != nil {
-		w.message("shape", (*shapeMessage)(q.Prepared))
+		w.message("shape", (*preparedStatementMessage)(q.Prepared))
 	}
 	if q.Begin != nil {
 		w.message("begin", (*beginMessage)(q.Begin))
@@ -222,7 +225,7 @@
 	w.message("statement", &statement)
 }
 
-func (m *laneRequest) field(name string, r *fieldReader) bool {
+func (m *peerRequestMessage) field(name string, r *fieldReader) bool {
 	q := &m.PeerRequest
 	switch name {
 	case "version":
@@ -252,11 +255,11 @@
 	case "text":
 		return r.str(&q.Request.Text)
 	}
-	return m.nested(name, r)
+	return m.messageField(name, r)
 }
 
-// nested reads the fields that are messages themselves.
-func (m *laneRequest) nested(name string, r *fieldReader) bool {
+// messageField reads the fields that are nested messages or lists of them.
+func (m *peerRequestMessage) messageField(name string, r *fieldReader) bool {
 	q := &m.PeerRequest
 	switch name {
 	case "route":
@@ -266,7 +269,7 @@
 	case "mark":
 		r.message((*positionMessage)(&q.LastWrite))
 	case "values":
-		var list []valueMessage
+		var list []sessionValueMessage
 		readList(r, &list)
 		q.Values = make(map[string]string, len(list))
 		for _, v := range list {
@@ -274,7 +277,7 @@
 		}
 	case "shape":
 		q.Prepared = &gateway.PreparedStatement{}
-		r.message((*shapeMessage)(q.Prepared))
+		r.message((*preparedStatementMessage)(q.Prepared))
 	case "begin":
 		q.Begin = &gateway.Begin{}
 		r.message((*beginMessage)(q.Begin))
@@ -288,10 +291,10 @@
 	return true
 }
 
-// laneReply is a gateway.PeerReply on the wire.
-type laneReply gateway.PeerReply
+// peerReplyMessage is a gateway.PeerReply on the wire.
+type peerReplyMessage gateway.PeerReply
 
-func (m *laneReply) fields(w *fieldWriter) {
+func (m *peerReplyMessage) fields(w *fieldWriter) {
 	w.str("process", m.Process)
 	w.uint("declined", uint64(m.Declined))
 	rows := make([]rowMessage, len(m.Reply.Rows))
@@ -307,12 +310,12 @@
 	w.message("mark", (*positionMessage)(&m.LastWrite))
 }
 
-func (m *laneReply) field(name string, r *fieldReader) bool {
+func (m *peerReplyMessage) field(name string, r *fieldReader) bool {
 	switch name {
 	case "process":
 		return r.str(&m.Process)
 	case "declined":
-		return readNumber(r, &m.Declined)
+		return readUint(r, &m.Declined)
 	case "rows":
 		var list []rowMessage
 		readList(r, &list)
@@ -327,7 +330,7 @@
 		r.message((*failureMessage)(m.Reply.Failure))
 		return true
 	case "state":
-		return readNumber(r, &m.Reply.State)
+		return readUint(r, &m.Reply.State)
 	case "mark":
 		r.message((*positionMessage)(&m.LastWrite))
 		return true
@@ -335,7 +338,7 @@
 	return false
 }
 
-// rowMessage is a row of an answer on the wire.
+// rowMessage is a row of a reply on the wire.
 type rowMessage struct{ text string }
 
 func (m *rowMessage) fields(w *fieldWriter) { w.str("text", m.text) }
@@ -344,7 +347,7 @@
 	return name == "text" && r.str(&m.text)
 }
 
-// failureMessage is a failure on the wire.
+// failureMessage is a gateway.Failure on the wire.
 type failureMessage gateway.Failure
 
 func (m *failureMessage) fields(w *fieldWriter) {
@@ -355,14 +358,14 @@
 func (m *failureMessage) field(name string, r *fieldReader) bool {
 	switch name {
 	case "code":
-		return readNumber(r, &m.Code)
+		return readUint(r, &m.Code)
 	case "detail":
 		return r.str(&m.Detail)
 	}
 	return false
 }
 
-// recallRequest asks what became of a request.
+// recallRequest asks for the outcome of a request. from and serial are the request's gateway.PeerRequest.From and Serial.
 type recallRequest struct {
 	from   string
 	serial uint64
@@ -383,12 +386,12 @@
 	return false
 }
 
-// recallReply is a gateway.Recalled on the wire: running, or else a reply, or else
-// unknown to the process.
+// recallReply is a gateway.RequestOutcome on the wire. It stands for OutcomeRunning if running is true, for OutcomeDone if
+// reply is not nil, and otherwise for OutcomeUnknown with the process.
 type recallReply struct {
 	running bool
 	process string
-	reply   *laneReply
+	reply   *peerReplyMessage
 }
 
 func (m *recallReply) fields(w *fieldWriter) {
@@ -406,14 +409,14 @@
 	case "process":
 		return r.str(&m.process)
 	case "reply":
-		m.reply = &laneReply{}
+		m.reply = &peerReplyMessage{}
 		r.message(m.reply)
 		return true
 	}
 	return false
 }
 
-// memberRequest asks for the status of a member.
+// memberRequest asks a host to probe a member for its status.
 type memberRequest struct{ group, member string }
 
 func (m *memberRequest) fields(w *fieldWriter) {
@@ -452,15 +455,15 @@
 		r.message((*positionMessage)(&m.Received))
 		return true
 	case "term":
-		return readNumber(r, &m.Term)
+		return readUint(r, &m.Term)
 	case "fenced":
-		return readNumber(r, &m.Fenced)
+		return readUint(r, &m.Fenced)
 	case "lag_us":
 		return r.duration(&m.Lag)
 	case "running":
-		return readNumber(r, &m.Running)
+		return readUint(r, &m.Running)
 	case "connections":
-		return readNumber(r, &m.Connections)
+		return readUint(r, &m.Connections)
 	}
 	return false
 }
--- a/io/peer/link.go
+++ b/io/peer/link.go
@@ -7,49 +7,49 @@
 	"storj.io/drpc"
 )
 
-// linkQueue is how many messages wait for the way to a host. An overloaded host that
-// reads slowly is given no more than a second's worth.
-const linkQueue = 256
+// linkQueueSize is the number of messages that may be queued on a link, so that the backlog of an overloaded host that reads
+// slowly is at most a second of messages.
+const linkQueueSize = 256
 
-// errLinkFull means that the other side reads too slowly.
+// errLinkFull means that the queue of a link is full, since the other host reads too slowly.
 var errLinkFull = errors.New("the link is full")
 
-// linkWriter sends messages on a stream from a goroutine of its own, so that nobody waits
-// for a host that doesn't read. Use newLinkWriter.
+// linkWriter queues messages and sends them on a drpc stream from its own goroutine, so that senders do not wait for a host
+// that doesn't read. Its methods may be called from several goroutines. Use newLinkWriter.
 type linkWriter struct {
 	stream drpc.Stream
 	queue  chan drpc.Message
 	once   sync.Once
-	// ended is closed when the stream failed or close was called.
-	ended chan struct{}
+	// closed is closed when sending fails or close is called.
+	closed chan struct{}
 }
 
-// newLinkWriter returns a writer on the stream. When writing fails it calls broken.
-func newLinkWriter(stream drpc.Stream, broken func()) *linkWriter {
-	w := &linkWriter{stream: stream, queue: make(chan drpc.Message, linkQueue), ended: make(chan struct{})}
-	go w.run(broken)
+// newLinkWriter returns a writer on the stream. It calls onError when sending fails.
+func newLinkWriter(stream drpc.Stream, onError func()) *linkWriter {
+	w := &linkWriter{stream: stream, queue: make(chan drpc.Message, linkQueueSize), closed: make(chan struct{})}
+	go w.run(onError)
 	return w
 }
 
-func (w *linkWriter) run(broken func()) {
+func (w *linkWriter) run(onError func()) {
 	for {
 		select {
 		case m := <-w.queue:
 			if err := w.stream.MsgSend(m, encoding{}); err != nil {
 				w.close()
-				broken()
+				onError()
 				return
 			}
-		case <-w.ended:
+		case <-w.closed:
 			return
 		}
 	}
 }
 
-// send queues a message. It never waits.
+// send queues a message. It never blocks. The error is errLinkFull if the queue is full.
 func (w *linkWriter) send(m drpc.Message) error {
 	select {
-	case <-w.ended:
+	case <-w.closed:
 		return errors.New("the link has ended")
 	default:
 	}
@@ -61,4 +61,5 @@
 	}
 }
 
-func (w *linkWriter) close() { w.once.Do(func() { close(w.ended) }) }
+// close stops sending. Queued messages are lost.
+func (w *linkWriter) close() { w.once.Do(func() { close(w.closed) }) }
--- a/io/peer/link_messages.go
+++ b/io/peer/link_messages.go
@@ -1,16 +1,18 @@
 package peer
 
-// linkRequest is a request on a lane of a link, the end of the lane, or a question what
-// became of a request.
+// linkRequest is a message to the host that serves a link. It holds one of the fields below lane, and a forwarded request if
+// none of them is set.
 type linkRequest struct {
-	lane   uint64
-	closes bool
-	recall *recallRequest
-	lease  *leaseRequest
-	ends   *endLeaseRequest
-	quota  *quotaRequest
-	tell   *tellRequest
-	laneRequest
+	// lane identifies the stream within the link.
+	lane uint64
+	// closes is true if the stream is closed.
+	closes      bool
+	recall      *recallRequest
+	lease       *leaseRequest
+	revokeLease *revokeLeaseRequest
+	quota       *quotaRequest
+	tell        *tellRequest
+	peerRequestMessage
 }
 
 func (m *linkRequest) fields(w *fieldWriter) {
@@ -22,14 +24,14 @@
 		w.message("recall", m.recall)
 	case m.lease != nil:
 		w.message("lease", m.lease)
-	case m.ends != nil:
-		w.message("end_lease", m.ends)
+	case m.revokeLease != nil:
+		w.message("end_lease", m.revokeLease)
 	case m.quota != nil:
 		w.message("quota", m.quota)
 	case m.tell != nil:
 		w.message("tell", m.tell)
 	default:
-		m.laneRequest.fields(w)
+		m.peerRequestMessage.fields(w)
 	}
 }
 
@@ -48,8 +50,8 @@
 		r.message(m.lease)
 		return true
 	case "end_lease":
-		m.ends = &endLeaseRequest{}
-		r.message(m.ends)
+		m.revokeLease = &revokeLeaseRequest{}
+		r.message(m.revokeLease)
 		return true
 	case "quota":
 		m.quota = &quotaRequest{}
@@ -60,19 +62,21 @@
 		r.message(m.tell)
 		return true
 	}
-	return m.laneRequest.field(name, r)
+	return m.peerRequestMessage.field(name, r)
 }
 
-// linkReply answers a linkRequest.
+// linkReply answers a linkRequest. It holds one of the fields below lane, and the reply to a forwarded request if none of them
+// is set.
 type linkReply struct {
+	// lane identifies the stream that the request came on.
 	lane     uint64
 	recalled *recallReply
 	lease    *leaseReply
-	// ended is true once a lease was given back.
-	ended bool
-	quota *quotaReply
-	told  *tellReply
-	laneReply
+	// leaseRevoked is true if the host has given up a lease.
+	leaseRevoked bool
+	quota        *quotaReply
+	told         *tellReply
+	peerReplyMessage
 }
 
 func (m *linkReply) fields(w *fieldWriter) {
@@ -82,14 +86,14 @@
 		w.message("recalled", m.recalled)
 	case m.lease != nil:
 		w.message("lease", m.lease)
-	case m.ended:
+	case m.leaseRevoked:
 		w.bool("ended", true)
 	case m.quota != nil:
 		w.message("quota", m.quota)
 	case m.told != nil:
 		w.message("told", m.told)
 	default:
-		m.laneReply.fields(w)
+		m.peerReplyMessage.fields(w)
 	}
 }
 
@@ -106,7 +110,7 @@
 		r.message(m.lease)
 		return true
 	case "ended":
-		return r.bool(&m.ended)
+		return r.bool(&m.leaseRevoked)
 	case "quota":
 		m.quota = &quotaReply{}
 		r.message(m.quota)
@@ -116,5 +120,5 @@
 		r.message(m.told)
 		return true
 	}
-	return m.laneReply.field(name, r)
+	return m.peerReplyMessage.field(name, r)
 }
--- a/io/peer/link_server.go
+++ b/io/peer/link_server.go
@@ -12,31 +12,31 @@
 	"pearlatch/internal/quotas"
 )
 
-// servedLink answers the requests that come on one link.
+// servedLink serves the requests that another host sends on one link.
 type servedLink struct {
 	host   *gateway.Host
 	writer *linkWriter
 
-	mu    sync.Mutex
-	lanes map[uint64]*servedLane
+	mu      sync.Mutex
+	streams map[uint64]*servedStream
 }
 
-// servedLane is a lane with a request under way or a transaction open.
-type servedLane struct {
-	guest *gateway.ForwardedSession
-	// running is true while a request is under way, and closed once the other side has
-	// given the lane up.
+// servedStream is a stream with a running request or an open transaction.
+type servedStream struct {
+	session *gateway.ForwardedSession
+	// running is true while a request runs. closed is true once the stream is closed; a request that is still running is
+	// finished first.
 	running, closed bool
-	// rest ends a transaction that rests for too long.
-	rest *time.Timer
+	// idleTimer rolls back a transaction on which no request arrives for too long.
+	idleTimer *time.Timer
 }
 
-// serveLink serves a link until it ends. What was begun on it is ended too, also when the
-// other host goes: it may ask for the outcome.
+// serveLink serves a link until it fails. It then closes all streams and rolls back their transactions, also if the other host
+// has failed. Requests that are still running are finished, since the other host may query their outcome.
 func serveLink(stream drpc.Stream, h *gateway.Host) error {
-	l := &servedLink{host: h, lanes: map[uint64]*servedLane{}}
+	l := &servedLink{host: h, streams: map[uint64]*servedStream{}}
 	l.writer = newLinkWriter(stream, func() { _ = stream.Close() })
-	defer l.end()
+	defer l.closeAll()
 	for {
 		in := new(linkRequest)
 		if err := stream.MsgRecv(in, encoding{}); err != nil {
@@ -44,54 +44,54 @@
 		}
 		switch {
 		case in.closes:
-			l.close(in.lane)
+			l.closeStream(in.lane)
 		case in.recall != nil:
-			l.send(&linkReply{lane: in.lane, recalled: answerRecall(h, in.recall)})
+			l.send(&linkReply{lane: in.lane, recalled: outcomeReply(h, in.recall)})
 		case in.lease != nil:
 			granted := h.GrantLease(gateway.LeaseRequest(*in.lease))
 			l.send(&linkReply{lane: in.lane, lease: (*leaseReply)(&granted)})
-		case in.ends != nil:
-			h.RevokeLease(in.ends.group, in.ends.member, in.ends.planned)
-			l.send(&linkReply{lane: in.lane, ended: true})
+		case in.revokeLease != nil:
+			h.RevokeLease(in.revokeLease.group, in.revokeLease.member, in.revokeLease.planned)
+			l.send(&linkReply{lane: in.lane, leaseRevoked: true})
 		case in.quota != nil:
 			reply := h.Quotas().HandleRequest(quotas.Request(*in.quota))
 			l.send(&linkReply{lane: in.lane, quota: (*quotaReply)(&reply)})
 		case in.tell != nil:
 			reply := h.Quotas().HandleReportRequest(quotas.ReportRequest(*in.tell))
 			l.send(&linkReply{lane: in.lane, told: (*tellReply)(&reply)})
-		case in.version != laneVersion:
+		case in.version != peerRequestVersion:
 			return errors.Errorf("a request of version %d", in.version)
 		default:
-			l.take(in)
+			l.start(in)
 		}
 	}
 }
 
-// take starts a request on its lane.
-func (l *servedLink) take(in *linkRequest) {
+// start starts a request on its stream, unless the session declines it.
+func (l *servedLink) start(in *linkRequest) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	k := l.lanes[in.lane]
-	if k == nil {
-		k = &servedLane{guest: l.host.NewForwardedSession()}
-		l.lanes[in.lane] = k
+	s := l.streams[in.lane]
+	if s == nil {
+		s = &servedStream{session: l.host.NewForwardedSession()}
+		l.streams[in.lane] = s
 	}
-	if k.rest != nil {
-		k.rest.Stop()
+	if s.idleTimer != nil {
+		s.idleTimer.Stop()
 	}
-	if k.running {
-		return // a lane carries one request at a time: its answer is still to come
+	if s.running {
+		return // a stream carries one request at a time, and the running one is still to be answered
 	}
-	if declined := k.guest.Accept(&in.PeerRequest); declined != nil {
-		l.closeLane(in.lane, k)
-		l.send(&linkReply{lane: in.lane, laneReply: laneReply(*declined)})
+	if declined := s.session.Accept(&in.PeerRequest); declined != nil {
+		l.closeStreamLocked(in.lane, s)
+		l.send(&linkReply{lane: in.lane, peerReplyMessage: peerReplyMessage(*declined)})
 		return
 	}
-	k.running = true
-	go l.run(in, k)
+	s.running = true
+	go l.run(in, s)
 }
 
-// send queues an answer, and ends a link that doesn't take it.
+// send queues a reply. It closes the link if the queue is full.
 func (l *servedLink) send(m *linkReply) {
 	if err := l.writer.send(m); errors.Is(err, errLinkFull) {
 		l.writer.close()
@@ -99,64 +99,65 @@
 	}
 }
 
-func (l *servedLink) run(in *linkRequest, k *servedLane) {
-	reply := k.guest.Run(context.Background(), &in.PeerRequest)
+// run runs a request, sends the reply, and forgets a stream without an open transaction.
+func (l *servedLink) run(in *linkRequest, s *servedStream) {
+	reply := s.session.Run(context.Background(), &in.PeerRequest)
 	l.mu.Lock()
-	k.running = false
-	open := k.guest.HasOpenTransaction()
+	s.running = false
+	open := s.session.HasOpenTransaction()
 	switch {
-	case k.closed:
-		go k.guest.Close()
+	case s.closed:
+		go s.session.Close()
 	case open:
-		k.rest = time.AfterFunc(k.guest.IdleTimeout(), func() { l.expire(in.lane, k) })
+		s.idleTimer = time.AfterFunc(s.session.IdleTimeout(), func() { l.expire(in.lane, s) })
 	default:
-		delete(l.lanes, in.lane)
+		delete(l.streams, in.lane)
 	}
 	l.mu.Unlock()
-	l.send(&linkReply{lane: in.lane, laneReply: laneReply(*reply)})
+	l.send(&linkReply{lane: in.lane, peerReplyMessage: peerReplyMessage(*reply)})
 }
 
-// expire rolls back a transaction that rested for too long.
-func (l *servedLink) expire(id uint64, k *servedLane) {
+// expire rolls back a transaction on which no request has arrived for too long.
+func (l *servedLink) expire(id uint64, s *servedStream) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if k.running || k.closed {
+	if s.running || s.closed {
 		return
 	}
-	k.closed = true
-	delete(l.lanes, id)
-	go k.guest.Expire()
+	s.closed = true
+	delete(l.streams, id)
+	go s.session.Expire()
 }
 
-// close ends a lane that the other side has given up.
-func (l *servedLink) close(id uint64) {
+// closeStream closes a stream that the other host has closed.
+func (l *servedLink) closeStream(id uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	k := l.lanes[id]
-	if k == nil {
+	s := l.streams[id]
+	if s == nil {
 		return
 	}
-	l.closeLane(id, k)
+	l.closeStreamLocked(id, s)
 }
 
-// closeLane ends a lane, or marks it while a request is under way. l.mu is held.
-func (l *servedLink) closeLane(id uint64, k *servedLane) {
-	k.closed = true
-	delete(l.lanes, id)
-	if k.rest != nil {
-		k.rest.Stop()
+// closeStreamLocked closes a stream. If a request is running, run closes the session afterwards. l.mu must be held.
+func (l *servedLink) closeStreamLocked(id uint64, s *servedStream) {
+	s.closed = true
+	delete(l.streams, id)
+	if s.idleTimer != nil {
+		s.idleTimer.Stop()
 	}
-	if !k.running {
-		go k.guest.Close()
+	if !s.running {
+		go s.session.Close()
 	}
 }
 
-// end ends all lanes.
-func (l *servedLink) end() {
+// closeAll closes the writer and all streams.
+func (l *servedLink) closeAll() {
 	l.writer.close()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for id, k := range l.lanes {
-		l.closeLane(id, k)
+	for id, s := range l.streams {
+		l.closeStreamLocked(id, s)
 	}
 }
--- a/io/peer/news_messages.go
+++ b/io/peer/news_messages.go
@@ -7,24 +7,24 @@
 	"pearlatch/internal/follow"
 )
 
-// feedRequest asks for a feed.
+// feedRequest asks for the store's updates after a revision.
 type feedRequest struct {
 	after kv.Revision
-	// packs is true if the asker reads lists that are compressed as a whole.
-	packs bool
+	// readsCompressedLists is true if the sender can read an item list that is compressed as a whole.
+	readsCompressedLists bool
 }
 
 func (m *feedRequest) fields(w *fieldWriter) {
 	w.uint("after", uint64(m.after))
-	w.bool("packs", m.packs)
+	w.bool("packs", m.readsCompressedLists)
 }
 
 func (m *feedRequest) field(name string, r *fieldReader) bool {
 	switch name {
 	case "after":
-		return readNumber(r, &m.after)
+		return readUint(r, &m.after)
 	case "packs":
-		return r.bool(&m.packs)
+		return r.bool(&m.readsCompressedLists)
 	}
 	return false
 }
@@ -32,9 +32,10 @@
 // newsMessage is follow.News on the wire.
 type newsMessage struct {
 	follow.StoreUpdate
-	// packer compresses large values, and if packs is true whole lists.
-	packer *packer
-	packs  bool
+	compressor *compressor
+	// compressList is true if the items of a full update are compressed as a whole. Otherwise, and in other updates, each
+	// large value is compressed.
+	compressList bool
 }
 
 func (m *newsMessage) fields(w *fieldWriter) {
@@ -46,17 +47,17 @@
 		elsewhere[i] = addrMessage{a}
 	}
 	writeList(w, "elsewhere", elsewhere)
-	if m.packs && m.Full {
-		packed, err := m.packer.packList(m.Snapshot)
-		w.keep(err)
-		w.bytes("packed_items", packed)
+	if m.compressList && m.Full {
+		compressed, err := m.compressor.compressSnapshot(m.Snapshot)
+		w.setErr(err)
+		w.bytes("packed_items", compressed)
 		return
 	}
 	items := make([]itemMessage, len(m.Items))
 	for i, each := range m.Items {
-		packed, err := m.packer.pack(each)
-		w.keep(err)
-		items[i] = itemMessage{each, packed}
+		compressed, err := m.compressor.compress(each)
+		w.setErr(err)
+		items[i] = itemMessage{each, compressed}
 	}
 	writeList(w, "items", items)
 }
@@ -64,7 +65,7 @@
 func (m *newsMessage) field(name string, r *fieldReader) bool {
 	switch name {
 	case "revision":
-		return readNumber(r, &m.Revision)
+		return readUint(r, &m.Revision)
 	case "whole":
 		return r.bool(&m.Full)
 	case "age_us":
@@ -73,10 +74,10 @@
 		m.Items = readItems(r)
 		return true
 	case "packed_items":
-		var packed []byte
-		r.bytes(&packed)
-		items, err := unpackList(packed)
-		r.keep(err)
+		var compressed []byte
+		r.bytes(&compressed)
+		items, err := decompressItems(compressed)
+		r.setErr(err)
 		m.Items = items
 		return true
 	case "elsewhere":
@@ -90,6 +91,7 @@
 	return false
 }
 
+// readItems reads a list of items.
 func readItems(r *fieldReader) []kv.Item {
 	var list []itemMessage
 	readList(r, &list)
@@ -100,7 +102,7 @@
 	return out
 }
 
-// listMessage is a list of keys of the store, to be compressed as a whole.
+// listMessage is a list of items of the store that is encoded by itself, to be compressed as a whole.
 type listMessage struct{ items []kv.Item }
 
 func (m *listMessage) fields(w *fieldWriter) {
@@ -119,7 +121,7 @@
 	return true
 }
 
-// addrMessage is a host's address for other hosts.
+// addrMessage is the address of a host for other hosts, on the wire.
 type addrMessage struct{ netip.AddrPort }
 
 func (m *addrMessage) fields(w *fieldWriter) { w.str("addr", m.String()) }
@@ -128,19 +130,19 @@
 	return name == "addr" && readAddr(r, &m.AddrPort)
 }
 
-// itemMessage is a key of the store on the wire. If packed is not empty it stands for
-// the value.
+// itemMessage is an item of the store on the wire.
 type itemMessage struct {
 	kv.Item
-	packed []byte
+	// compressed is the compressed value. If it is not nil, it is sent in place of the value.
+	compressed []byte
 }
 
 func (m *itemMessage) fields(w *fieldWriter) {
 	w.str("key", m.Key)
-	if m.packed == nil {
+	if m.compressed == nil {
 		w.bytes("value", m.Value)
 	}
-	w.bytes("packed", m.packed)
+	w.bytes("packed", m.compressed)
 	w.uint("revision", uint64(m.Revision))
 	w.uint("created", uint64(m.Created))
 	w.bool("removed", m.Removed)
@@ -153,15 +155,15 @@
 	case "value":
 		return r.bytes(&m.Value)
 	case "packed":
-		r.bytes(&m.packed)
-		value, err := inflate(m.packed)
-		r.keep(err)
+		r.bytes(&m.compressed)
+		value, err := inflate(m.compressed)
+		r.setErr(err)
 		m.Value = value
 		return true
 	case "revision":
-		return readNumber(r, &m.Revision)
+		return readUint(r, &m.Revision)
 	case "created":
-		return readNumber(r, &m.Created)
+		return readUint(r, &m.Created)
 	case "removed":
 		return r.bool(&m.Removed)
 	}
