--- a/io/upstream/admit.go
+++ b/io/upstream/admit.go
@@ -8,7 +8,8 @@
 	"pearlatch/io/postgres"
 )
 
-// unavailableReason says what a request has waited for in vain.
+// unavailableReason describes why a request got no connection before its
+// deadline.
 func (p *pool) unavailableReason(w *connRequest) string {
 	v := p.owner.view()
 	name := p.owner.options.Group.Name
@@ -21,8 +22,9 @@
 	return fmt.Sprintf("group %s had no connection free within the deadline", name)
 }
 
-// admissionRefusal returns a refusal for a request that would certainly wait beyond its
-// deadline, or nil. p.mu is held.
+// admissionRefusal returns a refusal if the pool is closed, if the group has had
+// no confirmed primary for too long, or if the request is not expected to end by
+// its deadline. Otherwise it returns nil. p.mu must be held.
 func (p *pool) admissionRefusal(w *connRequest, deadline time.Time) *statement.Refusal {
 	if p.closed {
 		return handoverRefusal()
@@ -44,23 +46,26 @@
 	return nil
 }
 
-// A request is admitted if its expected end leaves this share of its deadline:
-// the estimate is an average, and a statement that is canceled at its deadline
-// has taken a member's time for nothing.
+// A request is admitted if its expected wait and run time fit into admitNum /
+// admitDen of the time left until its deadline. The rest is a margin: the estimate
+// is an average, and the work that a member does for a statement that is later
+// canceled at its deadline is wasted.
 const (
 	admitNum = 3
 	admitDen = 5
 )
 
-// handoverRefusal is the refusal of a request that another host must take.
+// handoverRefusal returns the refusal of a request that must be sent to another
+// host because this one hands the group over.
 func handoverRefusal() *statement.Refusal {
 	r := statement.NewNotRunRefusal(postgres.CodeCannotConnectNow, "the host hands the group over")
 	r.RetryElsewhere = true
 	return r
 }
 
-// refuseLate refuses waiting requests that could not end in time any more, so that
-// no member's time goes into them. p.mu is held.
+// refuseLate refuses waiting requests whose remaining time is shorter than the
+// mean time that a connection is held, so that no member works on them. p.mu must
+// be held.
 func (p *pool) refuseLate(now time.Time) {
 	if p.owner.options.Unsafe.NoRefusal {
 		return
@@ -76,7 +81,7 @@
 	}
 }
 
-// sharedConns returns how many connections requests of a kind share.
+// sharedConns returns the number of connections that serve requests of the kind.
 func (p *pool) sharedConns(kind statement.Kind) int {
 	if kind == statement.Write {
 		return p.primaryCap
@@ -91,5 +96,5 @@
 	return r
 }
 
-// minRetryAfter is the shortest pause that callers are told to make.
+// minRetryAfter is the shortest retry-after time reported to callers.
 const minRetryAfter = 10 * time.Millisecond
--- a/io/upstream/answer.go
+++ b/io/upstream/answer.go
@@ -13,32 +13,33 @@
 )
 
 const (
-	// flushSize is how much of an answer is collected before it is passed on, in
-	// bytes.
+	// flushSize is how many bytes of an answer are buffered before they are passed
+	// to the sink.
 	flushSize = 16 << 10
-	// maxHeldBytes bounds the part of an answer that waits for the confirmation of a
-	// write, in bytes.
+	// maxHeldBytes is the maximum size of the part of an answer that is held back
+	// until a write is confirmed.
 	maxHeldBytes = 4 << 20
 )
 
-// answer is the state of an answer that is being read.
+// answer is the state of reading the answer to one unit.
 type answer struct {
 	unit         *statement.Unit
 	sink         Sink
 	stage        wrapStage
-	extraReplies int // answers to messages that the caller did not send, still due
-	// heldFrom is the offset in buf from which bytes wait for a confirmation, or -1.
+	extraReplies int // replies still due to messages that the caller did not send
+	// heldFrom is the offset in Exchange.buf from which bytes are held back until
+	// the write is confirmed, or -1.
 	heldFrom   int
 	failed     bool // an ErrorResponse was read
-	repliesDue int  // messages still due, for Counted
+	repliesDue int  // replies still due, for statement.ExpectReplies
 }
 
-// wrapStage says where in the answer to a wrapped read the reader is.
+// wrapStage is the part of a wrapped read whose answer is being read.
 type wrapStage int
 
 // The stages. A read that runs on the primary is wrapped in BEGIN READ ONLY and
-// COMMIT, so that a SELECT whose function writes is refused as on a replica,
-// and runs anew as a write.
+// COMMIT, so that a SELECT that calls a writing function is refused as on a
+// replica, and is run again as a write.
 const (
 	stageUnwrapped wrapStage = iota
 	stageBegin               // the answer to BEGIN READ ONLY is due
@@ -56,12 +57,15 @@
 	return postgres.EndFrame(append(postgres.BeginFrame(nil, postgres.TypeQuery), sql+"\x00"...), 0)
 }
 
-// needsReadOnlyTx reports whether the unit must be wrapped.
+// needsReadOnlyTx reports whether the unit must be wrapped in a read-only
+// transaction.
 func (x *Exchange) needsReadOnlyTx(u *statement.Unit) bool {
 	return !x.replica && !x.open && u.Kind == statement.Read && !u.ControlsTransaction && u.Expect == statement.ExpectReady
 }
 
-// run sends a unit and reads its answer.
+// run sends a unit on the exchange's connection and passes its answer to sink. The
+// error wraps errConnFailed if the connection failed, and errReadOnly if the unit
+// was refused because it writes.
 func (x *Exchange) run(ctx context.Context, u *statement.Unit, sink Sink) (statement.Outcome, error) {
 	stop := x.enforceDeadline(ctx, u)
 	defer stop()
@@ -96,8 +100,8 @@
 	return out, x.flush(a, len(x.buf))
 }
 
-// enforceDeadline makes the connection fail when the caller goes away or its deadline
-// passes. It returns a function that ends this.
+// enforceDeadline makes I/O on the connection fail when ctx ends, and cancels the
+// statement when the unit's deadline passes. The returned function stops both.
 func (x *Exchange) enforceDeadline(ctx context.Context, u *statement.Unit) func() {
 	c := x.conn
 	stop := context.AfterFunc(ctx, func() { _ = c.net.SetDeadline(time.Unix(1, 0)) })
@@ -105,14 +109,15 @@
 	return func() {
 		timeout.Stop()
 		if !stop() {
-			// The connection's deadline has passed, and would meet its next user.
+			// The connection now has a deadline in the past, which would fail the
+			// next exchange that uses it.
 			x.owner.pool.markUnusable(c)
 		}
 	}
 }
 
-// cancelAtDeadline cancels a statement whose caller's deadline has passed. Cancel dooms
-// the connection, so that its deadline meets nobody else.
+// cancelAtDeadline cancels a statement whose deadline has passed. Cancel marks the
+// connection unusable, so that the deadline set here affects no other exchange.
 func (x *Exchange) cancelAtDeadline(c *conn) {
 	_ = c.net.SetDeadline(time.Now().Add(deadlineCloseDelay))
 	ctx, cancel := context.WithTimeout(context.Background(), deadlineCloseDelay)
@@ -120,11 +125,13 @@
 	_ = x.Cancel(ctx)
 }
 
-// deadlineCloseDelay is how long after a caller's deadline its connection is closed.
-// The statement is canceled at the deadline, which usually ends it in order.
+// deadlineCloseDelay is the time between a statement's deadline and the I/O
+// deadline of its connection. The statement is canceled at its deadline, and
+// usually ends in order before the connection fails.
 const deadlineCloseDelay = 500 * time.Millisecond
 
-// readAnswer reads messages until the unit's answer is complete.
+// readAnswer reads messages until the unit's answer is complete, and passes on
+// what need not be held back.
 func (x *Exchange) readAnswer(ctx context.Context, a *answer) (statement.Outcome, error) {
 	for {
 		start := len(x.buf)
@@ -161,8 +168,8 @@
 	}
 }
 
-// dropWrapperMessage drops the messages of a wrapped read's own transaction, and reports
-// whether it dropped this one.
+// dropWrapperMessage drops the message if it belongs to the BEGIN or COMMIT around
+// a wrapped read, and reports whether it did.
 func (x *Exchange) dropWrapperMessage(a *answer, f postgres.Frame, start int) bool {
 	ready := f.Type() == postgres.TypeReadyForQuery
 	switch {
@@ -180,8 +187,9 @@
 	return true
 }
 
-// dropExtraReply drops the answers to messages that the caller did not send. They come
-// first; an error among them stands for the whole unit.
+// dropExtraReply drops the message if it replies to a Parse or Close that the
+// caller did not send, and reports whether it did. These replies come first. An
+// error among them is passed on as the error of the whole unit.
 func (x *Exchange) dropExtraReply(a *answer, f postgres.Frame, start int) bool {
 	if a.extraReplies == 0 || f.Type() != postgres.TypeParseComplete && f.Type() != postgres.TypeCloseComplete {
 		return false
@@ -191,8 +199,9 @@
 	return true
 }
 
-// isRefusedWrite reports whether a replica, or the transaction around a wrapped
-// read, refused the first unit of an exchange because it writes.
+// isRefusedWrite reports whether the ErrorResponse f shows that a replica or a
+// read-only transaction refused the unit because it writes. It returns false once a
+// part of the answer was passed on.
 func (x *Exchange) isRefusedWrite(a *answer, f postgres.Frame) bool {
 	if !x.replica && a.stage != stageUnit || x.delivered {
 		return false
@@ -201,8 +210,9 @@
 	return e.Decode(f.Body()) == nil && e.Code == postgres.CodeReadOnly
 }
 
-// drainRefusal reads to the end of a refused unit, so that the connection can be
-// used again.
+// drainRefusal reads the rest of the answer to a refused unit, so that the
+// connection can be used again. It returns errReadOnly, or another error if the
+// connection cannot be used again.
 func (x *Exchange) drainRefusal(a *answer) error {
 	status, err := x.conn.skipToReady()
 	if a.stage == stageUnit && err == nil {
@@ -215,8 +225,8 @@
 	return errReadOnly
 }
 
-// countReply counts an answer to a message before Flush and reports whether it was
-// the last one due.
+// countReply counts a reply to a message sent before Flush and reports whether it
+// was the last one due. An error ends the replies.
 func (a *answer) countReply(f postgres.Frame) bool {
 	switch f.Type() {
 	case postgres.TypeErrorResponse:
@@ -229,7 +239,8 @@
 	return a.repliesDue <= 0
 }
 
-// flushChunk passes a full chunk on, up to where bytes are held.
+// flushChunk passes buffered bytes to the sink if there are at least flushSize that
+// need not be held back. It fails if the held part exceeds maxHeldBytes.
 func (x *Exchange) flushChunk(a *answer) error {
 	end := len(x.buf)
 	if a.heldFrom >= 0 {
@@ -244,7 +255,7 @@
 	return x.flush(a, end)
 }
 
-// flush passes the first end bytes on.
+// flush passes the first end bytes of the buffer to the sink.
 func (x *Exchange) flush(a *answer, end int) error {
 	if end == 0 {
 		return nil
@@ -264,8 +275,9 @@
 	return nil
 }
 
-// awaitReadLease waits until the owner's lease covers an answer of a replica whose
-// session may have written through another owner.
+// awaitReadLease waits, before the first bytes of a replica's answer are passed on,
+// until the owner's read lease is valid. Sessions that never wrote need no lease:
+// the lease guards against writes acknowledged by another owner.
 func (x *Exchange) awaitReadLease(a *answer) error {
 	if !x.replica || x.delivered || x.request.NeverWrote {
 		return nil
@@ -275,8 +287,8 @@
 	return x.owner.awaitLease(ctx)
 }
 
-// handleReady ends a unit at ReadyForQuery. What a transaction on the primary did or
-// saw is confirmed before its end is passed on.
+// handleReady returns the outcome of a unit at ReadyForQuery. When a transaction on
+// the primary has ended, everything that it wrote or read is confirmed first.
 func (x *Exchange) handleReady(ctx context.Context, a *answer, status byte) (statement.Outcome, error) {
 	out := statement.Outcome{Status: status}
 	if x.replica || status != postgres.StatusIdle {
@@ -293,6 +305,9 @@
 	return out, err
 }
 
+// confirm waits until a majority of the members holds what the primary has written
+// so far. While the group is handed over, the next owner confirms instead, and the
+// returned position is zero.
 func (x *Exchange) confirm(ctx context.Context, deadline time.Time) (group.Position, error) {
 	ctx, cancel := context.WithDeadline(ctx, deadline)
 	defer cancel()
@@ -311,8 +326,8 @@
 	return p, err
 }
 
-// confirmBySuccessor has the next owner confirm: this one has given the owner lock away,
-// and only the holder's word shows that no other primary reigns.
+// confirmBySuccessor asks the next owner to confirm. This owner has released the
+// owner lock, and only its holder knows that no other primary was promoted.
 func (x *Exchange) confirmBySuccessor(ctx context.Context) error {
 	if x.owner.options.Successor == nil {
 		return errUnconfirmed
--- a/io/upstream/baseline.go
+++ b/io/upstream/baseline.go
@@ -7,12 +7,12 @@
 	"pearlatch/core/statement"
 )
 
-// fixedPrimary is the baseline that marks are measured against: see
-// Unsafe.FixedPrimary. The zero value is ready for use.
+// fixedPrimary implements Unsafe.FixedPrimary, the baseline that session marks are
+// measured against. The zero value is ready for use. It is safe for concurrent use.
 type fixedPrimary struct {
 	mu sync.Mutex
-	// since holds when a session last wrote by way of a host, or first came by
-	// it.
+	// since holds when a session last wrote through a host, or first connected
+	// through it.
 	since map[sessionOnHost]time.Time
 }
 
@@ -21,7 +21,10 @@
 	session string
 }
 
-// routesToPrimary reports whether the rule sends the unit to the primary.
+// routesToPrimary reports whether a unit of the kind must run on the primary, and
+// records a write. A session's reads run there for the duration fixed after its
+// last write through the host, or after its first use of the host. If fixed is not
+// positive, the rule is off.
 func (f *fixedPrimary) routesToPrimary(fixed time.Duration, r *statement.Request, kind statement.Kind) bool {
 	if fixed <= 0 {
 		return false
--- a/io/upstream/bind.go
+++ b/io/upstream/bind.go
@@ -8,9 +8,11 @@
 	"pearlatch/core/statement"
 )
 
-// probeWhileStale has the members asked again and again while a read waits that no replica
-// was fresh enough for, until the returned function is called. Reads that wait
-// for a connection learn nothing from that.
+// probeWhileStale makes the members be probed repeatedly while the read w waits
+// for a replica to become fresh enough, until the returned function is called. If a
+// replica is fresh enough, the read waits for a connection only, and no probes are
+// made. If no replica is expected to be fresh enough before w.primaryAt, the read
+// may use the primary at once.
 func (p *pool) probeWhileStale(w *connRequest) (done func()) {
 	v, now := p.owner.view(), time.Now()
 	for i := range v.members {
@@ -19,7 +21,6 @@
 		}
 	}
 	if wait, ok := p.owner.replicaWait(w.requirement, now); !ok || wait > w.primaryAt.Sub(now) {
-		// Patience would end in vain.
 		p.mu.Lock()
 		w.primaryAt = now
 		p.mu.Unlock()
@@ -31,31 +32,33 @@
 	return func() { p.addStaleReads(-1) }
 }
 
-func (p *pool) addStaleReads(stale int) {
+// addStaleReads adds n to the number of reads that wait for a fresh replica.
+func (p *pool) addStaleReads(n int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.staleReads += stale
+	p.staleReads += n
 }
 
-// bindEarly chooses the member of a read on its arrival, for early bindings. bound
-// counts the requests of each member.
+// bindEarly sets w.member for the bindings EarlyTwo and EarlyLeast: the replica
+// with the fewest bound reads, out of two random ones or out of all that can serve
+// w. p.mu must be held.
 func (p *pool) bindEarly(w *connRequest) {
 	w.member = group.NoMember
 	if p.owner.options.Binding == Late || w.kind != statement.Read {
 		return
 	}
 	v, now := p.owner.view(), time.Now()
-	var fit []int
+	var candidates []int
 	for i := range v.members {
 		if v.canServe(i, w.requirement, now) {
-			fit = append(fit, i)
+			candidates = append(candidates, i)
 		}
 	}
-	if p.owner.options.Binding == EarlyTwo && len(fit) > 2 {
-		rand.Shuffle(len(fit), func(i, j int) { fit[i], fit[j] = fit[j], fit[i] })
-		fit = fit[:2]
+	if p.owner.options.Binding == EarlyTwo && len(candidates) > 2 {
+		rand.Shuffle(len(candidates), func(i, j int) { candidates[i], candidates[j] = candidates[j], candidates[i] })
+		candidates = candidates[:2]
 	}
-	for _, i := range fit {
+	for _, i := range candidates {
 		if w.member == group.NoMember || p.members[i].boundReads < p.members[w.member].boundReads {
 			w.member = i
 		}
@@ -65,7 +68,8 @@
 	}
 }
 
-// acquireDirect returns a free connection for w if nothing waits before it.
+// acquireDirect returns an idle connection for w, or nil if there is none or if
+// other requests are queued. p.mu must be held.
 func (p *pool) acquireDirect(w *connRequest) *conn {
 	if p.closed || p.queue.Len() > 0 {
 		return nil
@@ -78,8 +82,8 @@
 	return c
 }
 
-// findConn takes an idle connection that may serve w. Without one it opens a
-// connection if there is room, and returns nil.
+// findConn takes an idle connection that can serve w. If there is none, it begins
+// to open one within the limits and returns nil. p.mu must be held.
 func (p *pool) findConn(v *view, w *connRequest, now time.Time) *conn {
 	if w.kind == statement.Write {
 		if !v.canConfirmWrites(now, p.owner.confirmationTTL()) {
@@ -96,11 +100,11 @@
 	return nil
 }
 
-// findReplicaConn takes a connection to the least busy replica that serves w and has
-// one free. Only when none has is a connection opened: that takes longer than
-// most reads.
+// findReplicaConn takes a connection to the least busy replica that can serve w and
+// has an idle connection. If none has one, it begins to open a connection and
+// returns nil. Opening one takes longer than most reads.
 func (p *pool) findReplicaConn(v *view, w *connRequest, now time.Time) *conn {
-	best, spare := group.NoMember, group.NoMember
+	best, openable := group.NoMember, group.NoMember
 	for i := range v.members {
 		if !v.canServe(i, w.requirement, now) || w.member != group.NoMember && w.member != i {
 			continue
@@ -108,11 +112,11 @@
 		if len(p.members[i].idle) > 0 {
 			best = p.lessBusy(best, i)
 		} else if p.members[i].open() < p.replicaCap {
-			spare = p.lessBusy(spare, i)
+			openable = p.lessBusy(openable, i)
 		}
 	}
 	if best == group.NoMember {
-		best = spare
+		best = openable
 	}
 	if best == group.NoMember {
 		return nil
@@ -120,7 +124,8 @@
 	return p.idleConn(best, p.replicaCap, now)
 }
 
-// lessBusy returns the less busy of two members, the first of which may be none.
+// lessBusy returns the member with fewer connections in use. a may be
+// group.NoMember.
 func (p *pool) lessBusy(a, b int) int {
 	if a == group.NoMember || len(p.members[b].busy) < len(p.members[a].busy) {
 		return b
@@ -128,7 +133,8 @@
 	return a
 }
 
-// idleConn takes an idle connection to member i, or begins to open one.
+// idleConn takes an idle connection to member i. If there is none that is alive, it
+// begins to open one, up to limit, and returns nil. p.mu must be held.
 func (p *pool) idleConn(i, limit int, now time.Time) *conn {
 	m := &p.members[i]
 	for len(m.idle) > 0 {
--- a/io/upstream/confirm.go
+++ b/io/upstream/confirm.go
@@ -9,21 +9,25 @@
 	"pearlatch/core/group"
 )
 
-// errUnconfirmed means that the write may or may not survive.
+// errUnconfirmed means that it is unknown whether a write survives a failover.
 var errUnconfirmed = errors.New("the outcome could not be confirmed")
 
-// confirmWaiter waits until what the primary held after since is confirmed.
+// confirmWaiter waits until everything that the primary had written by the time
+// since is confirmed.
 type confirmWaiter struct {
 	term  group.Term
 	since time.Time
-	// target is an upper bound of the write's end: the primary's position asked
-	// for at or after since. Zero until there is one.
+	// target is an upper bound of the end of the write: the primary's position in
+	// a sample requested at or after since. It is zero until there is such a
+	// sample.
 	target group.LSN
-	done   chan error // buffered, gets one value
+	done   chan error // buffered, receives one value
 }
 
-// confirm waits until a majority holds everything that the primary of term had
-// written by now, and returns a position that includes it.
+// confirm waits until a majority of the members holds everything that the primary
+// of the term had written at the time of the call, and returns a position that
+// includes it. It returns errUnconfirmed if that does not happen before ctx ends.
+// The position may be set even then.
 func (o *Owner) confirm(ctx context.Context, term group.Term) (group.Position, error) {
 	w := &confirmWaiter{term: term, since: time.Now(), done: make(chan error, 1)}
 	o.mu.Lock()
@@ -43,8 +47,9 @@
 	return p, err
 }
 
-// resolveWaiters answers the waiters that the samples allow to be answered. o.mu is
-// held and l's control connection is that of the primary's sample.
+// resolveWaiters ends the waiters whose outcome follows from the samples, and has
+// the members probed if others remain. o.mu must be held, and the primary's sample
+// must come from l's control connection.
 func (o *Owner) resolveWaiters(l *leadership) {
 	if len(o.waiters) == 0 {
 		return
@@ -71,6 +76,8 @@
 	}
 }
 
+// isConfirmed reports whether a majority holds w's target and the lease of an
+// earlier owner has ended. o.mu must be held.
 func (o *Owner) isConfirmed(w *confirmWaiter, l *leadership) bool {
 	if w.target == 0 || time.Now().Before(l.ackAfter) {
 		return false
@@ -79,10 +86,11 @@
 	return ok && c.LSN >= w.target
 }
 
-// resolveEndedTerm decides a waiter whose term has ended. The promoted member's log tells
-// whether the write survived: it does if its upper bound is included, and then
-// the waiter goes on until the new term's first record is confirmed. If not, the
-// write itself may still lie below, so the outcome stays unknown.
+// resolveEndedTerm handles a waiter whose term has ended. If the log of the
+// promoted member includes the waiter's target, the write survived, and the waiter
+// continues until the new term's first record is confirmed. Otherwise the write
+// itself may still end below that point, so its outcome is unknown. o.mu must be
+// held.
 func (o *Owner) resolveEndedTerm(w *confirmWaiter, l *leadership) {
 	if w.target == 0 || w.term != o.lastTerm || w.target > o.lastEnd {
 		o.finishWaiter(w, errUnconfirmed)
@@ -91,11 +99,13 @@
 	w.term, w.target, w.since = l.term, l.floor.LSN, time.Now()
 }
 
+// finishWaiter removes a waiter and passes it err. o.mu must be held.
 func (o *Owner) finishWaiter(w *confirmWaiter, err error) {
 	delete(o.waiters, w)
 	w.done <- err
 }
 
+// failWaiters ends all waiters with errUnconfirmed.
 func (o *Owner) failWaiters() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -104,7 +114,8 @@
 	}
 }
 
-// awaitLease waits until the owner's lease covers the present moment.
+// awaitLease waits until the owner holds a valid lease. It returns errUnconfirmed
+// if ctx ends or the owner stops first.
 func (o *Owner) awaitLease(ctx context.Context) error {
 	for {
 		v := o.view()
@@ -126,5 +137,5 @@
 	}
 }
 
-// leasePollInterval is how often awaitLease looks again.
+// leasePollInterval is the interval at which awaitLease checks the lease.
 const leasePollInterval = time.Millisecond
--- a/io/upstream/conn.go
+++ b/io/upstream/conn.go
@@ -19,11 +19,13 @@
 const (
 	// readBuffer is the size of a connection's read buffer, in bytes.
 	readBuffer = 16 << 10
-	// maxPrepared is how many named statements a connection keeps.
+	// maxPrepared is the maximum number of named prepared statements on a
+	// connection.
 	maxPrepared = 256
 )
 
-// conn is a pooled connection to a member.
+// conn is a pooled connection to a member. An exchange that has acquired it uses it
+// from one goroutine.
 type conn struct {
 	net    net.Conn
 	r      *bufio.Reader
@@ -31,31 +33,32 @@
 	pid    uint32
 	secret []byte
 
-	// prepared holds the named statements of the connection; order lists them
-	// oldest first.
+	// prepared holds the names of the statements prepared on the connection;
+	// preparedOrder lists them, oldest first.
 	prepared      map[string]bool
 	preparedOrder []string
-	out           []byte // reused for what is sent
+	out           []byte // send buffer, reused
 
-	acquiredAt time.Time // when the present exchange took it
-	// term and replica are what the member was when the exchange took the
-	// connection. A promotion may follow at once: a write on what was the primary
-	// then must not pass for a read of a replica, which needs no confirmation.
+	acquiredAt time.Time // when the current exchange acquired it
+	// term and replica describe the member at the time when the exchange acquired
+	// the connection. A promotion may follow at once, and a write on the former
+	// primary must then not be taken for a read on a replica, which needs no
+	// confirmation.
 	term    group.Term
 	replica bool
-	// unusable is set, under the pool's lock, when the connection must not be
-	// used again. Its exchange closes it.
+	// unusable is set when the connection must not be used again. Its exchange
+	// closes it. Guarded by pool.mu.
 	unusable bool
-	// dirty is set when session state must be reset before the next exchange.
+	// dirty is set when the session state must be reset before the next exchange.
 	dirty bool
 }
 
-// newConn takes a connection over from the driver.
+// newConn takes over a connection from the driver, and closes it on failure.
 func newConn(ctx context.Context, pg *pgconn.PgConn, member int) (*conn, error) {
-	// After a slow write the driver may still read in the background: it would swallow the first answer, and a
-	// look at the connection would wait for it for ever.
+	// After a slow write the driver may still read in the background. That read
+	// would take the first answer, and alive would block on it forever.
 	if err := pg.SyncConn(ctx); err != nil {
-		_ = pg.Close(ctx) // it is of no use either way
+		_ = pg.Close(ctx) // the connection is unusable in any case
 		return nil, errors.Wrap(err, "end the driver's reads")
 	}
 	h, err := pg.Hijack()
@@ -72,9 +75,9 @@
 	}, nil
 }
 
-// alive reports whether an idle connection can still be used. A member that
-// ended it has sent the end of the stream, or an error before it: without this
-// look the next write would fail with an unknown outcome.
+// alive reports whether an idle connection can still be used, without blocking. A
+// member that closed it has sent EOF, or an error followed by EOF. Without this
+// check the next write would fail with an unknown outcome.
 func (c *conn) alive() bool {
 	if c.r.Buffered() > 0 {
 		return false
@@ -88,7 +91,7 @@
 		return false
 	}
 	alive := false
-	// Control, unlike Read, waits for nobody: the pool's lock is held.
+	// Control, unlike Read, does not wait for other readers: pool.mu is held.
 	err = raw.Control(func(fd uintptr) {
 		var buf [1]byte
 		_, _, err := syscall.Recvfrom(int(fd), buf[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
@@ -97,9 +100,10 @@
 	return err == nil && alive
 }
 
-// send writes the unit, after the named statements that the connection lacks,
-// and wrapped in a read-only transaction if asked. It returns how many
-// ParseComplete and CloseComplete messages precede the answer.
+// send writes the unit, preceded by the Parse messages of prepared statements that
+// the connection lacks, and wrapped in a read-only transaction if wrapped is set. It
+// returns the number of ParseComplete and CloseComplete messages that precede the
+// answer.
 func (c *conn) send(u *statement.Unit, wrapped bool) (extra int, err error) {
 	if len(u.Prepared) == 0 && !wrapped {
 		_, err := c.net.Write(u.Data)
@@ -142,9 +146,10 @@
 	return encoded
 }
 
-// forgetPrepared drops what is known of the named statements. It is called after an
-// error in a unit that prepared some: which of them exist is not known, and to
-// prepare one twice is an error.
+// forgetPrepared removes the statements from those known to be prepared, and marks
+// the session for a reset. It is called after an error in a unit that prepared
+// statements: it is unknown which of them exist, and preparing one twice is an
+// error.
 func (c *conn) forgetPrepared(names []statement.Prepared) {
 	for _, p := range names {
 		delete(c.prepared, p.Name)
@@ -152,13 +157,13 @@
 	c.dirty = true
 }
 
-// resetTimeout bounds the reset of a connection's session state.
+// resetTimeout is the timeout of resetting a connection's session state.
 const resetTimeout = time.Second
 
-// discardAll is a simple query that resets the session.
+// discardAll is the simple query that resets the session state.
 var discardAll = encodeQuery("DISCARD ALL")
 
-// reset brings the session back to its first state.
+// reset resets the session state, including prepared statements.
 func (c *conn) reset() error {
 	_ = c.net.SetDeadline(time.Now().Add(resetTimeout))
 	if _, err := c.net.Write(discardAll); err != nil {
@@ -175,7 +180,8 @@
 	return c.net.SetDeadline(time.Time{})
 }
 
-// skipToReady reads up to ReadyForQuery and returns its status.
+// skipToReady discards messages up to ReadyForQuery and returns its transaction
+// status.
 func (c *conn) skipToReady() (byte, error) {
 	var buf []byte
 	for {
@@ -191,8 +197,8 @@
 
 func (c *conn) close() { _ = c.net.Close() }
 
-// markAcquired records that an exchange takes the connection, as the owner sees the
-// group at that moment.
+// markAcquired records that an exchange acquires the connection, and the member's
+// term and role in v.
 func (c *conn) markAcquired(v *view, now time.Time) {
 	c.acquiredAt, c.term, c.replica = now, v.term, c.member != v.primary
 }
--- a/io/upstream/dial.go
+++ b/io/upstream/dial.go
@@ -20,23 +20,24 @@
 	"pearlatch/core/group"
 )
 
-// AppPrefix starts the application_name of every connection of pearlatch.
+// AppPrefix is the prefix of the application_name of pearlatch's connections.
 const AppPrefix = "pearlatch/"
 
 // dialer opens connections to members.
 type dialer struct {
 	app, user, password, database string
 	local                         netip.Addr
-	bytes                         *atomic.Int64 // counts what connections carry; may be nil
+	bytes                         *atomic.Int64 // counts the bytes read and written; may be nil
 }
 
-// metered returns a dialer that counts what its connections carry.
+// metered returns a copy of d that adds the bytes that its connections read and
+// write to the counter.
 func (d dialer) metered(bytes *atomic.Int64) dialer {
 	d.bytes = bytes
 	return d
 }
 
-// meteredConn counts the bytes of a connection.
+// meteredConn counts the bytes read from and written to a connection.
 type meteredConn struct {
 	net.Conn
 	bytes *atomic.Int64
@@ -69,7 +70,7 @@
 	}
 }
 
-// connect opens a connection to the member. ctx bounds it.
+// connect opens a connection to the member. ctx bounds the attempt only.
 func (d dialer) connect(ctx context.Context, member config.Member) (*pgconn.PgConn, error) {
 	cfg, err := pgconn.ParseConfig("")
 	if err != nil {
@@ -84,12 +85,14 @@
 	return conn, pkgerrors.Wrapf(err, "connect to member %s", member.Name)
 }
 
-// appName returns the application_name of an owner's connections.
+// appName returns the application_name of an owner's connections:
+// "pearlatch/HOST/SERIAL".
 func appName(o Options) string {
 	return fmt.Sprintf("%s%s/%d", AppPrefix, o.Host, o.Serial)
 }
 
-// hostFromAppName returns the host in an application_name, or the empty string.
+// hostFromAppName returns the host in the application_name of an owner's
+// connection, or the empty string.
 func hostFromAppName(app string) string {
 	host, _, _ := strings.Cut(strings.TrimPrefix(app, AppPrefix), "/")
 	return host
@@ -103,15 +106,17 @@
 	return nd
 }
 
-// keepAliveIdle is how long a connection is silent before the kernel probes it.
+// keepAliveIdle is the idle time before the first TCP keep-alive probe, and the
+// interval between probes.
 const keepAliveIdle = 5 * time.Second
 
-// isConnRefused reports whether err shows that no process listens at the member. A
-// reset connection does not show that, since an operator may end any session,
-// and neither does silence.
+// isConnRefused reports whether err shows that no process listens at the member's
+// address. A connection reset does not show that, since an operator can end any
+// session, and neither does a timeout.
 func isConnRefused(err error) bool { return errors.Is(err, syscall.ECONNREFUSED) }
 
-// queryRow runs a statement that returns at most queryRow row and returns its columns.
+// queryRow runs a statement and returns the columns of its first row as text, or
+// nil if there is none.
 func queryRow(ctx context.Context, conn *pgconn.PgConn, sql string) ([]string, error) {
 	results, err := conn.Exec(ctx, sql).ReadAll()
 	if err != nil {
@@ -123,9 +128,9 @@
 	return textRow(results[0].Rows[0]), nil
 }
 
-// execBatch runs statements, each in a transaction of its own, in one round trip. It
-// returns the first row of each, or the first error; the statements after a
-// failed one run all the same.
+// execBatch runs statements in one round trip, each in its own transaction. It
+// returns the first row of each, or the first error. Statements after a failed one
+// still run.
 func execBatch(ctx context.Context, conn *pgconn.PgConn, statements ...string) ([][]string, error) {
 	pipeline := conn.StartPipeline(ctx)
 	for _, sql := range statements {
@@ -173,7 +178,7 @@
 	return out
 }
 
-// queryColumn runs a statement and returns the first queryColumn of its rows.
+// queryColumn runs a statement and returns the first column of its rows as text.
 func queryColumn(ctx context.Context, conn *pgconn.PgConn, sql string) ([]string, error) {
 	results, err := conn.Exec(ctx, sql).ReadAll()
 	if err != nil || len(results) == 0 {
@@ -186,7 +191,7 @@
 	return out, nil
 }
 
-// queryStatus probes a member.
+// queryStatus returns the status of a member.
 func queryStatus(ctx context.Context, conn *pgconn.PgConn) (group.Status, error) {
 	row, err := queryRow(ctx, conn, StatusSQL)
 	if err != nil {
@@ -195,8 +200,8 @@
 	return parseStatus(row)
 }
 
-// statusStatement names the prepared form of StatusSQL: probes would otherwise
-// consist of its text for the most part.
+// statusStatement is the name under which StatusSQL is prepared. Without
+// preparation, the text of the statement would be most of the traffic of a probe.
 const statusStatement = "pearlatch_status"
 
 func prepareStatus(ctx context.Context, conn *pgconn.PgConn) error {
@@ -204,7 +209,8 @@
 	return pkgerrors.Wrap(err, "prepare the probe")
 }
 
-// queryStatusPrepared probes a member over a connection on which prepareStatus ran.
+// queryStatusPrepared returns the status of a member over a connection on which
+// prepareStatus has run.
 func queryStatusPrepared(ctx context.Context, conn *pgconn.PgConn) (group.Status, error) {
 	got := conn.ExecPrepared(ctx, statusStatement, nil, nil, nil).Read()
 	if got.Err != nil {
@@ -237,9 +243,9 @@
 		Streaming:  row[colStreaming] == "t",
 		Fence:      parseFence(row[colFence]),
 	}
-	timeline, _ := strconv.ParseUint(row[colTimeline], 10, 32) // NULL: no receiver
+	timeline, _ := strconv.ParseUint(row[colTimeline], 10, 32) // NULL without a WAL receiver
 	s.Timeline = uint32(timeline)
-	logTerm, _ := strconv.ParseUint(row[colLogTerm], 10, 64) // NULL: no term yet
+	logTerm, _ := strconv.ParseUint(row[colLogTerm], 10, 64) // NULL before the first term
 	s.LogTerm = group.Term(logTerm)
 	var err error
 	if s.Received, err = group.ParseLSN(row[colReceived]); err != nil {
@@ -249,14 +255,15 @@
 	return s, err
 }
 
-// parseFence reads the stored form "term:host"; the empty string is no fence.
+// parseFence parses the stored form "term:host" of a fence. The empty string is the
+// zero Fence.
 func parseFence(v string) group.Fence {
 	term, host, _ := strings.Cut(v, ":")
 	n, _ := strconv.ParseUint(term, 10, 64)
 	return group.Fence{Term: group.Term(n), Host: host}
 }
 
-// cancel sends a cancel request for what runs on c.
+// cancel sends a cancel request for the statement that runs on c.
 func (d dialer) cancel(ctx context.Context, member config.Member, c *conn) error {
 	nc, err := d.net().DialContext(ctx, "tcp", member.Addr.String())
 	if err != nil {
@@ -274,7 +281,8 @@
 	return pkgerrors.Wrapf(err, "cancel on member %s", member.Name)
 }
 
-// Reachable reports whether the member answers a probe over a new connection.
+// Reachable reports whether the member answers a status query over a new
+// connection before ctx ends.
 func Reachable(ctx context.Context, o Options, member config.Member) bool {
 	d := newDialer(o)
 	d.app = probePrefix + o.Host
@@ -287,5 +295,6 @@
 	return err == nil
 }
 
-// probePrefix marks the connections of Reach, which no owner ends.
+// probePrefix is the application_name prefix of the connections of Reachable. It
+// differs from AppPrefix so that no owner ends or counts them.
 const probePrefix = "reach/"
--- a/io/upstream/doc.go
+++ b/io/upstream/doc.go
@@ -1,4 +1,4 @@
-// Package upstream speaks to the members of database groups: it probes them,
-// pools connections to them, runs callers' statements on them, confirms writes,
-// and carries out promotions. It plays the owner's role of a host.
+// Package upstream implements the owner of a database group. An owner probes the
+// group's members, pools connections to them, runs callers' statements, confirms
+// writes, and promotes members.
 package upstream
--- a/io/upstream/exchange.go
+++ b/io/upstream/exchange.go
@@ -13,12 +13,13 @@
 	"pearlatch/io/postgres"
 )
 
-// Sink takes the bytes of an answer as they come. It must not keep them.
+// Sink receives the bytes of an answer as they arrive. It must not retain the
+// slice.
 type Sink = func([]byte) error
 
-// Exchange runs the units of one caller from the first statement of a
-// transaction to its end, on one connection. Its methods but Cancel must be
-// called from one goroutine.
+// Exchange runs the units of one caller, from the first statement of a transaction
+// to its end, on one connection. All methods except Cancel must be called from one
+// goroutine.
 type Exchange struct {
 	owner   *Owner
 	request *statement.Request
@@ -26,24 +27,25 @@
 	mu   sync.Mutex
 	conn *conn
 
-	term        group.Term // under which conn was taken
-	replica     bool       // conn leads to a replica
+	term        group.Term // term under which conn was acquired
+	replica     bool       // conn is a connection to a replica
 	requirement freshness.Requirement
 	wrote       bool // a unit of the open transaction may have written
-	open        bool // the exchange goes on after its last unit
+	open        bool // the exchange continues after its last unit, as in a transaction
 	pinned      bool
-	delivered   bool // a part of the present answer was delivered on
+	delivered   bool // a part of the current answer was passed to the sink
 	buf         []byte
 }
 
-// Begin opens an exchange. Nothing is sent until its first unit.
+// Begin returns a new exchange for the request. It acquires no connection before
+// its first unit.
 func (o *Owner) Begin(r *statement.Request) *Exchange {
 	return &Exchange{owner: o, request: r}
 }
 
-// Do runs a unit and passes its answer to sink. The error is a
-// *statement.Refusal when the unit got no answer that may be passed on; then the
-// exchange is over.
+// Do runs a unit and passes its answer to sink. It retries a first unit that is
+// safe to run again. If the answer cannot be passed on, the error is a
+// *statement.Refusal and the exchange is over.
 func (x *Exchange) Do(ctx context.Context, u *statement.Unit, sink Sink) (statement.Outcome, error) {
 	for {
 		first := x.conn == nil
@@ -72,13 +74,15 @@
 	}
 }
 
-// errReadOnly means that a replica refused a unit before running it.
+// errReadOnly means that a replica or a read-only transaction refused a unit because
+// it writes. The unit had no effect.
 var errReadOnly = errors.New("the replica refused a write")
 
 // errConnFailed means that the connection failed before the answer was complete.
 var errConnFailed = errors.New("the connection failed")
 
-// prepareRetry reports whether a failed first unit may be run anew, and prepares that.
+// prepareRetry reports whether a failed first unit may be run again, and changes the
+// unit to a write if it turned out to be one.
 func (x *Exchange) prepareRetry(u *statement.Unit, err error) bool {
 	if !time.Now().Before(u.Deadline) {
 		return false
@@ -91,14 +95,16 @@
 	case x.delivered:
 		return false
 	case errors.Is(err, errConnFailed), errors.Is(err, errUnconfirmed):
-		// A read may run any number of times. It includes units that only
-		// prepare or describe. The ledger lets a request with an identifier run
-		// once.
+		// Reads, which include units that only prepare or describe, can be
+		// repeated. The request ledger ensures that a request with an identifier
+		// takes effect once.
 		return u.Kind == statement.Read || x.request.Idempotent || u.RequestID != ""
 	}
 	return false
 }
 
+// refusal returns the refusal that reports err to the caller, and counts unknown
+// outcomes.
 func (x *Exchange) refusal(u *statement.Unit, err error) error {
 	var r *statement.Refusal
 	if errors.As(err, &r) {
@@ -112,7 +118,7 @@
 	return &statement.Refusal{Code: postgres.CodeTransactionUnknown, Reason: reason}
 }
 
-// acquireConn acquires a connection for the unit.
+// acquireConn acquires a connection that can serve the unit.
 func (x *Exchange) acquireConn(ctx context.Context, u *statement.Unit) error {
 	kind := u.Kind
 	if u.RequestID != "" {
@@ -144,6 +150,7 @@
 	return nil
 }
 
+// countUnit counts the unit in the metrics by the member that serves it.
 func (x *Exchange) countUnit(u *statement.Unit) {
 	switch {
 	case x.replica:
@@ -155,7 +162,7 @@
 	}
 }
 
-// requirement returns what the request's reads ask of a member.
+// requirement returns the freshness that the request's reads require of a member.
 func (o *Owner) requirement(r *statement.Request) freshness.Requirement {
 	n := freshness.Requirement{Class: r.Class}
 	if r.NeverWrote || o.options.Unsafe.IgnoreMarks || o.options.Unsafe.FixedPrimary > 0 {
@@ -168,7 +175,8 @@
 	return n
 }
 
-// releaseConn gives the connection back, or closes it if it is not clean.
+// releaseConn returns the connection, if any, to the pool. The pool closes it if it
+// is not clean, that is, in the middle of an answer or a transaction.
 func (x *Exchange) releaseConn(clean bool) {
 	x.mu.Lock()
 	c := x.conn
@@ -188,9 +196,9 @@
 	x.releaseConn(false)
 }
 
-// Cancel asks the member to cancel the running statement. The connection is not
-// used again: the member acts on the request at some later time, and would
-// cancel the statement of another caller.
+// Cancel asks the member to cancel the running statement. It may be called from any
+// goroutine. The connection is not used again: the member processes the cancel
+// request at some later time, and could cancel another caller's statement.
 func (x *Exchange) Cancel(ctx context.Context) error {
 	x.mu.Lock()
 	c := x.conn
--- a/io/upstream/failover.go
+++ b/io/upstream/failover.go
@@ -13,7 +13,7 @@
 	"pearlatch/core/group"
 )
 
-// Bounds of the steps of a failover.
+// Timeouts and limits of the steps of a failover.
 const (
 	fenceTimeout   = 500 * time.Millisecond
 	promoteTimeout = 3 * time.Second
@@ -21,40 +21,43 @@
 	lockTimeout    = time.Second
 	attachTimeout  = 2 * time.Second
 	// lockHolderTimeout is how long another session may hold the owner lock before
-	// it is ended. It is longer than an owner needs to hand a group over when no
-	// transaction is open.
+	// that session is ended. It is longer than an owner needs to hand over a group
+	// without open transactions.
 	lockHolderTimeout = 300 * time.Millisecond
-	// maxForcedDoublings bounds the doubling of lockPatience: two hosts that cannot agree
-	// on who owns the group must not take the lock from each other in turns.
+	// maxForcedDoublings bounds how often lockHolderTimeout is doubled, once for
+	// each session ended. The doubling keeps two hosts that disagree on the owner
+	// from taking the lock from each other repeatedly.
 	maxForcedDoublings = 5
-	// leaseMarginDivisor lengthens the wait for an earlier owner's lease by a quarter,
-	// more than the clocks of two hosts drift apart in that time.
+	// leaseMarginDivisor lengthens the wait for an earlier owner's lease by a
+	// quarter, which is more than the clocks of two hosts drift apart in that time.
 	leaseMarginDivisor = 4
-	// sweepInterval is how often the sessions of an owner that hands the group
-	// over are counted.
+	// sweepInterval is the interval at which the remaining sessions of earlier
+	// owners are counted.
 	sweepInterval = 50 * time.Millisecond
-	// rivalBackoff is how long another host's promotion is waited for, doubled
-	// with each one up to maxRivals times.
+	// rivalBackoff is how long to wait for another host's promotion to complete. It
+	// doubles with each such wait, at most maxRivalDoublings times.
 	rivalBackoff      = 500 * time.Millisecond
 	maxRivalDoublings = 4
-	// retryDelay is the pause before a failed step is tried again.
+	// retryDelay is the delay before the next action after a failed one.
 	retryDelay = 200 * time.Millisecond
 )
 
-// takeLock becomes owner under the present primary.
+// takeLock takes the owner lock on the current primary.
 type takeLock struct {
 	primary int
 	term    group.Term
 }
 
-// promote replaces a primary that is gone, or fills a group that has none.
+// promote replaces a failed primary, or promotes a member of a group that has no
+// primary.
 type promote struct {
+	// highest is the highest term seen on any member.
 	highest group.Term
-	// suspect is the primary that is gone, or group.NoMember.
+	// suspect is the failed primary, or group.NoMember.
 	suspect int
 }
 
-// switchOver replaces a primary that is about to leave.
+// switchOver replaces a primary that is leaving: a planned switchover.
 type switchOver struct {
 	primary int
 	term    group.Term
@@ -63,11 +66,12 @@
 // attach makes a replica follow the primary.
 type attach struct {
 	member, primary int
-	// fence is the primary's.
+	// fence is the fence stored on the primary.
 	fence group.Fence
 }
 
-// sweep counts the sessions of other owners again.
+// sweep counts the sessions of other owners again, and ends those of hosts that are
+// gone.
 type sweep struct{}
 
 func (takeLock) isAction()   {}
@@ -76,7 +80,7 @@
 func (switchOver) isAction() {}
 func (attach) isAction()     {}
 
-// setPhase changes the phase, unless the owner was stopped.
+// setPhase sets the phase, unless the owner is handing over or stopped.
 func (o *Owner) setPhase(p Phase) {
 	o.mu.Lock()
 	if o.phase < HandingOver {
@@ -87,13 +91,15 @@
 	o.pool.dispatch()
 }
 
-// retryLater makes next wait before the next action.
+// retryLater delays the next action by retryDelay.
 func (o *Owner) retryLater() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.notBefore = time.Now().Add(retryDelay)
 }
 
+// logStep logs a step at level Info, or at level Warn if err is not nil. more holds
+// further pairs of keys and values. member may be group.NoMember.
 func (o *Owner) logStep(step string, member int, err error, more ...any) {
 	logger := level.Info(o.logger)
 	fields := []any{"step", step}
@@ -107,7 +113,7 @@
 	_ = logger.Log(append(fields, more...)...)
 }
 
-// takeLock takes the owner lock on the primary.
+// takeLock takes the owner lock on the primary and begins to serve.
 func (o *Owner) takeLock(ctx context.Context, a takeLock) {
 	ctx, cancel := context.WithTimeout(ctx, lockTimeout)
 	defer cancel()
@@ -138,9 +144,9 @@
 	o.setPhase(Serving)
 }
 
-// sweep ends what owners on hosts that are gone have left on the members, and
-// counts what owners that hand the group over still hold there. Their
-// connections and ours together stay within the group's budget.
+// sweep ends the sessions that owners on hosts that are gone left on the members,
+// and counts the sessions that other owners still hold. The pool opens fewer
+// connections by that number, to stay within the group's connection budget.
 func (o *Owner) sweep(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, lockTimeout)
 	defer cancel()
@@ -168,7 +174,7 @@
 	o.pool.reserveForeign(int(total.Load()))
 }
 
-// promote replaces the primary after other hosts were asked about it.
+// promote replaces the primary, unless another host reaches it.
 func (o *Owner) promote(ctx context.Context, a promote) {
 	if a.suspect != group.NoMember {
 		if by := o.hostReaching(ctx, a.suspect); by != "" {
@@ -193,31 +199,32 @@
 }
 
 // hostReaching returns another host that reaches the member, or the empty string.
-// With one, only the way from this host to the member is broken: a promotion
-// would be false, and the other host can own the group.
+// If there is one, only the network path from this host to the member has failed:
+// a promotion would be wrong, and the other host can own the group.
 func (o *Owner) hostReaching(ctx context.Context, member int) string {
 	if o.options.Witness == nil {
 		return ""
 	}
 	ctx, cancel := context.WithTimeout(ctx, witnessTimeout)
 	defer cancel()
-	t := o.options.Witness(ctx, o.options.Group.Members[member])
-	o.logStep("ask_witnesses", member, nil, "asked", t.Asked, "answered", t.Answered, "reached", t.Reached)
-	return t.ReachedBy
+	r := o.options.Witness(ctx, o.options.Group.Members[member])
+	o.logStep("ask_witnesses", member, nil, "asked", r.Asked, "answered", r.Answered, "reached", r.Reached)
+	return r.ReachedBy
 }
 
-// replacePrimary fences a majority in a new term and promotes the best of it.
+// replacePrimary fences the members in a new term, and promotes the best candidate
+// if a majority accepted the fence.
 func (o *Owner) replacePrimary(ctx context.Context, highest group.Term) error {
 	ctx, cancel := context.WithTimeout(ctx, promoteTimeout)
 	defer cancel()
 	fence := group.Fence{Term: highest + 1, Host: o.options.Host}
-	held := o.lockedPrimary()
+	locked := o.lockedPrimary()
 	fenced := o.fenceAll(ctx, fence)
 	ackAfter := o.leaseExpiry(time.Now())
 	for _, f := range fenced {
-		if f.Member == held && held == o.lockedPrimary() {
-			// The lock was ours until its primary was fenced, so that no other
-			// owner can have a lease.
+		if f.Member == locked && locked == o.lockedPrimary() {
+			// This owner held the owner lock until its primary was fenced, so no
+			// other owner can hold a lease.
 			ackAfter = time.Now()
 		}
 	}
@@ -242,14 +249,15 @@
 	return o.leaving[i]
 }
 
-// promoteMember promotes the chosen member and becomes its owner.
+// promoteMember promotes the chosen member, takes the owner lock on it and begins to
+// lead the group in the fence's term.
 func (o *Owner) promoteMember(ctx context.Context, conn *pgconn.PgConn, number uint64, best group.FenceAck, fence group.Fence, ackAfter time.Time) error {
 	steps := []string{PromoteSQL, WriteTermSQL(fence)}
 	if o.options.Unsafe.SkipFence {
 		steps = []string{SetFenceSQL(fence), ReloadSQL, PromoteSQL, WriteTermSQL(fence)}
 	}
 	if !best.InRecovery {
-		// A primary that was fenced too, or one whose promotion was cut short.
+		// The member is a fenced primary, or its promotion was interrupted.
 		steps = []string{ReadWriteSQL, ReloadSQL, WriteTermSQL(fence)}
 	}
 	asked := time.Now()
@@ -258,7 +266,8 @@
 		return err
 	}
 	if rows[len(steps)][0] != "t" {
-		// Another owner took the lock right after the promotion. It will serve.
+		// Another owner took the lock right after the promotion, and will serve the
+		// group.
 		return errors.New("the owner lock was not taken")
 	}
 	status, err := parseStatus(rows[len(steps)+1])
@@ -271,7 +280,8 @@
 	return o.beginLeadership(group.Sample{Status: status, SentAt: asked, ReceivedAt: time.Now()}, number, best.Member, fence.Term, ackAfter)
 }
 
-// attach makes a replica follow the primary under the primary's fence.
+// attach configures a replica to follow the primary, and stores the primary's fence
+// on it.
 func (o *Owner) attach(ctx context.Context, a attach) {
 	ctx, cancel := context.WithTimeout(ctx, attachTimeout)
 	defer cancel()
@@ -286,8 +296,8 @@
 	o.probers[a.member].wake()
 }
 
-// switchOver promotes another member before the primary leaves. Callers' new
-// work waits meanwhile.
+// switchOver promotes another member before the primary leaves. New work for the
+// primary waits meanwhile.
 func (o *Owner) switchOver(ctx context.Context, a switchOver) {
 	started := time.Now()
 	o.setPhase(Switching)
--- a/io/upstream/fence.go
+++ b/io/upstream/fence.go
@@ -13,9 +13,9 @@
 	"pearlatch/core/group"
 )
 
-// attachOthers makes the fenced replicas follow the member that is about to be
-// promoted, in the background: the first write then finds a replica that
-// follows. A replica waits until its source is promoted.
+// attachOthers makes the other fenced members follow the member that is about to be
+// promoted. It runs in the background, so that a replica already follows when the
+// first write needs a confirmation. A replica waits until its source is promoted.
 func (o *Owner) attachOthers(ctx context.Context, fenced []group.FenceAck, primary int, fence group.Fence) {
 	o.mu.Lock()
 	for i := range o.attachAfter {
@@ -29,8 +29,8 @@
 	}
 }
 
-// fenceAll fences the members that answer, in parallel, and returns those that
-// accepted.
+// fenceAll fences all members that answer probes, in parallel, and returns the
+// acknowledgments of those that accepted, ordered by member.
 func (o *Owner) fenceAll(ctx context.Context, fence group.Fence) []group.FenceAck {
 	ctx, cancel := context.WithTimeout(ctx, fenceTimeout)
 	defer cancel()
@@ -57,8 +57,9 @@
 	return fenced
 }
 
-// fence stores the fence on a member, cuts it off from its source and returns
-// where its log ends.
+// fence stores the fence on a member and returns the end of its log. A replica is
+// disconnected from its source; a primary is made read-only and its sessions are
+// ended.
 func (o *Owner) fence(ctx context.Context, i int, fence group.Fence) (group.FenceAck, error) {
 	var out group.FenceAck
 	err := o.probers[i].do(ctx, func(ctx context.Context, conn *pgconn.PgConn, _ uint64) error {
@@ -87,10 +88,11 @@
 	return group.FenceAck{Member: i, LogTerm: s.LogTerm, Received: s.Received, InRecovery: s.InRecovery}
 }
 
-// awaitLogEnd waits until the member receives nothing more and the term of its last
-// record is known, and returns its status then. The term is known when that of
-// the last replayed record is the highest which the member had accepted: what it
-// received since can hold no later one. Otherwise all must be replayed first.
+// awaitLogEnd waits until the member receives no more WAL and the term of its last
+// record is known, and returns the status at that time. known tells that the term of
+// the last replayed record is the highest term that the member had accepted: records
+// received later can hold no higher one. Otherwise the member must replay
+// everything that it received first.
 func awaitLogEnd(ctx context.Context, conn *pgconn.PgConn, status group.Status, known bool) (group.Status, error) {
 	for status.InRecovery && (status.Streaming || !known && status.Replayed != status.Received) {
 		sleep(ctx, statusPollInterval)
@@ -102,14 +104,16 @@
 	return status, nil
 }
 
+// statusPollInterval is the interval at which a wait for a change of a member's
+// status checks it.
 const statusPollInterval = time.Millisecond
 
-// noSource is the address of a replica's source when it is to follow none.
+// noSource is the source address of a replica that follows no primary.
 var noSource netip.AddrPort
 
-// storeFence compares the member's fence with the new one under a lock, stores
-// it together with what more returns, and reloads. It returns the statuses before
-// and after that.
+// storeFence stores the fence on the member if the member's fence accepts it, runs
+// the statements that more returns, and reloads the configuration. The fence lock is
+// held throughout. It returns the member's status before and after.
 func storeFence(ctx context.Context, conn *pgconn.PgConn, fence group.Fence, more func(group.Status) []string) (before, after group.Status, err error) {
 	rows, err := execBatch(ctx, conn, TakeFenceLockSQL, StatusSQL)
 	if err != nil {
--- a/io/upstream/handover.go
+++ b/io/upstream/handover.go
@@ -10,17 +10,18 @@
 )
 
 const (
-	// releaseTimeout bounds how long reads and confirmations under way may delay
-	// the release of the owner lock.
+	// releaseTimeout is how long running reads and unconfirmed writes may delay the
+	// release of the owner lock. It also bounds the release itself.
 	releaseTimeout = 200 * time.Millisecond
-	// releasePollInterval is how often the owner looks whether they have ended.
+	// releasePollInterval is the interval at which the owner checks for their end.
 	releasePollInterval = time.Millisecond
 )
 
-// Close hands the group over. New exchanges are refused at once. Reads and
-// confirmations under way end, then the owner lock is released: the next owner
-// serves from then on. Transactions that are still open go on here until ctx
-// ends, and the next owner confirms them.
+// Close hands the group over and stops the owner. New exchanges are refused at
+// once. After running reads and pending confirmations have ended, or after
+// releaseTimeout, the owner lock is released and the next owner can serve.
+// Transactions that are still open continue here until ctx ends, and the next owner
+// confirms them.
 func (o *Owner) Close(ctx context.Context) {
 	o.pool.close()
 	quiet := o.awaitReadsAndWaiters(ctx, releaseTimeout)
@@ -40,8 +41,8 @@
 	o.failWaiters()
 }
 
-// awaitReadsAndWaiters waits until no read runs on a replica and no write waits for its
-// confirmation, and reports whether that was so within the limit.
+// awaitReadsAndWaiters waits until no read runs on a replica and no write waits for
+// its confirmation, and reports whether that happened within the limit.
 func (o *Owner) awaitReadsAndWaiters(ctx context.Context, limit time.Duration) bool {
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
@@ -54,6 +55,8 @@
 	return false
 }
 
+// readsAndWaitersDone reports whether no read runs on a replica and no write waits
+// for its confirmation.
 func (o *Owner) readsAndWaitersDone() bool {
 	primary := o.view().primary
 	o.mu.Lock()
@@ -70,8 +73,8 @@
 	return true
 }
 
-// releaseOwnerLock gives the owner lock back, and tells the next owner if nothing is
-// answered here any more that depends on it.
+// releaseOwnerLock releases the owner lock. If quiet is set, no answer that depends
+// on the lease is sent here any more, and the next owner is told so.
 func (o *Owner) releaseOwnerLock(ctx context.Context, quiet bool) {
 	primary := o.view().primary
 	if primary == group.NoMember || ctx.Err() != nil {
@@ -86,13 +89,16 @@
 		return err
 	})
 	o.logStep("release_owner_lock", primary, err, "held", held, "quiet", quiet)
-	// A lock that was not held has gone to somebody else, whose lease counts.
+	// If the lock was not held, another session may have taken it, and the next
+	// owner must wait for that session's lease.
 	if held && quiet && o.options.Successor != nil {
 		o.options.Successor.Released(ctx)
 	}
 }
 
-// PredecessorReleased records that the previous owner answers nothing any more.
+// PredecessorReleased records that the previous owner has released the owner lock
+// and sends no more answers that depend on its lease, so that this owner need not
+// wait for that lease to end.
 func (o *Owner) PredecessorReleased() {
 	o.mu.Lock()
 	if o.holdsLock() {
@@ -105,8 +111,8 @@
 	o.wake()
 }
 
-// ConfirmFor confirms what the primary of the term holds, on behalf of an owner
-// that has handed the group over, and lets the session see it.
+// ConfirmFor confirms everything that the primary of the term has written, on behalf
+// of an owner that hands the group over, and raises the session's mark accordingly.
 func (o *Owner) ConfirmFor(ctx context.Context, term group.Term, session string) error {
 	p, err := o.confirm(ctx, term)
 	if err == nil {
@@ -115,5 +121,5 @@
 	return err
 }
 
-// isHandingOver reports whether the group is being handed over.
+// isHandingOver reports whether the group is being or has been handed over.
 func (o *Owner) isHandingOver() bool { return o.view().phase >= HandingOver }
--- a/io/upstream/ledger.go
+++ b/io/upstream/ledger.go
@@ -14,23 +14,22 @@
 	"pearlatch/io/postgres"
 )
 
-// The ledger is the table pearlatch.requests (id text primary key, outcome
-// text). The row of a request is written in the request's own transaction, so
-// that it is there exactly if the request took effect, on whatever member is
-// promoted later.
+// The request ledger is the table pearlatch.requests (id text primary key, outcome
+// text). A request's row is written in the request's own transaction. It therefore
+// exists if and only if the request took effect, also on a member promoted later.
 
-// maxOutcome bounds the answer that the ledger keeps, in bytes.
+// maxOutcome is the maximum size of an answer kept in the ledger, in bytes.
 const maxOutcome = 256 << 10
 
-// runsAtMostOnce reports whether the unit must run at most runsAtMostOnce under its identifier.
-// Within a transaction of the caller's own the identifier has no meaning: the
-// caller decides by its COMMIT.
+// runsAtMostOnce reports whether the unit must take effect at most once under its
+// request identifier. Within a transaction of the caller the identifier has no
+// effect, since the caller's COMMIT decides.
 func (x *Exchange) runsAtMostOnce(u *statement.Unit) bool {
 	return u.RequestID != "" && !x.open && !u.ControlsTransaction && u.Expect == statement.ExpectReady
 }
 
-// runOnce runs a unit under its request identifier, or passes on the outcome of
-// the first run.
+// runOnce runs a unit under its request identifier. If a request with the identifier
+// has taken effect before, it passes on the recorded outcome instead.
 func (x *Exchange) runOnce(ctx context.Context, u *statement.Unit, sink Sink) (statement.Outcome, error) {
 	claimed, err := x.conn.exec("BEGIN; INSERT INTO pearlatch.requests (id) VALUES (" + quote(u.RequestID) + ")")
 	if err != nil {
@@ -62,9 +61,9 @@
 }
 
 // collect runs the unit inside the ledger's transaction and returns its answer
-// without ReadyForQuery.
+// without ReadyForQuery, and the transaction status.
 func (x *Exchange) collect(ctx context.Context, u *statement.Unit) (answer []byte, status byte, err error) {
-	x.open = true // the unit must not be wrapped, and nothing is confirmed yet
+	x.open = true // keeps run from wrapping the unit
 	defer func() { x.open = false }()
 	out, err := x.run(ctx, u, func(b []byte) error {
 		answer = append(answer, b...)
@@ -80,11 +79,11 @@
 	return answer[:len(answer)-readySize], out.Status, nil
 }
 
-// readySize is the size of ReadyForQuery.
+// readySize is the size of a ReadyForQuery message, in bytes.
 const readySize = postgres.HeaderSize + 1
 
-// deliverFailure passes on the answer of a request that failed. It had no effect, so
-// the ledger forgets it and it may be repeated.
+// deliverFailure rolls back the ledger's transaction and passes on the answer to a
+// request that failed. The request had no effect and no row, and may be repeated.
 func (x *Exchange) deliverFailure(answer []byte, sink Sink) (statement.Outcome, error) {
 	if _, err := x.conn.exec("ROLLBACK"); err != nil {
 		return statement.Outcome{}, errors.Wrap(errConnFailed, err.Error())
@@ -93,7 +92,7 @@
 	return out, sink(postgres.AppendReady(answer, postgres.StatusIdle))
 }
 
-// recordOutcome writes the outcome and commits.
+// recordOutcome writes the outcome to the ledger and commits.
 func (x *Exchange) recordOutcome(u *statement.Unit, answer []byte) error {
 	outcome := messageTypes(u) + ":"
 	if len(answer) <= maxOutcome {
@@ -105,8 +104,8 @@
 		return errors.Wrap(errConnFailed, err.Error())
 	}
 	if postgres.NotRun(done.code) {
-		// The member is a primary no more. Nothing was committed, and the ledger
-		// makes a repeat on the next primary safe.
+		// The member is no longer the primary. Nothing was committed, and the
+		// ledger makes a retry on the next primary safe.
 		return errors.Wrap(errConnFailed, done.message)
 	}
 	if done.code != "" {
@@ -116,7 +115,7 @@
 	return nil
 }
 
-// deliver passes an answer on once what it tells is confirmed.
+// deliver waits until the request's effects are confirmed and passes its answer on.
 func (x *Exchange) deliver(ctx context.Context, u *statement.Unit, answer []byte, sink Sink) (statement.Outcome, error) {
 	p, err := x.confirm(ctx, u.Deadline)
 	if p.LSN > 0 {
@@ -129,7 +128,7 @@
 	return statement.Outcome{Status: postgres.StatusIdle}, sink(postgres.AppendReady(answer, postgres.StatusIdle))
 }
 
-// replayOutcome passes on the outcome of the first run of a request.
+// replayOutcome passes on the recorded outcome of a request that took effect before.
 func (x *Exchange) replayOutcome(ctx context.Context, u *statement.Unit, sink Sink) (statement.Outcome, error) {
 	if _, err := x.conn.exec("ROLLBACK"); err != nil {
 		return statement.Outcome{}, errors.Wrap(errConnFailed, err.Error())
@@ -138,21 +137,21 @@
 	if err != nil {
 		return statement.Outcome{}, errors.Wrap(errConnFailed, err.Error())
 	}
-	shape, encoded, _ := strings.Cut(kept.value, ":")
+	types, encoded, _ := strings.Cut(kept.value, ":")
 	answer, err := base64.StdEncoding.DecodeString(encoded)
 	switch {
 	case kept.code != "" || err != nil || encoded == "":
 		return statement.Outcome{}, &statement.Refusal{Code: postgres.CodeUniqueViolation,
 			Reason: "the request has run before; its answer was not kept"}
-	case shape != messageTypes(u):
+	case types != messageTypes(u):
 		return statement.Outcome{}, &statement.Refusal{Code: postgres.CodeUniqueViolation,
 			Reason: "the request has run before; repeat it with the same protocol messages to get its answer"}
 	}
 	return x.deliver(ctx, u, answer, sink)
 }
 
-// messageTypes returns the types of a unit's messages: an answer fits only a unit
-// that asks in the same way.
+// messageTypes returns the types of a unit's messages. A recorded answer is valid
+// only for a unit with the same sequence of message types.
 func messageTypes(u *statement.Unit) string {
 	var out []byte
 	for rest := u.Data; len(rest) >= postgres.HeaderSize; {
@@ -163,17 +162,18 @@
 	return string(out)
 }
 
-// queryResult is what a simple query of pearlatch's own returned.
+// queryResult is the result of a simple query that pearlatch runs itself.
 type queryResult struct {
 	code, message string // of the first error, if any
 	value         string // first column of the first row
 	status        byte
 }
 
-// simpleTimeout bounds a simple query of pearlatch's own.
+// simpleTimeout is the timeout of a simple query that pearlatch runs itself.
 const simpleTimeout = 5 * time.Second
 
-// exec runs a exec query.
+// exec runs a simple query that pearlatch needs itself, and reads its whole answer. An
+// ErrorResponse is returned in the result, not as an error.
 func (c *conn) exec(sql string) (queryResult, error) {
 	var out queryResult
 	_ = c.net.SetDeadline(time.Now().Add(simpleTimeout))
@@ -182,7 +182,7 @@
 		return out, err
 	}
 	var buf []byte
-	seen := false
+	hasValue := false
 	for {
 		var err error
 		if buf, err = postgres.ReadFrame(c.r, buf[:0]); err != nil {
@@ -203,8 +203,8 @@
 			if err := row.Decode(f.Body()); err != nil {
 				return out, err
 			}
-			if !seen && len(row.Values) > 0 {
-				out.value, seen = string(row.Values[0]), true
+			if !hasValue && len(row.Values) > 0 {
+				out.value, hasValue = string(row.Values[0]), true
 			}
 		case postgres.TypeReadyForQuery:
 			out.status = f.Body()[0]
--- a/io/upstream/lock.go
+++ b/io/upstream/lock.go
@@ -11,8 +11,9 @@
 	"pearlatch/core/group"
 )
 
-// tryOwnerLock tries to take the owner lock and ends its holder when that has had
-// time enough to hand the group over.
+// tryOwnerLock tries to take the owner lock. If another session has held it longer
+// than lockHolderTimeout, doubled for each session ended before, it ends that session
+// and tries again.
 func (o *Owner) tryOwnerLock(ctx context.Context, conn *pgconn.PgConn) (bool, error) {
 	row, err := queryRow(ctx, conn, TryOwnerLockSQL)
 	if err != nil {
@@ -39,9 +40,9 @@
 	return err == nil && row[0] == "t", err
 }
 
-// canConfirm reports whether a majority of the members is seen from here to
-// hold the primary's log. A host that could not confirm a write must not take
-// the lock from one that perhaps can.
+// canConfirm reports whether recent samples show that a majority of the members
+// holds the primary's log. A host that cannot confirm writes must not take the lock
+// from one that may be able to.
 func (o *Owner) canConfirm() bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -53,15 +54,16 @@
 	return ok
 }
 
-// leaseExpiry returns when the lease of an earlier owner has certainly ended that
-// could not be renewed from the given moment on.
+// leaseExpiry returns when an earlier owner's lease has certainly expired, if it
+// could not be renewed after from. It includes a margin for clock drift.
 func (o *Owner) leaseExpiry(from time.Time) time.Time {
 	lease := o.options.Group.Timing.Lease
 	return from.Add(lease + lease/leaseMarginDivisor)
 }
 
-// ackTime returns when a lock taken at the given moment may acknowledge: at
-// once if the previous owner said that it answers nothing any more.
+// ackTime returns when an owner that took the lock at the given time may acknowledge
+// writes: at once if the previous owner reported its release, otherwise after the
+// previous owner's lease.
 func (o *Owner) ackTime(taken time.Time) time.Time {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -71,10 +73,12 @@
 	return o.leaseExpiry(taken)
 }
 
-// beginLeadership records the reign that a held lock stands for. The sample was asked for
-// after the lock was taken, and the floor comes from it: whatever an earlier
-// owner acknowledged lies below, since that owner needed the lock to acknowledge.
-// What the previous owner said of its leaving holds for this reign alone.
+// beginLeadership records that this owner leads the group under a lock that it holds
+// on the primary. The sample must have been requested after the lock was taken: its
+// position is the floor, and everything that an earlier owner acknowledged lies
+// below it, since that owner needed the lock to acknowledge. The previous owner's
+// report of its release is cleared, since it is valid for one leadership only. The
+// error means that the member no longer leads the term.
 func (o *Owner) beginLeadership(s group.Sample, number uint64, primary int, term group.Term, ackAfter time.Time) error {
 	status := s.Status
 	if !status.Leads() || status.Fence.Term != term {
@@ -97,13 +101,14 @@
 	return nil
 }
 
-// sweepMember returns how many sessions of other owners stay on a member.
+// sweepMember ends the sessions of owners on hosts that are gone, and returns how
+// many sessions of other owners remain on the member.
 func (o *Owner) sweepMember(ctx context.Context, conn *pgconn.PgConn) (int, error) {
 	apps, err := queryColumn(ctx, conn, ForeignSessionsSQL(appName(o.options)))
 	if err != nil {
 		return 0, err
 	}
-	stay := 0
+	remaining := 0
 	ended := map[string]bool{}
 	for _, app := range apps {
 		host := hostFromAppName(app)
@@ -111,21 +116,22 @@
 			continue
 		}
 		if o.options.HostGone == nil || !o.options.HostGone(host) {
-			stay++
+			remaining++
 			continue
 		}
 		ended[app] = true
 		if _, err := queryRow(ctx, conn, EndAppSQL(app)); err != nil {
-			return stay, err
+			return remaining, err
 		}
 	}
-	return stay, nil
+	return remaining, nil
 }
 
+// isPresent reports whether the member answers probes.
 func (o *Owner) isPresent(i int) bool { return o.view().members[i].present }
 
-// lockedPrimary returns the primary on which the owner lock is held over a connection
-// that still stands, or group.NoMember.
+// lockedPrimary returns the primary on which this owner holds the owner lock over a
+// connection that still answers probes, or group.NoMember.
 func (o *Owner) lockedPrimary() int {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -135,8 +141,8 @@
 	return group.NoMember
 }
 
-// holdsLock reports whether the owner lock is held over a connection that still
-// stands. o.mu is held.
+// holdsLock reports whether this owner holds the owner lock over a connection that
+// still answers probes. o.mu must be held.
 func (o *Owner) holdsLock() bool {
 	l := o.leadership
 	return l != nil && o.sampleConns[l.primary] == l.conn && o.unansweredSince[l.primary].IsZero()
--- a/io/upstream/next.go
+++ b/io/upstream/next.go
@@ -6,8 +6,8 @@
 	"pearlatch/core/group"
 )
 
-// action is a change of the owner's standing that is due. Its implementations
-// are takeLock, promote, switchOver, attach and sweep.
+// action is a step of the owner that needs I/O. Its implementations are takeLock,
+// promote, switchOver, attach and sweep.
 type action interface{ isAction() }
 
 // nextAction returns the action that is due, or nil.
@@ -39,7 +39,8 @@
 	return o.nextAttach(led, now)
 }
 
-// nextLeaderless promotes once every member was heard or missed.
+// nextLeaderless returns the action of a group without a primary. It promotes a
+// member once every member has answered a probe or failed to. o.mu must be held.
 func (o *Owner) nextLeaderless(now time.Time) action {
 	var highest group.Term
 	for i, s := range o.samples {
@@ -54,10 +55,11 @@
 	return o.nextPromote(highest, group.NoMember)
 }
 
-// awaitsRival reports whether another host may be in the middle of a promotion, or
-// has promoted a member that is out of reach here. Two hosts that reach
-// different majorities would otherwise replace each other's primary for ever:
-// each waits twice as long as the last time, so that one gets to serve.
+// awaitsRival reports whether to wait because another host may be promoting a
+// member, or has promoted one that is unreachable from here. Without the wait, two
+// hosts that reach different majorities would replace each other's primary forever.
+// Each wait is twice as long as the one before, so that one host gets to serve. o.mu
+// must be held.
 func (o *Owner) awaitsRival(now time.Time) bool {
 	highest := group.Fence{}
 	for _, s := range o.samples {
@@ -76,6 +78,8 @@
 	return now.Before(o.rivalWaitUntil)
 }
 
+// nextPromote returns a promotion if a majority of the members, not counting the
+// suspect, answers probes. o.mu must be held.
 func (o *Owner) nextPromote(highest group.Term, suspect int) action {
 	present := 0
 	for i := range o.samples {
@@ -89,8 +93,8 @@
 	return promote{highest: highest, suspect: suspect}
 }
 
-// isDown reports whether the member refuses connections, or has not answered for
-// the time of silence.
+// isDown reports whether the member refuses connections, or has answered no probe for
+// longer than Timing.Silence. o.mu must be held.
 func (o *Owner) isDown(i int, now time.Time) bool {
 	if o.unansweredSince[i].IsZero() {
 		return false
@@ -98,7 +102,8 @@
 	return o.gone[i] && !o.options.Unsafe.SilenceOnly || now.Sub(o.samples[i].ReceivedAt) > o.options.Group.Timing.Silence
 }
 
-// hasSuccessor reports whether a member that stays could take over from primary.
+// hasSuccessor reports whether a member that follows the primary and is not leaving
+// could replace it. o.mu must be held.
 func (o *Owner) hasSuccessor(primary int) bool {
 	for i, s := range o.samples {
 		if i != primary && !o.leaving[i] && o.unansweredSince[i].IsZero() && group.Follows(s.Status, o.samples[primary].Status) {
@@ -108,6 +113,8 @@
 	return false
 }
 
+// nextAttach returns an attach for a replica that does not follow the primary, at
+// most one per attachTimeout and replica. o.mu must be held.
 func (o *Owner) nextAttach(led group.Led, now time.Time) action {
 	p := o.samples[led.Primary].Status
 	for i, s := range o.samples {
--- a/io/upstream/open.go
+++ b/io/upstream/open.go
@@ -7,8 +7,8 @@
 	"pearlatch/core/group"
 )
 
-// prewarm keeps half of each member's share of connections open, so that a
-// promoted member can be used at once.
+// prewarm opens connections to each member up to half of its limit, so that a
+// promoted member can be used at once. p.mu must be held.
 func (p *pool) prewarm() {
 	if p.closed {
 		return
@@ -32,9 +32,10 @@
 	}
 }
 
-// prewarmSuccessor opens a primary's share of connections to the member that is about to
-// be promoted, as those to the old primary go: the requests that wait for the
-// promotion would otherwise wait for connections as well.
+// prewarmSuccessor closes idle connections to the old primary and opens a primary's
+// share of connections to the member that is about to be promoted. Otherwise the
+// requests that wait for the promotion would then wait for connections as well. p.mu
+// must be held.
 func (p *pool) prewarmSuccessor(successor int, now time.Time) {
 	if p.primary != group.NoMember {
 		p.closeIdle(p.primary)
@@ -46,9 +47,9 @@
 	}
 }
 
-// tryOpen opens a connection to member i if its share and the group's budget
-// allow. When only the budget is in the way, an idle connection to another
-// member makes room.
+// tryOpen begins to open a connection to member i if the member's limit and the
+// group's connection budget allow it. If only the budget does not, an idle connection
+// to another member is closed. p.mu must be held.
 func (p *pool) tryOpen(i, limit int, now time.Time) {
 	m := &p.members[i]
 	if m.open() >= limit || m.opening >= maxOpening || now.Before(m.notBefore) || m.opening >= p.queue.Len()+1 {
@@ -61,6 +62,8 @@
 	go p.openConn(i)
 }
 
+// totalOpen returns the number of connections to all members that are open or being
+// opened. p.mu must be held.
 func (p *pool) totalOpen() int {
 	n := 0
 	for i := range p.members {
@@ -69,16 +72,19 @@
 	return n
 }
 
-// reserveForeign keeps the given number of connections for earlier owners, their
-// control connections included.
-func (p *pool) reserveForeign(strangers int) {
+// reserveForeign reserves the given number of connections for the sessions of other
+// owners, control connections included, and raises or lowers maxOpen accordingly.
+func (p *pool) reserveForeign(sessions int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	n := len(p.members)
-	p.maxOpen = min(p.limit, p.owner.options.Group.Connections-n-1-strangers)
+	p.maxOpen = min(p.limit, p.owner.options.Group.Connections-n-1-sessions)
 	p.assignQueued()
 }
 
+// evictIdle closes an idle connection to a member other than except, and reports
+// whether it did. It returns false if more than maxOpen connections are open. p.mu
+// must be held.
 func (p *pool) evictIdle(except int) bool {
 	if p.totalOpen() > p.maxOpen {
 		return false
@@ -93,6 +99,8 @@
 	return false
 }
 
+// openConn opens a connection to member i and assigns it to a waiting request, if
+// any. The caller has counted it in opening.
 func (p *pool) openConn(i int) {
 	ctx, cancel := context.WithTimeout(context.Background(), openTimeout)
 	defer cancel()
--- a/io/upstream/options.go
+++ b/io/upstream/options.go
@@ -13,36 +13,38 @@
 	"pearlatch/core/group"
 )
 
-// Options says what an owner needs to know.
+// Options configures an owner.
 type Options struct {
 	// Host is the identifier of this host.
 	Host string
 	// Group is the group to own.
 	Group config.Group
-	// User and Password are presented to members.
+	// User and Password authenticate pearlatch to members.
 	User, Password string
 	// Local is the address to dial from, or the zero value for any.
 	Local netip.Addr
-	// Witness asks other hosts whether they can reach a member. A nil Witness
-	// stands for no other host.
+	// Witness asks other hosts whether they can reach a member. If it is nil, no
+	// host is asked.
 	Witness Witness
-	// Yield gives the group away. A nil Yield keeps it.
+	// Yield hands the group to another host. If it is nil, the owner keeps the
+	// group.
 	Yield Yield
-	// Serial distinguishes the owners that one host starts for a group.
+	// Serial distinguishes the owners that a host starts for a group.
 	Serial uint64
-	// HostGone reports whether a host is gone, so that what it left on the members
-	// may be ended. A nil HostGone stands for none.
+	// HostGone reports whether a host is gone, so that its sessions on the members
+	// may be ended. If it is nil, no host counts as gone.
 	HostGone func(host string) bool
-	// Successor is the group's next owner, for the transactions that are still
-	// open while the group is handed over. It must not be nil if Close is ever
+	// Successor is the group's next owner. It confirms the transactions that are
+	// still open while the group is handed over, and must not be nil if Close can be
 	// called with transactions open.
 	Successor Successor
-	// Binding says when a read is bound to a member.
+	// Binding determines when a read is bound to a member.
 	Binding Binding
-	// Unsafe switches safeguards off. It is for tests that show what each one
-	// prevents, and for baselines; settings cannot reach it.
+	// Unsafe disables safeguards. It is for tests that show what each one prevents,
+	// and for baselines; no setting controls it.
 	Unsafe Unsafe
-	// ControlBytes, if not nil, counts what the control connections carry.
+	// ControlBytes, if not nil, counts the bytes read and written on the control
+	// connections.
 	ControlBytes *atomic.Int64
 	// Logger must not be nil.
 	Logger log.Logger
@@ -52,20 +54,21 @@
 
 //go:generate go tool stringer -type=Binding -linecomment -output=binding_string.go
 
-// Binding says when a read is bound to a member.
+// Binding determines when a read is bound to a member.
 type Binding int
 
 // The bindings.
 const (
-	// Late binds a read when a connection is free.
+	// Late binds a read when a connection becomes free.
 	Late Binding = iota // late
-	// EarlyTwo binds it on arrival to the less busy of two random members.
+	// EarlyTwo binds a read on arrival to the one of two random members with fewer
+	// bound reads.
 	EarlyTwo // early_two
-	// EarlyLeast binds it on arrival to the member with the fewest requests.
+	// EarlyLeast binds a read on arrival to the member with the fewest bound reads.
 	EarlyLeast // early_least
 )
 
-// Unsafe names safeguards to leave out. The zero value leaves out none.
+// Unsafe selects safeguards to disable. The zero value disables none.
 type Unsafe struct {
 	// SkipConfirm acknowledges writes before a majority holds them.
 	SkipConfirm bool
@@ -73,32 +76,33 @@
 	SkipFence bool
 	// IgnoreMarks lets any replica answer any read.
 	IgnoreMarks bool
-	// ReuseUndrained gives a connection back in the middle of an answer, and
-	// takes it again without a look.
+	// ReuseUndrained returns a connection to the pool in the middle of an answer,
+	// and reuses it without checking that it is alive.
 	ReuseUndrained bool
-	// FixedPrimary, if positive, replaces marks by a rule that needs none: for
-	// that long after a session's write, or after it first came by way of a
-	// host, its reads go to the primary; later ones to any replica.
+	// FixedPrimary, if positive, replaces session marks by a fixed duration: for
+	// that long after a session's last write through a host, or after its first use
+	// of the host, its reads go to the primary. Later reads go to any replica.
 	FixedPrimary time.Duration
 	// NoRefusal queues every request, however long it would wait.
 	NoRefusal bool
-	// SilenceOnly ignores refused connections: only silence counts.
+	// SilenceOnly ignores refused connections when a member is checked for failure.
+	// Only the time without an answer counts.
 	SilenceOnly bool
 }
 
 // Successor is the next owner of a group.
 type Successor interface {
-	// Confirm confirms what the primary of the term holds now, and lets the
-	// session see it.
+	// Confirm confirms everything that the primary of the term has written, and
+	// raises the session's mark accordingly.
 	Confirm(ctx context.Context, term group.Term, session string) error
-	// Released tells it that the owner lock is free and that no read is under
-	// way here any more.
+	// Released tells the next owner that the owner lock is free and that this owner
+	// sends no more answers that depend on its lease.
 	Released(ctx context.Context)
 }
 
-// WitnessResult is what other hosts say of a member.
+// WitnessResult is the result of asking other hosts whether they reach a member.
 type WitnessResult struct {
-	// Asked is how many hosts were asked, and Answered how many answered.
+	// Asked is the number of hosts asked, and Answered the number that answered.
 	Asked, Answered int
 	// Reached is how many of them got an answer from the member, and By the first
 	// of them.
--- a/io/upstream/owner.go
+++ b/io/upstream/owner.go
@@ -14,14 +14,16 @@
 	"pearlatch/core/group"
 )
 
-// stepInterval is how often the owner looks for silence when nothing else wakes it.
+// stepInterval is the interval at which the owner checks for members that do not
+// answer, and for other due actions, when nothing else wakes it.
 const stepInterval = 10 * time.Millisecond
 
-// idleStepInterval is the same while the group is idle.
+// idleStepInterval replaces stepInterval while the group is idle.
 const idleStepInterval = 200 * time.Millisecond
 
 // Owner owns a database group: it holds the group's connections, confirms its
-// writes and runs its failover. Use Start.
+// writes and runs its failover. Start creates an Owner. Its methods are safe for
+// concurrent use.
 type Owner struct {
 	options     Options
 	logger      log.Logger
@@ -34,68 +36,74 @@
 	stop        context.CancelFunc
 	done        sync.WaitGroup
 	currentView atomic.Pointer[view]
-	// lastRequest is when the newest request came, in nanoseconds since 1970.
+	// lastRequest is when the latest request arrived, in Unix nanoseconds.
 	lastRequest atomic.Int64
 
 	mu              sync.Mutex
 	samples         []group.Sample
 	sampleConns     []uint64    // control connection of each sample
-	unansweredSince []time.Time // when probes of the member began to fail, or zero
+	unansweredSince []time.Time // when probes of the member began to fail; zero while they succeed
 	gone            []bool      // the member refused or reset
 	leaving         []bool
 	history         freshness.PositionHistory
 	phase           Phase
 	leadership      *leadership
 	waiters         map[*confirmWaiter]struct{}
-	// lastTerm and lastEnd are the term that ended in the newest promotion here,
-	// and the position up to which its log survived.
+	// lastTerm is the term that ended with the latest promotion by this owner, and
+	// lastEnd the position up to which its log survived.
 	lastTerm group.Term
 	lastEnd  group.LSN
-	// notBefore delays the next action, and attachAfter that of one member.
+	// notBefore is the earliest time of the next action, and attachAfter that of the
+	// next attach of each member.
 	notBefore   time.Time
 	attachAfter []time.Time
 	started     time.Time
 
-	// rivalFence is the highest fence seen while no primary was in sight, rivalUntil
-	// how long its host is waited for, and rivals how often that began.
+	// rivalFence is the highest fence seen while no primary was known,
+	// rivalWaitUntil the end of the wait for the promotion by its host, and
+	// rivalWaits the number of such waits.
 	rivalFence     group.Fence
 	rivalWaitUntil time.Time
 	rivalWaits     int
-	// foreignSessions is how many sessions of other owners were counted at swept.
+	// foreignSessions is the number of sessions of other owners, counted at sweptAt.
 	foreignSessions int
 	sweptAt         time.Time
-	// predecessorReleased is true once the previous owner said that it answers nothing any
-	// more, so that its lease need not be waited for.
+	// predecessorReleased is true once the previous owner has reported that it sends
+	// no more answers that depend on its lease, so that this owner need not wait for
+	// the lease to end.
 	predecessorReleased bool
 
-	// lockDeniedAt is when another session was first found to hold the owner lock, and
-	// forced how often one was ended. They belong to run.
+	// lockDeniedAt is when another session was first found to hold the owner lock,
+	// and forcedUnlocks the number of such sessions ended. Only actions started by
+	// run use them.
 	lockDeniedAt  time.Time
 	forcedUnlocks int
 }
 
-// leadership is a reign over the group: an owner lock on the primary.
+// leadership is the state of leading the group in one term, under an owner lock on
+// the primary.
 type leadership struct {
 	primary int
 	term    group.Term
-	// conn is the control connection that holds the owner lock. Answers that
-	// came over another one show nothing about the lock.
+	// conn is the number of the control connection that holds the owner lock. An
+	// answer over another connection does not show that the lock is still held.
 	conn uint64
-	// floor is the primary's position, asked for after the lock was taken.
+	// floor is the primary's position in the sample requested after the lock was
+	// taken.
 	floor group.Position
-	// ackAfter is when the previous owner's lease has certainly ended. Until
-	// then its host may still answer reads, which must not miss a write
-	// acknowledged here.
+	// ackAfter is when the previous owner's lease has certainly ended. Until then
+	// that owner may still answer reads, which would miss a write acknowledged
+	// here.
 	ackAfter time.Time
 	// leaseUntil and confirmedAt are as in view.
 	leaseUntil, confirmedAt time.Time
 }
 
-// Start begins to own a group. Close ends it.
+// Start starts an owner of the group. The caller must call Close to stop it.
 func Start(o Options) *Owner {
 	n := len(o.Group.Members)
 	ctx, stop := context.WithCancel(context.Background())
-	w := &Owner{
+	owner := &Owner{
 		options:         o,
 		logger:          log.With(o.Logger, "group", o.Group.Name),
 		wakeup:          make(chan struct{}, 1),
@@ -113,27 +121,28 @@
 		stats: newOwnerStats(o.Metrics, o.Group.Name),
 	}
 	for i, m := range o.Group.Members {
-		w.leaving[i] = m.Leaving
-		w.probers = append(w.probers, newProber(o, m, w.probeInterval, func(a probeResult) { w.observe(i, a) }))
+		owner.leaving[i] = m.Leaving
+		owner.probers = append(owner.probers, newProber(o, m, owner.probeInterval, func(a probeResult) { owner.observe(i, a) }))
 	}
-	w.publish()
-	w.pool = newPool(w)
-	for _, p := range w.probers {
-		w.done.Go(func() { p.run(ctx) })
+	owner.publish()
+	owner.pool = newPool(owner)
+	for _, p := range owner.probers {
+		owner.done.Go(func() { p.run(ctx) })
 	}
-	w.done.Go(func() { w.run(ctx) })
-	return w
+	owner.done.Go(func() { owner.run(ctx) })
+	return owner
 }
 
 const (
-	// idleTimeout is how long a group must be without requests to count as idle.
+	// idleTimeout is the time without requests after which a group is idle.
 	idleTimeout = time.Second
-	// idleProbeInterval is the pause between probes of an idle group's members. Nobody
-	// waits for what they would tell, and the next request has all asked at once.
+	// idleProbeInterval is the minimum interval between probes of an idle group's
+	// members. No request waits for the results, and the next request makes all
+	// members be probed at once.
 	idleProbeInterval = 2 * time.Second
 )
 
-// probeInterval returns the pause between two probes of a member.
+// probeInterval returns the current interval between two probes of a member.
 func (o *Owner) probeInterval() time.Duration {
 	if o.view().phase == Serving && time.Since(time.Unix(0, o.lastRequest.Load())) > idleTimeout {
 		return max(idleProbeInterval, o.options.Group.Timing.ProbeInterval)
@@ -141,7 +150,8 @@
 	return o.options.Group.Timing.ProbeInterval
 }
 
-// recordRequest records a request, and wakes the probes of an idle group.
+// recordRequest records the arrival of a request, and has the members of an idle
+// group probed at once.
 func (o *Owner) recordRequest() {
 	now := time.Now()
 	last := time.Unix(0, o.lastRequest.Swap(now.UnixNano()))
@@ -153,7 +163,7 @@
 // Group returns the configuration of the group.
 func (o *Owner) Group() config.Group { return o.options.Group }
 
-// run takes the decisions that need time or I/O.
+// run carries out due actions until ctx ends.
 func (o *Owner) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		o.step(ctx)
@@ -167,8 +177,8 @@
 	}
 }
 
-// stepDelay returns how long the owner waits for something to happen before it looks
-// by itself. Answers and missed probes wake it in any case.
+// stepDelay returns how long run waits before its next step. The result of a probe
+// wakes it earlier.
 func (o *Owner) stepDelay() time.Duration {
 	if o.probeInterval() >= idleProbeInterval {
 		return idleStepInterval
@@ -176,7 +186,7 @@
 	return stepInterval
 }
 
-// wake makes run take a step.
+// wake makes run take its next step at once.
 func (o *Owner) wake() {
 	select {
 	case o.wakeup <- struct{}{}:
@@ -184,7 +194,7 @@
 	}
 }
 
-// step carries out at most one change of the owner's standing.
+// step carries out the action that is due, if any.
 func (o *Owner) step(ctx context.Context) {
 	switch a := o.nextAction(time.Now()).(type) {
 	case takeLock:
@@ -201,7 +211,7 @@
 	}
 }
 
-// observe takes in the result of a probe.
+// observe records the result of a probe of member i and publishes the new view.
 func (o *Owner) observe(i int, a probeResult) {
 	o.mu.Lock()
 	switch a := a.(type) {
@@ -225,7 +235,9 @@
 	o.wake()
 }
 
-// applySamples draws the consequences of the samples. o.mu is held.
+// applySamples renews the lease and resolves waiters as far as the samples allow. It
+// does nothing unless the primary's sample comes from the connection that holds the
+// owner lock. o.mu must be held.
 func (o *Owner) applySamples() {
 	l := o.leadership
 	if l == nil || o.sampleConns[l.primary] != l.conn {
@@ -243,9 +255,9 @@
 	o.pruneMarks(l)
 }
 
-// pruneMarks drops the marks that all present replicas have passed. A replica
-// that is away is checked against the mark when it returns only if the mark is
-// still there, so its absence keeps the marks.
+// pruneMarks removes the session marks that all replicas have reached. It removes
+// none while a replica has no sample or does not follow the primary: when that
+// replica returns, it must be checked against the marks. o.mu must be held.
 func (o *Owner) pruneMarks(l *leadership) {
 	reached := group.Position{Term: l.term, LSN: o.samples[l.primary].Status.Received}
 	for i, s := range o.samples {
@@ -262,7 +274,7 @@
 	}
 }
 
-// publish makes the present state visible to readers. o.mu is held.
+// publish stores a new view of the current state. o.mu must be held.
 func (o *Owner) publish() {
 	v := &view{phase: o.phase, primary: group.NoMember, successor: group.NoMember, members: make([]memberView, len(o.samples))}
 	for i := range o.samples {
@@ -280,8 +292,8 @@
 	o.currentView.Store(v)
 }
 
-// likelySuccessor returns the replica that has received the most of those that may be
-// promoted. o.mu is held.
+// likelySuccessor returns the promotable replica that has received the most WAL, or
+// group.NoMember. o.mu must be held.
 func (o *Owner) likelySuccessor(l *leadership) int {
 	best := group.NoMember
 	for i, s := range o.samples {
@@ -295,6 +307,7 @@
 	return best
 }
 
+// viewReplicas sets the positions and ages of the replicas in v. o.mu must be held.
 func (o *Owner) viewReplicas(v *view, l *leadership) {
 	p := o.samples[l.primary].Status
 	for i, s := range o.samples {
@@ -302,16 +315,16 @@
 			continue
 		}
 		m := &v.members[i]
-		// A replica that has not reached the term's first record shows an older
-		// term's data: its position counts in that term.
+		// A replica that has not replayed the term's first record shows data of an
+		// older term, so its position belongs to that term.
 		m.replica.Position = group.Position{Term: s.Status.LogTerm, LSN: s.Status.Replayed}
 		m.follows = group.Follows(s.Status, p) || s.Status.LogTerm == l.term
 		m.replica.AsOf = o.history.AsOf(m.replica.Position)
 	}
 }
 
-// replicaWait predicts how long a read waits until some replica may answer it. It
-// returns false when no replica is expected to.
+// replicaWait estimates how long a read waits until some replica is fresh enough. It
+// returns false if no replica is expected to be.
 func (o *Owner) replicaWait(need freshness.Requirement, now time.Time) (time.Duration, bool) {
 	v := o.view()
 	o.mu.Lock()
@@ -329,9 +342,10 @@
 	return best, found
 }
 
+// view returns the current view.
 func (o *Owner) view() *view { return o.currentView.Load() }
 
-// lastPosition returns the primary's position as it was last heard.
+// lastPosition returns the primary's position in its latest sample.
 func (o *Owner) lastPosition() group.Position {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -341,7 +355,8 @@
 	return group.Position{Term: o.leadership.term, LSN: o.samples[o.leadership.primary].Status.Received}
 }
 
-// SetLeaving marks members that must get no new work, by name.
+// SetLeaving marks the members for which leaving returns true. They get no new work.
+// leaving is called with the owner's lock held.
 func (o *Owner) SetLeaving(leaving func(member string) bool) {
 	o.mu.Lock()
 	for i, m := range o.options.Group.Members {
@@ -353,25 +368,26 @@
 	o.wake()
 }
 
-// probeAll makes all probers ask at once.
+// probeAll makes all probers probe at once.
 func (o *Owner) probeAll() {
 	for _, p := range o.probers {
 		p.wake()
 	}
 }
 
-// leaderlessTimeout is how long a group may be without a confirmed primary before new
-// requests are refused at once instead of waiting for the failover to end.
+// leaderlessTimeout is how long a group may be without a confirmed primary before
+// new requests are refused at once instead of waiting for the failover to end.
 const leaderlessTimeout = 5 * time.Second
 
-// confirmationTTL is how old the last confirmation may be for new writes to be
-// sent.
+// confirmationTTL returns the maximum age of the last confirmation at which new
+// writes are still sent.
 func (o *Owner) confirmationTTL() time.Duration {
 	t := o.options.Group.Timing
 	return t.ProbeInterval + t.Silence
 }
 
-// leaderlessFor returns for how long no majority has confirmed a primary.
+// leaderlessFor returns the time since a majority last confirmed a primary, or since
+// the start if none has.
 func (o *Owner) leaderlessFor(now time.Time) time.Duration {
 	last := o.view().confirmedAt
 	if last.IsZero() {
--- a/io/upstream/pool.go
+++ b/io/upstream/pool.go
@@ -13,14 +13,16 @@
 )
 
 const (
-	// queueLimit bounds the requests that wait for a connection of one group.
+	// queueLimit is the maximum number of requests that wait for a connection of one
+	// group.
 	queueLimit = 4096
-	// openTimeout bounds the opening of a pooled connection.
+	// openTimeout is the timeout of opening a pooled connection.
 	openTimeout = 2 * time.Second
-	// openRetryDelay is the pause after a failed attempt to open a connection.
+	// openRetryDelay is the delay after a failed attempt to open a connection.
 	openRetryDelay = 50 * time.Millisecond
-	// maxOpening is how many connections to one member are opened at once, so
-	// that the members are not flooded after an availability zone was lost.
+	// maxOpening is the maximum number of connections to one member that are being
+	// opened at the same time, so that the members are not flooded after the loss of
+	// an availability zone.
 	maxOpening = 4
 )
 
@@ -29,24 +31,26 @@
 	request     *statement.Request
 	kind        statement.Kind
 	requirement freshness.Requirement
-	// primaryAt is when a read may go to the primary.
+	// primaryAt is the time from which a read may be sent to the primary.
 	primaryAt time.Time
 	deadline  time.Time
-	// late is set, before ready gets nil, when the deadline came too near.
+	// late is set, before nil is sent to ready, when too little time is left until
+	// the deadline.
 	late bool
-	// member is what an early binding has chosen, or group.NoMember.
+	// member is the member chosen by an early binding, or group.NoMember.
 	member int
-	ready  chan *conn // buffered, gets at most one
+	ready  chan *conn // buffered, receives at most one value
 }
 
-// pool holds the connections of a group. Requests wait in one queue and are
-// bound to a member when a connection is free, not when they arrive.
+// pool holds the connections to a group's members. Requests wait in one queue. With
+// the binding Late they are bound to a member when a connection is free, not when
+// they arrive. Methods are safe for concurrent use unless they require p.mu.
 type pool struct {
 	owner  *Owner
 	dialer dialer
-	// limit is the most connections to all members together. Of the group's
-	// budget it leaves two control connections a member: ours, and those of an
-	// owner that takes over.
+	// limit is the maximum number of pooled connections to all members together. It
+	// leaves room in the group's connection budget for two control connections per
+	// member: this owner's, and that of an owner that takes over.
 	limit      int
 	primaryCap int
 	replicaCap int
@@ -55,12 +59,13 @@
 	members   []memberPool
 	queue     *admission.Queue[*connRequest]
 	holdTimes admission.Estimate
-	primary   int // that the connections were opened for
-	// maxOpen is how many connections may be open now. It is below limit while an
-	// earlier owner holds some, and zero until those were counted.
+	primary   int // the primary that the connections were opened for
+	// maxOpen is the number of connections that may be open now. It is below limit
+	// while another owner holds some, and zero until those have been counted.
 	maxOpen int
 	closed  bool
-	// staleReads is how many reads wait for a replica to become fresh enough.
+	// staleReads is the number of reads that wait for a replica to become fresh
+	// enough.
 	staleReads int
 }
 
@@ -69,10 +74,10 @@
 	idle    []*conn
 	busy    map[*conn]struct{}
 	opening int
-	// boundReads counts the reads that an early binding gave to the member and that
-	// have not ended.
+	// boundReads is the number of reads bound early to the member that have not
+	// ended.
 	boundReads int
-	// notBefore delays the next attempt to open a connection.
+	// notBefore is the earliest time of the next attempt to open a connection.
 	notBefore time.Time
 }
 
@@ -98,7 +103,8 @@
 	return p
 }
 
-// acquire returns a connection to a member that may serve the request.
+// acquire returns a connection to a member that can serve the request. It waits for
+// one until ctx ends or the deadline passes. The error is a *statement.Refusal.
 func (p *pool) acquire(ctx context.Context, w *connRequest, deadline time.Time) (*conn, error) {
 	p.mu.Lock()
 	if refusal := p.admissionRefusal(w, deadline); refusal != nil {
@@ -125,6 +131,7 @@
 	return p.wait(ctx, w, waiter, deadline)
 }
 
+// wait waits for a connection for w, which is in the queue.
 func (p *pool) wait(ctx context.Context, w *connRequest, waiter *admission.Waiter[*connRequest], deadline time.Time) (*conn, error) {
 	if w.kind == statement.Read {
 		defer p.probeWhileStale(w)()
@@ -143,7 +150,7 @@
 	queued := p.queue.Remove(waiter)
 	p.mu.Unlock()
 	if !queued {
-		// A connection, or the end of the pool, came at the last moment.
+		// A connection was assigned, or the request refused, at the last moment.
 		return p.assigned(w, <-w.ready)
 	}
 	if ctx.Err() != nil {
@@ -152,7 +159,8 @@
 	return nil, statement.NewNotRunRefusal(postgres.CodeCannotConnectNow, p.unavailableReason(w))
 }
 
-// assigned returns the connection that w got, or the reason why it got none.
+// assigned returns the connection c received from w.ready, or the refusal if c is
+// nil.
 func (p *pool) assigned(w *connRequest, c *conn) (*conn, error) {
 	switch {
 	case c != nil:
@@ -163,8 +171,9 @@
 	return nil, handoverRefusal()
 }
 
-// dispatch serves the queue. What still waits may wait for a replica's progress,
-// so the members are asked again at once.
+// dispatch adapts the pool to the current view, assigns connections to waiting
+// requests and prewarms connections. If reads still wait for a fresh replica, the
+// members are probed again at once.
 func (p *pool) dispatch() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -176,9 +185,9 @@
 	}
 }
 
-// followPrimary closes the connections that a change of primary has made useless.
-// Those to the old primary are closed even while they are in use: their
-// transactions can no longer be confirmed.
+// followPrimary closes the connections to the old primary after a change of primary,
+// also those in use: their transactions can no longer be confirmed. p.mu must be
+// held.
 func (p *pool) followPrimary() {
 	v := p.owner.view()
 	if v.primary == p.primary || v.primary == group.NoMember {
@@ -190,9 +199,10 @@
 	p.primary = v.primary
 }
 
-// closeReplica closes the connections to a replica that does not answer probes. Its
-// reads run anew on another member instead of waiting for their deadline. A
-// primary's are kept: its writes cannot be repeated, and it may come back.
+// closeReplica closes the connections to a replica that does not answer probes, so
+// that its reads are retried on another member instead of waiting for their deadline.
+// Connections to the primary are kept: writes cannot be retried, and the primary may
+// recover.
 func (p *pool) closeReplica(i int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -201,6 +211,8 @@
 	}
 }
 
+// closeMember closes all connections to member i, also those in use. p.mu must be
+// held.
 func (p *pool) closeMember(i int) {
 	p.closeIdle(i)
 	for c := range p.members[i].busy {
@@ -209,8 +221,8 @@
 	}
 }
 
-// assignQueued binds waiting requests to free connections and opens connections for
-// the rest. p.mu is held.
+// assignQueued assigns idle connections to waiting requests and begins to open
+// connections for the rest. p.mu must be held.
 func (p *pool) assignQueued() {
 	if p.closed {
 		return
@@ -233,8 +245,8 @@
 	}
 }
 
-// release returns a connection after its exchange. A connection that is not
-// clean is closed.
+// release returns a connection to the pool after its exchange. It closes a connection
+// that is not clean or that is unusable.
 func (p *pool) release(c *conn, clean bool) {
 	if clean && c.dirty {
 		clean = c.reset() == nil
@@ -255,7 +267,7 @@
 	p.assignQueued()
 }
 
-// markUnusable keeps a connection from being used again.
+// markUnusable prevents a connection from being used again after its exchange.
 func (p *pool) markUnusable(c *conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -269,7 +281,8 @@
 	return len(p.members[i].busy) == 0
 }
 
-// close refuses new requests and those that wait, and closes what is idle.
+// close refuses new and waiting requests and closes idle connections. Exchanges in
+// progress continue.
 func (p *pool) close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -293,7 +306,7 @@
 	p.members[i].idle = nil
 }
 
-// drain waits for open exchanges until ctx ends and closes all connections.
+// drain waits until no connection is in use or ctx ends, and closes all connections.
 func (p *pool) drain(ctx context.Context) {
 	for p.busyConns() > 0 && ctx.Err() == nil {
 		sleep(ctx, drainPollInterval)
@@ -305,8 +318,10 @@
 	}
 }
 
+// drainPollInterval is the interval at which drain checks for connections in use.
 const drainPollInterval = 5 * time.Millisecond
 
+// busyConns returns the number of connections in use.
 func (p *pool) busyConns() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/io/upstream/prober.go
+++ b/io/upstream/prober.go
@@ -12,19 +12,20 @@
 	"pearlatch/core/group"
 )
 
-// reconnectDelay is the pause between attempts to reach a member.
+// reconnectDelay is the delay between attempts to connect to a member.
 const reconnectDelay = 20 * time.Millisecond
 
-// connectTimeout bounds the opening of a control connection. It is above the
-// time that a loaded member takes to fork and authenticate.
+// connectTimeout is the timeout of opening a control connection. It is longer than a
+// loaded member takes to fork a backend and authenticate.
 const connectTimeout = 400 * time.Millisecond
 
-// prober keeps the control connection to one member and asks for its status.
+// prober keeps the control connection to one member, probes the member's status over
+// it, and runs jobs on it.
 type prober struct {
 	member  config.Member
 	dial    dialer
 	silence time.Duration
-	// interval returns the pause between two probes.
+	// interval returns the current interval between two probes.
 	interval func() time.Duration
 	report   func(probeResult)
 
@@ -32,19 +33,20 @@
 	jobs chan job
 
 	mu   sync.Mutex
-	conn uint64 // counts connections; zero before the first
+	conn uint64 // number of the latest connection; zero before the first
 }
 
-// probeResult is the result of one probe. Its implementations are heard and missed.
+// probeResult is the result of one probe. Its implementations are probeAnswered and
+// probeFailed.
 type probeResult interface{ isProbeResult() }
 
-// probeAnswered is a status.
+// probeAnswered is a probe that returned a status.
 type probeAnswered struct {
 	sample group.Sample
-	conn   uint64 // the connection that it came over
+	conn   uint64 // number of the connection used
 }
 
-// probeFailed is a probe without an answer.
+// probeFailed is a probe without an answer, or a failed attempt to connect.
 type probeFailed struct {
 	err error
 	// gone is true when the member ended or refused the connection.
@@ -54,26 +56,27 @@
 func (probeAnswered) isProbeResult() {}
 func (probeFailed) isProbeResult()   {}
 
-// job is work for the control connection.
+// job is a function to run on the control connection, and its result. number is the
+// number of the connection.
 type job struct {
 	ctx  context.Context
 	run  func(ctx context.Context, conn *pgconn.PgConn, number uint64) error
 	done chan error
 }
 
-func newProber(o Options, m config.Member, pace func() time.Duration, report func(probeResult)) *prober {
+func newProber(o Options, m config.Member, interval func() time.Duration, report func(probeResult)) *prober {
 	return &prober{
 		member:   m,
 		dial:     newDialer(o).metered(o.ControlBytes),
 		silence:  o.Group.Timing.Silence,
-		interval: pace,
+		interval: interval,
 		report:   report,
 		kick:     make(chan struct{}, 1),
 		jobs:     make(chan job),
 	}
 }
 
-// wake makes the prober ask at once.
+// wake makes the prober probe at once.
 func (p *prober) wake() {
 	select {
 	case p.kick <- struct{}{}:
@@ -81,7 +84,9 @@
 	}
 }
 
-// do runs work on the control connection. It fails when there is none.
+// do runs a function on the control connection, between probes. It fails if no
+// connection becomes available or the function has not ended before ctx ends. The
+// function may then still be running.
 func (p *prober) do(ctx context.Context, run func(context.Context, *pgconn.PgConn, uint64) error) error {
 	j := job{ctx: ctx, run: run, done: make(chan error, 1)}
 	select {
@@ -97,7 +102,7 @@
 	}
 }
 
-// run probes until ctx ends.
+// run connects to the member and probes it until ctx ends.
 func (p *prober) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		if !p.connectAndProbe(ctx) {
@@ -106,6 +111,7 @@
 	}
 }
 
+// sleep waits for the duration or until ctx ends.
 func sleep(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
@@ -115,8 +121,8 @@
 	}
 }
 
-// connectAndProbe opens a connection and probes over it until it fails. It returns
-// false when it could not open one.
+// connectAndProbe opens a control connection and probes over it until it fails or ctx
+// ends. It returns false if it could not open one.
 func (p *prober) connectAndProbe(ctx context.Context) bool {
 	dialCtx, cancel := context.WithTimeout(ctx, connectTimeout)
 	conn, err := p.dial.connect(dialCtx, p.member)
@@ -146,13 +152,14 @@
 	return true
 }
 
+// reportFailure reports a failed probe, unless ctx has ended.
 func (p *prober) reportFailure(ctx context.Context, err error) {
 	if ctx.Err() == nil {
 		p.report(probeFailed{err: err, gone: isConnRefused(err)})
 	}
 }
 
-// closeNow closes a connection without waiting for the member.
+// closeNow closes a connection without waiting for the server.
 func closeNow(conn *pgconn.PgConn) {
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
@@ -160,6 +167,7 @@
 	_ = conn.Conn().Close()
 }
 
+// probe queries the member's status and reports it.
 func (p *prober) probe(ctx context.Context, conn *pgconn.PgConn, number uint64) error {
 	askCtx, cancel := context.WithTimeout(ctx, p.silence)
 	defer cancel()
@@ -172,7 +180,8 @@
 	return nil
 }
 
-// awaitNextProbe waits for the next probe and runs jobs meanwhile.
+// awaitNextProbe waits until the next probe is due and runs jobs meanwhile. It fails
+// if a job closed the connection.
 func (p *prober) awaitNextProbe(ctx context.Context, conn *pgconn.PgConn, number uint64) error {
 	t := time.NewTimer(p.interval())
 	defer t.Stop()
--- a/io/upstream/quiesce.go
+++ b/io/upstream/quiesce.go
@@ -8,8 +8,9 @@
 	"pearlatch/core/group"
 )
 
-// quiesce waits until no transaction is open on the primary, no write waits for
-// its confirmation, and a replica that stays holds everything.
+// quiesce waits until no transaction is open on the primary, no write waits for its
+// confirmation, and a replica that is not leaving holds the whole log. It fails if ctx
+// ends first.
 func (o *Owner) quiesce(ctx context.Context, a switchOver) error {
 	for !o.pool.isIdle(a.primary) || !o.caughtUp(a.primary) {
 		o.probeAll()
@@ -21,7 +22,8 @@
 	return nil
 }
 
-// caughtUp reports whether a replica that stays holds all of the primary's log.
+// caughtUp reports whether a replica that is not leaving holds all of the primary's
+// log, and no write waits for its confirmation.
 func (o *Owner) caughtUp(primary int) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/io/upstream/snapshot.go
+++ b/io/upstream/snapshot.go
@@ -6,7 +6,7 @@
 	"pearlatch/core/group"
 )
 
-// Snapshot is what an owner knows at one moment, for the state dump.
+// Snapshot is the state of an owner at one time, for the state dump.
 type Snapshot struct {
 	Group       string
 	Phase       Phase
@@ -25,7 +25,7 @@
 	Members     []MemberSnapshot
 }
 
-// MemberSnapshot is what an owner knows of a member.
+// MemberSnapshot is the state of a member as known to its group's owner.
 type MemberSnapshot struct {
 	Name, Address, Zone string
 	Primary             bool
@@ -33,12 +33,14 @@
 	Leaving             bool
 	Follows             bool
 	Received, Replayed  group.Position
-	// Age bounds the age of the member's data. It is negative when unknown.
+	// Age is an upper bound of the age of the member's data. It is negative if
+	// unknown.
 	Age        time.Duration
 	Idle, Busy int
 }
 
-// Snapshot returns what the owner knows.
+// Snapshot returns the current state of the owner. It may be called from any
+// goroutine.
 func (o *Owner) Snapshot() Snapshot {
 	now := time.Now()
 	v := o.view()
@@ -62,7 +64,8 @@
 	return s
 }
 
-// memberSnapshot describes a member without its connections. o.mu is held.
+// memberSnapshot returns the state of a member without its connections. o.mu must be
+// held.
 func (o *Owner) memberSnapshot(i int, name string, v *view, now time.Time) MemberSnapshot {
 	m := o.options.Group.Members[i]
 	st := o.samples[i].Status
@@ -79,7 +82,7 @@
 	return out
 }
 
-// snapshot adds what the pool knows.
+// snapshot adds the state of the pool to s.
 func (p *pool) snapshot(s *Snapshot) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/io/upstream/sql.go
+++ b/io/upstream/sql.go
@@ -8,7 +8,8 @@
 	"pearlatch/core/group"
 )
 
-// Keys of the advisory locks that pearlatch takes on members.
+// Keys of the advisory locks that pearlatch takes on members. The statements below
+// repeat them.
 const (
 	// OwnerLock is held on the primary by the owner of the group.
 	OwnerLock = 7020
@@ -16,10 +17,10 @@
 	FenceLock = 7021
 )
 
-// The statements below are PostgreSQL 17's own: ALTER SYSTEM takes a setting
-// with a custom prefix from that version on.
+// The statements below require PostgreSQL 17: earlier versions of ALTER SYSTEM do not
+// accept a setting with a custom prefix.
 const (
-	// StatusSQL returns the columns of a group.Status.
+	// StatusSQL returns the columns from which a group.Status is parsed.
 	StatusSQL = `SELECT pg_is_in_recovery(),` +
 		` COALESCE(current_setting('pearlatch.term', true), ''),` +
 		` EXISTS (SELECT 1 FROM pg_stat_wal_receiver WHERE status = 'streaming'),` +
@@ -28,22 +29,23 @@
 		` (SELECT max(term) FROM pearlatch.terms),` +
 		` CASE WHEN pg_is_in_recovery() THEN pg_last_wal_receive_lsn() ELSE pg_current_wal_flush_lsn() END,` +
 		` CASE WHEN pg_is_in_recovery() THEN pg_last_wal_replay_lsn() ELSE pg_current_wal_flush_lsn() END`
-	// PromoteSQL ends recovery and waits for that.
+	// PromoteSQL ends recovery and waits for its end.
 	PromoteSQL = `SELECT pg_promote()`
-	// ReloadSQL makes settings of ALTER SYSTEM active.
+	// ReloadSQL applies the settings of ALTER SYSTEM.
 	ReloadSQL = `SELECT pg_reload_conf()`
-	// TermSQL reads the stored fence.
+	// TermSQL returns the stored fence as "term:host".
 	TermSQL = `SELECT COALESCE(current_setting('pearlatch.term', true), '')`
 	// TryOwnerLockSQL takes the owner lock unless another session holds it.
 	TryOwnerLockSQL = `SELECT pg_try_advisory_lock(7020)`
-	// DropOwnerLockSQL gives the owner lock back.
+	// DropOwnerLockSQL releases the owner lock.
 	DropOwnerLockSQL = `SELECT pg_advisory_unlock(7020)`
-	// TakeFenceLockSQL and DropFenceLockSQL bracket a change of the fence.
+	// TakeFenceLockSQL and DropFenceLockSQL take and release the lock that is held
+	// during a change of the fence.
 	TakeFenceLockSQL = `SELECT pg_advisory_lock(7021)`
 	DropFenceLockSQL = `SELECT pg_advisory_unlock(7021)`
 	// ReadOnlySQL makes new transactions on a leaving primary read-only.
 	ReadOnlySQL = `ALTER SYSTEM SET default_transaction_read_only = 'on'`
-	// ReadWriteSQL takes ReadOnlySQL back.
+	// ReadWriteSQL reverts ReadOnlySQL.
 	ReadWriteSQL = `ALTER SYSTEM SET default_transaction_read_only = 'off'`
 	// EndOwnerSQL ends the session that holds the owner lock.
 	EndOwnerSQL = `SELECT pg_terminate_backend(pid) FROM pg_locks WHERE locktype = 'advisory' AND objid = 7020`
--- a/io/upstream/stats.go
+++ b/io/upstream/stats.go
@@ -2,7 +2,7 @@
 
 import "github.com/rcrowley/go-metrics"
 
-// ownerStats are the metrics of one group.
+// ownerStats holds the metrics of one group.
 type ownerStats struct {
 	replicaReads, primaryReads, writes metrics.Counter
 	unknown, refused                   metrics.Counter
