--- a/io/upstream/answer.go
+++ b/io/upstream/answer.go
@@ -47,12 +47,13 @@
 	stageCommit              // the answer to COMMIT is due
 )
 
-// Simple queries around a wrapped read.
+// The messages around a wrapped read.
 var (
 	beginReadOnly = encodeQuery("BEGIN READ ONLY")
 	commitRead    = encodeQuery("COMMIT")
 )
 
+// encodeQuery returns the encoded Query message of a simple query.
 func encodeQuery(sql string) []byte {
 	return postgres.EndFrame(append(postgres.BeginFrame(nil, postgres.TypeQuery), sql+"\x00"...), 0)
 }
--- a/io/upstream/conn.go
+++ b/io/upstream/conn.go
@@ -59,7 +59,7 @@
 	// would take the first answer, and alive would block on it forever.
 	if err := pg.SyncConn(ctx); err != nil {
 		_ = pg.Close(ctx) // the connection is unusable in any case
-		return nil, errors.Wrap(err, "end the driver's reads")
+		return nil, errors.Wrap(err, "stop the driver's background reads")
 	}
 	h, err := pg.Hijack()
 	if err != nil {
--- a/io/upstream/conn_test.go
+++ b/io/upstream/conn_test.go
@@ -7,19 +7,19 @@
 	"pearlatch/core/group"
 )
 
-// A caller's write gets a connection to the primary, and at that moment another
-// member is promoted. If the exchange asked only then what its connection leads
-// to, it would hear "a replica", and acknowledge the write without confirmation:
-// the write is lost with the old primary.
+// Guards against acknowledging an unconfirmed write. If another member is promoted
+// right after an exchange acquired a connection to the primary, and the exchange
+// determined the member's role only then, it would take the old primary for a
+// replica and skip the confirmation. The write would be lost with the old primary.
 func TestConnKeepsRoleAtAcquisition(t *testing.T) {
-	before := &view{phase: Serving, primary: 0, term: 3}
+	oldView := &view{phase: Serving, primary: 0, term: 3}
 	c := &conn{member: 0}
-	c.markAcquired(before, time.Now())
-	after := &view{phase: Serving, primary: 1, term: 4}
+	c.markAcquired(oldView, time.Now())
+	newView := &view{phase: Serving, primary: 1, term: 4}
 	if c.replica || c.term != 3 {
-		t.Errorf("replica %v, term %d; want the primary of term 3, whatever %+v says", c.replica, c.term, *after)
+		t.Errorf("replica %v, term %d; want the primary of term 3, regardless of the later view %+v", c.replica, c.term, *newView)
 	}
-	c.markAcquired(after, time.Now())
+	c.markAcquired(newView, time.Now())
 	if !c.replica || c.term != 4 {
 		t.Errorf("replica %v, term %d; want a replica in term 4", c.replica, c.term)
 	}
@@ -39,11 +39,11 @@
 		row := append([]string(nil), row...)
 		row[i] = broken
 		if _, err := parseStatus(row); err == nil {
-			t.Errorf("column %d = %q was taken", i, broken)
+			t.Errorf("column %d = %q was accepted", i, broken)
 		}
 	}
 	if _, err := parseStatus(row[1:]); err == nil {
-		t.Error("a row with a column less was taken")
+		t.Error("a row with a missing column was accepted")
 	}
 }
 
--- a/io/upstream/exchange.go
+++ b/io/upstream/exchange.go
@@ -32,7 +32,7 @@
 	requirement freshness.Requirement
 	wrote       bool // a unit of the open transaction may have written
 	open        bool // the exchange continues after its last unit, as in a transaction
-	pinned      bool
+	pinned      bool // a unit left session state, so the exchange continues after a transaction
 	delivered   bool // a part of the current answer was passed to the sink
 	buf         []byte
 }
--- a/io/upstream/failover.go
+++ b/io/upstream/failover.go
@@ -51,7 +51,7 @@
 // promote replaces a failed primary, or promotes a member of a group that has no
 // primary.
 type promote struct {
-	// highest is the highest term seen on any member.
+	// highest is the term that ends. The new term is one higher.
 	highest group.Term
 	// suspect is the failed primary, or group.NoMember.
 	suspect int
--- a/io/upstream/hijack_test.go
+++ b/io/upstream/hijack_test.go
@@ -11,8 +11,8 @@
 	"github.com/jackc/pgx/v5/pgproto3"
 )
 
-// slowConn takes a while after each write, as on a machine that is busy: the driver then reads in the background, for
-// fear that both sides write and neither reads.
+// slowConn delays each write, as on a busy machine. The driver then starts to read in the background, to avoid a
+// deadlock in which both sides write and neither reads.
 type slowConn struct {
 	net.Conn
 	slow *atomic.Bool
@@ -26,7 +26,7 @@
 	return n, err
 }
 
-// serveEmptyQueries is a server that lets anybody in and answers each query with nothing.
+// serveEmptyQueries serves one connection: it accepts any user and returns EmptyQueryResponse to each query.
 func serveEmptyQueries(t *testing.T, nc net.Conn) {
 	b := pgproto3.NewBackend(nc, nc)
 	if _, err := b.ReceiveStartupMessage(); err != nil {
@@ -45,11 +45,10 @@
 	}
 }
 
-// Callers got no answers any more from a host that owned a group, for as long as it ran. A connection to a member was taken
-// from the driver while that still read from it in the background, since a write had been slow. The pool, whose lock was
-// held, asked whether the connection was alive and waited for that read; all else waited for the pool. Seen in a dump of the
-// goroutines: "(*conn).alive" in "(*fdMutex).rwlock", beside "bgreader.(*BGReader).bgRead". A connection that is
-// taken over must be ours alone, and the look at it must not wait.
+// Guards against a permanent hang of a group's owner. After a slow write the driver still read from a connection in the
+// background when the pool took the connection over. conn.alive, called with the pool's lock held, then blocked on that
+// read, and all requests blocked on the pool. A goroutine dump showed "(*conn).alive" in "(*fdMutex).rwlock", beside
+// "bgreader.(*BGReader).bgRead". A connection that was taken over must have no other reader, and alive must not block.
 func TestNewConnStopsBackgroundRead(t *testing.T) {
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -91,14 +90,14 @@
 	if inner, ok := c.net.(slowConn); ok {
 		c.net = inner.Conn
 	}
-	looked := make(chan bool, 1)
-	go func() { looked <- c.alive() }()
+	result := make(chan bool, 1)
+	go func() { result <- c.alive() }()
 	select {
-	case alive := <-looked:
+	case alive := <-result:
 		if !alive {
-			t.Error("the connection seems to have ended")
+			t.Error("alive reports an open connection as closed")
 		}
 	case <-time.After(10 * time.Second):
-		t.Fatal("the look at the connection waits")
+		t.Fatal("alive blocks")
 	}
 }
--- a/io/upstream/lock_test.go
+++ b/io/upstream/lock_test.go
@@ -8,10 +8,11 @@
 	"pearlatch/core/group"
 )
 
-// The previous owner says that it answers nothing any more, and this one serves
-// at once. Later its control connection breaks, a third owner may come between,
-// and it takes the lock again: the old word must not shorten the wait for the
-// third one's lease, or a read under that lease could miss a write.
+// Guards against reads that miss a write. The previous owner reports its release, so
+// this owner serves at once. Later its control connection breaks, a third owner may
+// lead the group in between, and this owner takes the lock again. The old report must
+// not shorten the wait for the third owner's lease, since a read under that lease
+// could miss a write.
 func TestPredecessorReleaseAppliesToOneLeadership(t *testing.T) {
 	o := &Owner{
 		options: Options{Group: config.Group{Timing: config.DefaultTiming()}},
@@ -28,18 +29,18 @@
 	}
 	wait := o.leaseExpiry(now)
 	if got := take(1); !got.Equal(wait) {
-		t.Errorf("without a word: acknowledges after %s", got.Sub(now))
+		t.Errorf("without a report: acknowledges after %s", got.Sub(now))
 	}
-	o.sampleConns[0] = 2 // the control connection was opened anew
+	o.sampleConns[0] = 2 // the control connection was reopened
 	o.PredecessorReleased()
 	if got := take(2); !got.Equal(now) {
-		t.Errorf("after the word: acknowledges after %s", got.Sub(now))
+		t.Errorf("after the report: acknowledges after %s", got.Sub(now))
 	}
-	o.PredecessorReleased() // arrives late: the lock is held already
+	o.PredecessorReleased() // arrives late, after the lock was taken
 	if !o.leadership.ackAfter.IsZero() {
-		t.Error("a late word did not end the wait")
+		t.Error("a late report did not end the wait")
 	}
 	if got := take(3); !got.Equal(wait) {
-		t.Errorf("in the next reign: acknowledges after %s", got.Sub(now))
+		t.Errorf("in the next leadership: acknowledges after %s", got.Sub(now))
 	}
 }
--- a/io/upstream/next.go
+++ b/io/upstream/next.go
@@ -10,7 +10,7 @@
 // promote, switchOver, attach and sweep.
 type action interface{ isAction() }
 
-// nextAction returns the action that is due, or nil.
+// nextAction returns the action that is due, or nil if there is none.
 func (o *Owner) nextAction(now time.Time) action {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/io/upstream/owner.go
+++ b/io/upstream/owner.go
@@ -43,7 +43,7 @@
 	samples         []group.Sample
 	sampleConns     []uint64    // control connection of each sample
 	unansweredSince []time.Time // when probes of the member began to fail; zero while they succeed
-	connRefused     []bool      // the member refused or reset
+	connRefused     []bool      // the member refused or reset the connection
 	leaving         []bool
 	history         freshness.PositionHistory
 	phase           Phase
--- a/io/upstream/prober.go
+++ b/io/upstream/prober.go
@@ -49,7 +49,7 @@
 // probeFailed is a probe without an answer, or a failed attempt to connect.
 type probeFailed struct {
 	err error
-	// connRefused is true when the member ended or refused the connection.
+	// connRefused is true if the member ended or refused the connection.
 	connRefused bool
 }
 
--- a/io/upstream/snapshot.go
+++ b/io/upstream/snapshot.go
@@ -14,7 +14,7 @@
 	Term        group.Term
 	Floor       group.Position
 	LeaseLeft   time.Duration
-	Confirmed   time.Duration // since the last confirmation
+	Confirmed   time.Duration // time since the last confirmation
 	Marks       int
 	Waiting     int
 	Unconfirmed int
