--- a/core/account/account.go
+++ b/core/account/account.go
@@ -4,8 +4,8 @@
 type Account struct {
 	// Name is unique. Members receive it, but never a key.
 	Name string
-	// Keys are the fingerprints of the keys that callers may present. Nobody can use an account without keys.
-	Keys []Fingerprint
+	// KeyFingerprints are the fingerprints of the keys that callers may present. Nobody can use an account without keys.
+	KeyFingerprints []Fingerprint
 	// Priority is 0 for the most important accounts.
 	Priority int
 	Quota    Quota
--- a/core/account/account_test.go
+++ b/core/account/account_test.go
@@ -11,8 +11,8 @@
 
 func TestDirectoryFindsAccountByKey(t *testing.T) {
 	d, err := NewDirectory([]Account{
-		{Name: "bakery", Keys: []Fingerprint{FingerprintOf("k1"), FingerprintOf("k2")}, Quota: Quota{Rate: 5, Burst: 5}},
-		{Name: "canteen", Keys: []Fingerprint{FingerprintOf("k3")}},
+		{Name: "bakery", KeyFingerprints: []Fingerprint{FingerprintOf("k1"), FingerprintOf("k2")}, Quota: Quota{Rate: 5, Burst: 5}},
+		{Name: "canteen", KeyFingerprints: []Fingerprint{FingerprintOf("k3")}},
 		{Name: "closed"},
 	})
 	if err != nil {
@@ -36,7 +36,7 @@
 func TestDirectoryComparesWholeFingerprints(t *testing.T) {
 	a, b := FingerprintOf("k"), FingerprintOf("k")
 	b[len(b)-1] ^= 1
-	d, err := NewDirectory([]Account{{Name: "a", Keys: []Fingerprint{a}}})
+	d, err := NewDirectory([]Account{{Name: "a", KeyFingerprints: []Fingerprint{a}}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -50,10 +50,10 @@
 	_, err := NewDirectory([]Account{
 		{Name: "", Quota: Quota{Rate: -1, Burst: 1}},
 		{Name: "a b", Quota: Quota{Rate: math.Inf(1), Burst: 1}},
-		{Name: "twice", Keys: []Fingerprint{same, same}, Quota: Quota{Rate: 5}},
-		{Name: "twice", Keys: []Fingerprint{same}, Quota: Quota{Burst: 3}},
+		{Name: "twice", KeyFingerprints: []Fingerprint{same, same}, Quota: Quota{Rate: 5}},
+		{Name: "twice", KeyFingerprints: []Fingerprint{same}, Quota: Quota{Burst: 3}},
 		{Name: strings.Repeat("n", maxNameLen+1), Priority: -1, Quota: Quota{Rate: 1, Burst: 2 * maxRate}},
-		{Name: "fine", Keys: []Fingerprint{FingerprintOf("other")}, Priority: 1, Quota: Quota{Rate: 1, Burst: 1}},
+		{Name: "fine", KeyFingerprints: []Fingerprint{FingerprintOf("other")}, Priority: 1, Quota: Quota{Rate: 1, Burst: 1}},
 	})
 	if err == nil {
 		t.Fatal("no error")
@@ -81,7 +81,7 @@
 	for _, n := range []int{100, 10_000} {
 		accounts := make([]Account, n)
 		for i := range accounts {
-			accounts[i] = Account{Name: fmt.Sprint("a", i), Keys: []Fingerprint{FingerprintOf(fmt.Sprint("k", i))}}
+			accounts[i] = Account{Name: fmt.Sprint("a", i), KeyFingerprints: []Fingerprint{FingerprintOf(fmt.Sprint("k", i))}}
 		}
 		d, err := NewDirectory(accounts)
 		if err != nil {
--- a/core/account/check.go
+++ b/core/account/check.go
@@ -66,7 +66,7 @@
 		if a.Priority < 0 || a.Priority > maxPriority {
 			errs.Add(field+".priority", "%d, must be between 0 and %d", a.Priority, maxPriority)
 		}
-		for j, k := range a.Keys {
+		for j, k := range a.KeyFingerprints {
 			path := fmt.Sprintf("%s.keys[%d]", field, j)
 			if first, ok := keys[k]; ok {
 				errs.Add(path, "is the same key as %s", first)
--- a/core/account/directory.go
+++ b/core/account/directory.go
@@ -16,8 +16,8 @@
 
 // keyEntry is a key and its account.
 type keyEntry struct {
-	key     Fingerprint
-	account *Account
+	fingerprint Fingerprint
+	account     *Account
 }
 
 // NewDirectory returns a directory of the accounts. An error is of type FieldErrors and lists every invalid field. The
@@ -30,7 +30,7 @@
 	for i := range accounts {
 		a := &accounts[i]
 		d.byName[a.Name] = a
-		for _, k := range a.Keys {
+		for _, k := range a.KeyFingerprints {
 			d.byKeyPrefix[k.prefix()] = append(d.byKeyPrefix[k.prefix()], keyEntry{k, a})
 		}
 	}
@@ -42,7 +42,7 @@
 // AccountForKey returns the account that the key belongs to, or nil.
 func (d *Directory) AccountForKey(key Fingerprint) *Account {
 	for _, h := range d.byKeyPrefix[key.prefix()] {
-		if h.key.Equal(key) {
+		if h.fingerprint.Equal(key) {
 			return h.account
 		}
 	}
--- a/core/admission/admission_test.go
+++ b/core/admission/admission_test.go
@@ -74,8 +74,8 @@
 	}
 }
 
-func TestEstimate(t *testing.T) {
-	var e Estimate
+func TestWaitEstimator(t *testing.T) {
+	var e WaitEstimator
 	if e.ExpectedWait(10, 2) != 0 {
 		t.Error("expected a wait of 0 without observations")
 	}
--- a/core/admission/estimate.go
+++ b/core/admission/estimate.go
@@ -5,15 +5,15 @@
 // sampleWeight is the weight of a new sample in the moving average of Estimate.
 const sampleWeight = 0.1
 
-// Estimate predicts how long a new request waits, from the mean time for which
+// WaitEstimator predicts how long a new request waits, from the mean time for which
 // requests hold a connection. The zero value predicts no wait. It is not safe
 // for concurrent use.
-type Estimate struct {
+type WaitEstimator struct {
 	meanHold time.Duration
 }
 
 // Observe records how long a request held its connection.
-func (e *Estimate) Observe(hold time.Duration) {
+func (e *WaitEstimator) Observe(hold time.Duration) {
 	if e.meanHold == 0 {
 		e.meanHold = hold
 		return
@@ -23,10 +23,10 @@
 
 // MeanHold returns the moving average of the time for which a request holds its
 // connection.
-func (e *Estimate) MeanHold() time.Duration { return e.meanHold }
+func (e *WaitEstimator) MeanHold() time.Duration { return e.meanHold }
 
 // ExpectedWait returns the expected wait behind the given number of requests,
 // which share the given number of connections. connections must be positive.
-func (e *Estimate) ExpectedWait(ahead, connections int) time.Duration {
+func (e *WaitEstimator) ExpectedWait(ahead, connections int) time.Duration {
 	return e.meanHold * time.Duration(ahead) / time.Duration(connections)
 }
--- a/core/joining/joiner.go
+++ b/core/joining/joiner.go
@@ -126,7 +126,7 @@
 }
 
 // backoff returns the pause after this round, with jitter.
-func (j *Joiner) backoff() Pause {
+func (j *Joiner) backoff() Backoff {
 	pause := min(initialBackoff<<min(j.round-1, 4), maxBackoff)
-	return Pause{time.Duration((0.5 + j.random()) * float64(pause))}
+	return Backoff{time.Duration((0.5 + j.random()) * float64(pause))}
 }
--- a/core/joining/joiner_test.go
+++ b/core/joining/joiner_test.go
@@ -34,7 +34,7 @@
 	informed, dead, refused bool
 	informedAt              time.Duration
 	transferEnds            []time.Duration
-	pauses                  int
+	backoffs                int
 }
 
 const (
@@ -86,8 +86,8 @@
 // step executes the next step of a host.
 func (f *fleet) step(s *simHost) {
 	switch step := s.joiner.Next().(type) {
-	case Pause:
-		s.pauses++
+	case Backoff:
+		s.backoffs++
 		s.nextStep += step.For
 	case ListHosts:
 		s.nextStep += 2 * roundTrip
@@ -212,7 +212,7 @@
 			t.Error("the first step does not read the store")
 		}
 		for {
-			if _, ok := j.Next().(Pause); ok {
+			if _, ok := j.Next().(Backoff); ok {
 				break
 			}
 		}
--- a/core/joining/step.go
+++ b/core/joining/step.go
@@ -16,11 +16,11 @@
 	ListHosts struct{}
 	// AskHost fetches the contents from another host.
 	AskHost struct{ Addr netip.AddrPort }
-	// Pause waits for the duration For.
-	Pause struct{ For time.Duration }
+	// Backoff waits for the duration For.
+	Backoff struct{ For time.Duration }
 )
 
 func (ReadStore) isStep() {}
 func (ListHosts) isStep() {}
 func (AskHost) isStep()   {}
-func (Pause) isStep()     {}
+func (Backoff) isStep()   {}
--- a/core/leadership/change_test.go
+++ b/core/leadership/change_test.go
@@ -9,7 +9,7 @@
 	e.adoptPrimary(st)
 	e.sampleFloor(st)
 	e.startFailover(st)
-	e.recallLeases(st)
+	e.revokeLeases(st)
 	e.fenceReplicas(st)
 	e.chooseSuccessor(st)
 	e.executePromotion(st)
@@ -18,7 +18,7 @@
 // adoptPrimary makes the holder treat as primary the member with the highest term that leads and that it can
 // reach, unless a promotion order is pending.
 func (e *explorer) adoptPrimary(st modelState) {
-	d := &st.duty
+	d := &st.holder
 	best := none
 	for m := range st.nodes {
 		n := &st.nodes[m]
@@ -27,7 +27,7 @@
 			best = m
 		}
 	}
-	if best == none || d.stage == recalling || d.stage == fencing || d.primary == int8(best) && d.stage == granting {
+	if best == none || d.stage == revoking || d.stage == fencing || d.primary == int8(best) && d.stage == granting {
 		return
 	}
 	pending := st.recordedOrder != none && e.safeguards.recordOrder
@@ -49,7 +49,7 @@
 
 // sampleFloor sets the floor for a successor to the primary's position.
 func (e *explorer) sampleFloor(st modelState) {
-	d := &st.duty
+	d := &st.holder
 	if d.stage != granting || d.primary == none || d.floor != none || !st.holderReaches(int(d.primary)) || !st.nodes[d.primary].up {
 		return
 	}
@@ -59,27 +59,27 @@
 
 // startFailover makes the holder start to replace the primary, whether or not it has failed.
 func (e *explorer) startFailover(st modelState) {
-	if st.duty.stage != granting || st.duty.primary == none || st.recordedOrder != none && e.safeguards.recordOrder {
+	if st.holder.stage != granting || st.holder.primary == none || st.recordedOrder != none && e.safeguards.recordOrder {
 		return
 	}
-	st.duty.stage = recalling
+	st.holder.stage = revoking
 	if !e.safeguards.waitForLeases {
-		st.duty.stage = fencing
+		st.holder.stage = fencing
 	}
 	e.add("suspect", st, "")
 }
 
-// recallLeases recalls leases from reachable hosts, and starts to fence once no lease is left.
-func (e *explorer) recallLeases(st modelState) {
-	d := &st.duty
-	if d.stage != recalling {
+// revokeLeases recalls leases from reachable hosts, and starts to fence once no lease is left.
+func (e *explorer) revokeLeases(st modelState) {
+	d := &st.holder
+	if d.stage != revoking {
 		return
 	}
 	for h := range st.hosts {
 		if d.leased[h] && st.hosts[h].partition == st.hosts[d.host].partition {
 			next := st
-			next.hosts[h].lease, next.hosts[h].recalled = none, d.primary
-			next.duty.leased[h] = false
+			next.hosts[h].lease, next.hosts[h].revokedPrimary = none, d.primary
+			next.holder.leased[h] = false
 			e.add("recall", next, "")
 		}
 	}
@@ -91,7 +91,7 @@
 
 // fenceReplicas fences a reachable replica and records the length of its log.
 func (e *explorer) fenceReplicas(st modelState) {
-	d := &st.duty
+	d := &st.holder
 	if d.stage != fencing {
 		return
 	}
@@ -104,7 +104,7 @@
 		if e.safeguards.fenceReplicas {
 			next.nodes[m].fenceTerm = n.term + 1
 		}
-		next.duty.fenced[m], next.duty.fencedLength[m] = true, n.length
+		next.holder.fenced[m], next.holder.fencedLength[m] = true, n.length
 		e.add("fence "+memberName(m), next, "")
 	}
 	if e.safeguards.recheckReplicas && e.safeguards.fenceReplicas && !d.rechecked && d.fenced != [memberCount]bool{} {
@@ -115,7 +115,7 @@
 // recheckReplicas probes the replicas again after all reachable ones were fenced. One that has lost its fence
 // was restarted in between.
 func (e *explorer) recheckReplicas(st modelState) {
-	d := &st.duty
+	d := &st.holder
 	d.rechecked = true
 	for m := range st.nodes {
 		n := &st.nodes[m]
@@ -133,13 +133,13 @@
 // chooseSuccessor orders the promotion of a replica that has every acknowledged write, or resumes with the old
 // primary.
 func (e *explorer) chooseSuccessor(st modelState) {
-	d := &st.duty
+	d := &st.holder
 	if d.stage != fencing {
 		return
 	}
 	resumed := st
-	resumed.duty.stage, resumed.duty.rechecked = granting, false
-	resumed.duty.fenced, resumed.duty.fencedLength = [memberCount]bool{}, [memberCount]int8{}
+	resumed.holder.stage, resumed.holder.rechecked = granting, false
+	resumed.holder.fenced, resumed.holder.fencedLength = [memberCount]bool{}, [memberCount]int8{}
 	if p := d.primary; st.nodes[p].up && st.nodes[p].leads && st.holderReaches(int(p)) {
 		for m := range resumed.nodes {
 			if resumed.holderReaches(m) {
@@ -149,18 +149,18 @@
 		e.add("resume", resumed, "")
 	}
 	best, ok := group.Successor(nil, st.standbys(e.safeguards))
-	if !ok || st.pendingOrder != none || e.safeguards.recheckReplicas && e.safeguards.fenceReplicas && !d.rechecked {
+	if !ok || st.platformOrder != none || e.safeguards.recheckReplicas && e.safeguards.fenceReplicas && !d.rechecked {
 		return
 	}
 	target := int8(best.Member[0] - 'a')
-	d.stage, d.target, d.memberLeft, st.pendingOrder, st.recordedOrder = ordered, target, false, target, target
+	d.stage, d.target, d.memberLeft, st.platformOrder, st.recordedOrder = ordered, target, false, target, target
 	e.add("order "+best.Member, st, "")
 }
 
 // standbys returns the replicas as the holder knows them.
 func (st *modelState) standbys(safe safeguards) []group.Standby {
 	var out []group.Standby
-	d := &st.duty
+	d := &st.holder
 	for m := range st.nodes {
 		n := &st.nodes[m]
 		departed := !d.fenced[m] && !n.listed && !n.up && st.holderReaches(m)
@@ -177,7 +177,7 @@
 
 // executePromotion is the platform's part: the member leads the next term with the log that it has.
 func (e *explorer) executePromotion(st modelState) {
-	m := st.pendingOrder
+	m := st.platformOrder
 	if m == none || !st.nodes[m].up {
 		return
 	}
@@ -188,7 +188,7 @@
 	if top == maxTerms {
 		return
 	}
-	st.pendingOrder = none
+	st.platformOrder = none
 	n := &st.nodes[m]
 	fault := ""
 	if missing := st.missingWrite(n); missing != "" && !n.leads {
--- a/core/leadership/checker_test.go
+++ b/core/leadership/checker_test.go
@@ -79,7 +79,7 @@
 		disable func(*safeguards)
 	}{
 		{"failover waits for leases", faultBounds{1, 0, 0, 0, 0}, func(s *safeguards) { s.waitForLeases = false }},
-		{"leases end with the duty", faultBounds{1, 0, 1, 0, 0}, func(s *safeguards) { s.boundByDuty = false }},
+		{"leases end with the duty", faultBounds{1, 0, 1, 0, 0}, func(s *safeguards) { s.boundByRole = false }},
 		{"replicas are fenced", faultBounds{0, 0, 0, 0, 0}, func(s *safeguards) { s.fenceReplicas = false }},
 		{"fenced replicas are rechecked", faultBounds{0, 1, 0, 0, 0}, func(s *safeguards) { s.recheckReplicas = false }},
 		{"successor has the floor", faultBounds{0, 1, 0, 0, 0}, func(s *safeguards) { s.requireFloor = false }},
--- a/core/leadership/dutystep_string.go
+++ b/core/leadership/dutystep_string.go
@@ -8,14 +8,14 @@
 	// An "invalid array index" compiler error signifies that the constant values have changed.
 	// Re-run the stringer command to generate them again.
 	var x [1]struct{}
-	_ = x[KeepDuty-0]
+	_ = x[KeepRole-0]
 	_ = x[LoseToRestore-1]
 	_ = x[LoseToHolder-2]
 	_ = x[LoseToRemoval-3]
-	_ = x[ResignDuty-4]
+	_ = x[HandBackRole-4]
 	_ = x[InheritRecord-5]
-	_ = x[ReclaimDuty-6]
-	_ = x[ClaimDuty-7]
+	_ = x[ReclaimRole-6]
+	_ = x[ClaimRole-7]
 	_ = x[ForgetVacancy-8]
 }
 
@@ -23,7 +23,7 @@
 
 var _DutyStep_index = [...]uint8{0, 8, 21, 33, 46, 56, 69, 80, 89, 102}
 
-func (i DutyStep) String() string {
+func (i RoleStep) String() string {
 	idx := int(i) - 0
 	if i < 0 || idx >= len(_DutyStep_index)-1 {
 		return "DutyStep(" + strconv.FormatInt(int64(i), 10) + ")"
--- a/core/leadership/faults_test.go
+++ b/core/leadership/faults_test.go
@@ -71,8 +71,8 @@
 	if n.listed {
 		next := st
 		next.nodes[m].listed = false
-		if int8(m) != st.duty.primary || st.duty.stage == ordered {
-			next.duty.floor, next.duty.memberLeft = none, true
+		if int8(m) != st.holder.primary || st.holder.stage == ordered {
+			next.holder.floor, next.holder.memberLeft = none, true
 		}
 		e.add("unlist "+memberName(m), next, "")
 	}
@@ -90,12 +90,12 @@
 	f := &fresh.nodes[m]
 	*f = node{up: true, partition: n.partition, listed: true}
 	if e.safeguards.detectRestarts {
-		fresh.duty.floor, fresh.duty.memberLeft = none, true
+		fresh.holder.floor, fresh.holder.memberLeft = none, true
 	}
-	if st.pendingOrder == int8(m) {
+	if st.platformOrder == int8(m) {
 		// An order names a member, not one of its runs. The model assumes that the platform drops an order
 		// whose member has crashed since, because the hosts can't prevent its execution.
-		fresh.pendingOrder = none
+		fresh.platformOrder = none
 	}
 	e.add("restart "+memberName(m)+" with an empty log", fresh, "")
 }
--- a/core/leadership/grants.go
+++ b/core/leadership/grants.go
@@ -7,10 +7,10 @@
 )
 
 const (
-	// DutyValidity is how long after a renewal of its duty a holder relies on it, so that two renewals may fail.
+	// RoleValidity is how long after a renewal of its duty a holder relies on it, so that two renewals may fail.
 	// The platform may remove the entry long before its lease ends without the holder being told. The next
 	// holder therefore waits as long before it replaces a primary on which the former one may grant leases.
-	DutyValidity = 1800 * time.Millisecond
+	RoleValidity = 1800 * time.Millisecond
 	// LeaseDuration bounds a lease. A primary counts as lost after about 0.6 s of silence. A lease that ends 1 s
 	// after the last reply delays a promotion by 0.4 s at most, and only if its host can't be reached.
 	LeaseDuration = time.Second
@@ -36,13 +36,13 @@
 
 // GrantLimits is the state of the holder that limits a lease it may grant.
 type GrantLimits struct {
-	// LastReply is when the holder sent the last request that the primary answered. A lease ends at most
+	// LastAnsweredRequest is when the holder sent the last request that the primary answered. A lease ends at most
 	// LeaseDuration later, so that the lease of a host that can't be reached expires while the holder makes sure
 	// that the primary is lost.
-	LastReply time.Time
-	// DutyUntil is when the duty may pass to another host. No lease outlasts it, so a new holder need not know
+	LastAnsweredRequest time.Time
+	// RoleUntil is when the duty may pass to another host. No lease outlasts it, so a new holder need not know
 	// the leases of its predecessor.
-	DutyUntil time.Time
+	RoleUntil time.Time
 	// InSwitchover is true during a planned change of primary. The lease then covers writes only, see
 	// Lease.WritesOnly.
 	InSwitchover bool
@@ -51,9 +51,9 @@
 // Grant records a lease for a host and returns its duration. It returns zero, and records nothing, if the lease
 // would be shorter than minLease.
 func (g *Grants) Grant(host string, now time.Time, limits GrantLimits) time.Duration {
-	end := limits.LastReply.Add(LeaseDuration)
-	if limits.DutyUntil.Before(end) {
-		end = limits.DutyUntil
+	end := limits.LastAnsweredRequest.Add(LeaseDuration)
+	if limits.RoleUntil.Before(end) {
+		end = limits.RoleUntil
 	}
 	granted := min(end.Sub(now), LeaseDuration)
 	if granted < minLease {
@@ -78,8 +78,8 @@
 	return b
 }
 
-// Release records that a host has returned its lease.
-func (g *Grants) Release(host string) { delete(g.byHost, host) }
+// Revoke records that a host has returned its lease.
+func (g *Grants) Revoke(host string) { delete(g.byHost, host) }
 
 // Downgrade records that a host keeps its lease for writes only.
 func (g *Grants) Downgrade(host string) {
--- a/core/leadership/inherit.go
+++ b/core/leadership/inherit.go
@@ -29,8 +29,8 @@
 	out = stored
 	if stored.Revision.Epoch() < taken && remembered.Revision > stored.Revision {
 		out = remembered
-		out.Grantees = Union(stored.Grantees, remembered.Grantees...)
-		out.Granters = Union(stored.Granters, remembered.Granters...)
+		out.PortionHolders = Union(stored.PortionHolders, remembered.PortionHolders...)
+		out.QuotaGranters = Union(stored.QuotaGranters, remembered.QuotaGranters...)
 	}
 	if certain = out.Revision.Epoch() == taken; !certain {
 		out.HandedBack = false
--- a/core/leadership/inherit_test.go
+++ b/core/leadership/inherit_test.go
@@ -9,7 +9,7 @@
 
 func TestInherit(t *testing.T) {
 	record := func(holder string, epoch kv.Epoch, number int64, handedBack bool) StoredRecord {
-		return NewStoredRecord(Record{Holder: holder, Epoch: epoch, HandedBack: handedBack, Grantees: []string{holder}}, kv.NewRevision(epoch+1, number))
+		return NewStoredRecord(Record{Holder: holder, Epoch: epoch, HandedBack: handedBack, PortionHolders: []string{holder}}, kv.NewRevision(epoch+1, number))
 	}
 	for _, c := range []struct {
 		name               string
@@ -29,7 +29,7 @@
 		{"record of an intermediate epoch remembered", record("a", 0, 30, false), record("b", 1, 12, true), 2, "b", []string{"a", "b"}, false, false},
 	} {
 		got, certain := Inherit(c.stored, c.remembered, c.taken)
-		if got.Holder != c.holder || certain != c.certain || got.HandedBack != c.handed || !slices.Equal(got.Grantees, c.grantees) {
+		if got.Holder != c.holder || certain != c.certain || got.HandedBack != c.handed || !slices.Equal(got.PortionHolders, c.grantees) {
 			t.Errorf("%s: %+v, certain %v", c.name, got, certain)
 		}
 	}
--- a/core/leadership/leadership_test.go
+++ b/core/leadership/leadership_test.go
@@ -21,12 +21,12 @@
 		s    GrantLimits
 		want time.Duration
 	}{
-		{"primary answered just now", 0, GrantLimits{LastReply: timeAt(0), DutyUntil: timeAt(5000)}, LeaseDuration},
-		{"primary answered 300 ms ago", 300, GrantLimits{LastReply: timeAt(0), DutyUntil: timeAt(5000)}, LeaseDuration - 300*time.Millisecond},
-		{"duty ends first", 0, GrantLimits{LastReply: timeAt(0), DutyUntil: timeAt(400)}, 400 * time.Millisecond},
-		{"shorter than minLease", 950, GrantLimits{LastReply: timeAt(0), DutyUntil: timeAt(5000)}, 0},
-		{"duty has ended", 500, GrantLimits{LastReply: timeAt(500), DutyUntil: timeAt(400)}, 0},
-		{"primary answered after the request arrived", 0, GrantLimits{LastReply: timeAt(200), DutyUntil: timeAt(5000)}, LeaseDuration},
+		{"primary answered just now", 0, GrantLimits{LastAnsweredRequest: timeAt(0), RoleUntil: timeAt(5000)}, LeaseDuration},
+		{"primary answered 300 ms ago", 300, GrantLimits{LastAnsweredRequest: timeAt(0), RoleUntil: timeAt(5000)}, LeaseDuration - 300*time.Millisecond},
+		{"duty ends first", 0, GrantLimits{LastAnsweredRequest: timeAt(0), RoleUntil: timeAt(400)}, 400 * time.Millisecond},
+		{"shorter than minLease", 950, GrantLimits{LastAnsweredRequest: timeAt(0), RoleUntil: timeAt(5000)}, 0},
+		{"duty has ended", 500, GrantLimits{LastAnsweredRequest: timeAt(500), RoleUntil: timeAt(400)}, 0},
+		{"primary answered after the request arrived", 0, GrantLimits{LastAnsweredRequest: timeAt(200), RoleUntil: timeAt(5000)}, LeaseDuration},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			var g Grants
@@ -42,16 +42,16 @@
 
 func TestOutstanding(t *testing.T) {
 	var g Grants
-	g.Grant("a", timeAt(0), GrantLimits{LastReply: timeAt(0), DutyUntil: timeAt(5000)})
-	g.Grant("b", timeAt(500), GrantLimits{LastReply: timeAt(500), DutyUntil: timeAt(5000)})
-	g.Grant("a", timeAt(100), GrantLimits{LastReply: timeAt(-700), DutyUntil: timeAt(5000)}) // a shorter lease does not end a longer one
+	g.Grant("a", timeAt(0), GrantLimits{LastAnsweredRequest: timeAt(0), RoleUntil: timeAt(5000)})
+	g.Grant("b", timeAt(500), GrantLimits{LastAnsweredRequest: timeAt(500), RoleUntil: timeAt(5000)})
+	g.Grant("a", timeAt(100), GrantLimits{LastAnsweredRequest: timeAt(-700), RoleUntil: timeAt(5000)}) // a shorter lease does not end a longer one
 	if got := g.Outstanding(timeAt(900)); !slices.Equal(got, []string{"a", "b"}) {
 		t.Errorf("%v", got)
 	}
 	if got := g.Outstanding(timeAt(1100)); !slices.Equal(got, []string{"b"}) {
 		t.Errorf("%v", got)
 	}
-	g.Release("b")
+	g.Revoke("b")
 	if got := g.Outstanding(timeAt(1100)); len(got) > 0 || !g.LastEnd().IsZero() {
 		t.Errorf("%v until %v", got, g.LastEnd())
 	}
@@ -61,7 +61,7 @@
 // the host first, so no promotion can happen while the host still relies on the lease.
 func TestLeaseEndsAtHostFirst(t *testing.T) {
 	var g Grants
-	granted := g.Grant("h", timeAt(40), GrantLimits{LastReply: timeAt(40), DutyUntil: timeAt(5000)})
+	granted := g.Grant("h", timeAt(40), GrantLimits{LastAnsweredRequest: timeAt(40), RoleUntil: timeAt(5000)})
 	l := Lease{}.Extend(newLease("m", 1, 0, granted))
 	if !g.LastEnd().After(l.Until) {
 		t.Errorf("the holder waits until %v, but the host relies on the lease until %v", g.LastEnd(), l.Until)
@@ -72,12 +72,12 @@
 // unplanned change by another holder must wait for this lease too.
 func TestDowngradedLease(t *testing.T) {
 	var g Grants
-	g.Grant("h", timeAt(0), GrantLimits{LastReply: timeAt(0), DutyUntil: timeAt(5000)})
+	g.Grant("h", timeAt(0), GrantLimits{LastAnsweredRequest: timeAt(0), RoleUntil: timeAt(5000)})
 	g.Downgrade("h")
 	if len(g.OutstandingFull(timeAt(500))) > 0 || len(g.Outstanding(timeAt(500))) != 1 {
 		t.Errorf("reading %v, outstanding %v", g.OutstandingFull(timeAt(500)), g.Outstanding(timeAt(500)))
 	}
-	g.Grant("h", timeAt(500), GrantLimits{LastReply: timeAt(500), DutyUntil: timeAt(5000), InSwitchover: true})
+	g.Grant("h", timeAt(500), GrantLimits{LastAnsweredRequest: timeAt(500), RoleUntil: timeAt(5000), InSwitchover: true})
 	if len(g.OutstandingFull(timeAt(600))) > 0 || len(g.Outstanding(timeAt(1400))) != 1 {
 		t.Errorf("reading %v, outstanding %v", g.OutstandingFull(timeAt(600)), g.Outstanding(timeAt(1400)))
 	}
@@ -160,16 +160,16 @@
 }
 
 func TestRecordFloorValidFor(t *testing.T) {
-	r := Record{Members: []Incarnation{{"a", 1}, {"b", 1}}, Floor: group.Position{Term: 1, LSN: 7}}
+	r := Record{Members: []MemberRun{{"a", 1}, {"b", 1}}, Floor: group.Position{Term: 1, LSN: 7}}
 	for _, c := range []struct {
 		name string
-		now  []Incarnation
+		now  []MemberRun
 		want bool
 	}{
-		{"the same members", []Incarnation{{"b", 1}, {"a", 1}}, true},
-		{"one has joined", []Incarnation{{"a", 1}, {"b", 1}, {"c", 1}}, true},
-		{"one has left", []Incarnation{{"a", 1}}, false},
-		{"one has started again", []Incarnation{{"a", 1}, {"b", 2}}, false},
+		{"the same members", []MemberRun{{"b", 1}, {"a", 1}}, true},
+		{"one has joined", []MemberRun{{"a", 1}, {"b", 1}, {"c", 1}}, true},
+		{"one has left", []MemberRun{{"a", 1}}, false},
+		{"one has started again", []MemberRun{{"a", 1}, {"b", 2}}, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if got := r.FloorValidFor(c.now); got != c.want {
--- a/core/leadership/model_test.go
+++ b/core/leadership/model_test.go
@@ -16,7 +16,7 @@
 
 // safeguards are the rules on which the protocol relies. The checker disables them one by one.
 type safeguards struct {
-	waitForLeases, boundByDuty, confirmWrites, fenceReplicas, requireFloor, detectRestarts, recordOrder, proveByAll, recheckReplicas, waitForFormerHolder, rememberRecord bool
+	waitForLeases, boundByRole, confirmWrites, fenceReplicas, requireFloor, detectRestarts, recordOrder, proveByAll, recheckReplicas, waitForFormerHolder, rememberRecord bool
 }
 
 func allSafeguards() safeguards {
@@ -39,10 +39,10 @@
 
 // hostState is a host that serves clients.
 type hostState struct {
-	partition       int8
-	lease, recalled int8
-	// revoked is true if the lease comes from a holder whose duty was revoked.
-	revoked bool
+	partition             int8
+	lease, revokedPrimary int8
+	// fromFormerHolder is true if the lease comes from a holder whose duty was fromFormerHolder.
+	fromFormerHolder bool
 }
 
 // formerHolder is a holder whose duty the platform revoked early. It continues to grant leases until its own
@@ -57,7 +57,7 @@
 
 const (
 	granting stage = iota
-	recalling
+	revoking
 	fencing
 	ordered
 )
@@ -97,11 +97,11 @@
 type modelState struct {
 	nodes  [memberCount]node
 	hosts  [hostCount]hostState
-	duty   holderState
+	holder holderState
 	former formerHolder
 	writes [writeCount]write
-	// pendingOrder is the member of an order that the platform may execute at any time.
-	pendingOrder int8
+	// platformOrder is the member of an order that the platform may execute at any time.
+	platformOrder int8
 	// recordedOrder is the member of the order in the store, and recordedTerm the highest term there.
 	recordedOrder, recordedTerm int8
 	// faultsLeft are the faults that may still occur.
@@ -110,17 +110,17 @@
 
 // faultBounds bounds how often the network is partitioned, a member crashes, the duty expires, the duty is
 // revoked early, and the store is restored from an older copy.
-type faultBounds struct{ partitions, crashes, expirations, revocations, restores int8 }
+type faultBounds struct{ partitions, crashes, expirations, removals, restores int8 }
 
 func newModelState(b faultBounds) modelState {
-	st := modelState{pendingOrder: none, recordedOrder: none, faultsLeft: b}
+	st := modelState{platformOrder: none, recordedOrder: none, faultsLeft: b}
 	for i := range st.nodes {
 		st.nodes[i] = node{up: true, leads: i == 0, term: 1, listed: true}
 	}
 	for i := range st.hosts {
-		st.hosts[i] = hostState{lease: none, recalled: none}
+		st.hosts[i] = hostState{lease: none, revokedPrimary: none}
 	}
-	st.duty = holderState{floor: none, target: none}
+	st.holder = holderState{floor: none, target: none}
 	return st
 }
 
@@ -163,7 +163,7 @@
 
 // holderReaches reports whether the holder and the member are on the same side of a partition.
 func (st *modelState) holderReaches(m int) bool {
-	return st.hosts[st.duty.host].partition == st.nodes[m].partition
+	return st.hosts[st.holder.host].partition == st.nodes[m].partition
 }
 
 // probeResults returns the results that the host gets when it probes the members.
--- a/core/leadership/record.go
+++ b/core/leadership/record.go
@@ -7,12 +7,12 @@
 	"pearlatch/core/kv"
 )
 
-// Incarnation is one run of a member, with the data that it has. A member may restart under the same identifier
+// MemberRun is one run of a member, with the data that it has. A member may restart under the same identifier
 // without its earlier data.
-type Incarnation struct {
+type MemberRun struct {
 	Member string
-	// Born distinguishes the runs of a member. It is zero if the member does not report it.
-	Born int64
+	// Incarnation distinguishes the runs of a member. It is zero if the member does not report it.
+	Incarnation int64
 }
 
 // Record is the state that the next holder of a duty needs. It is in the platform's store and outlasts the
@@ -26,7 +26,7 @@
 	// Term is the highest term known to the holder in which a member was the primary.
 	Term group.Term
 	// Members are the members of the group when Floor was determined.
-	Members []Incarnation
+	Members []MemberRun
 	// Floor is a log position that the primary reached after the last departure of another member. A successor
 	// must have the log up to it. It is zero while none is known.
 	Floor group.Position
@@ -36,15 +36,15 @@
 	// HandedBack is true once the holder has given the duty back. It then sends no more promotion orders, not
 	// even unrecorded ones.
 	HandedBack bool
-	// Grantees are the hosts that may have shares of accounts' quotas from this holder or earlier ones.
-	Grantees []string
-	// Granters are those of them that may regard themselves as the granter of these quotas.
-	Granters []string
+	// PortionHolders are the hosts that may have shares of accounts' quotas from this holder or earlier ones.
+	PortionHolders []string
+	// QuotaGranters are those of them that may regard themselves as the granter of these quotas.
+	QuotaGranters []string
 }
 
 // FloorValidFor reports whether Floor is valid for the current members: all members of the record are still
 // there. A member that left could have held writes that only it and the primary had received.
-func (r Record) FloorValidFor(current []Incarnation) bool {
+func (r Record) FloorValidFor(current []MemberRun) bool {
 	if r.Floor == (group.Position{}) {
 		return false
 	}
@@ -57,6 +57,6 @@
 }
 
 // SameMembers reports whether the record has exactly the current members.
-func (r Record) SameMembers(current []Incarnation) bool {
+func (r Record) SameMembers(current []MemberRun) bool {
 	return len(r.Members) == len(current) && r.FloorValidFor(current)
 }
--- a/core/leadership/steps_test.go
+++ b/core/leadership/steps_test.go
@@ -37,7 +37,7 @@
 	for h := range st.hosts {
 		for m := range st.nodes {
 			n := &st.nodes[m]
-			if !n.up || n.partition != st.hosts[h].partition || st.hosts[h].recalled == int8(m) {
+			if !n.up || n.partition != st.hosts[h].partition || st.hosts[h].revokedPrimary == int8(m) {
 				continue
 			}
 			if n.leads {
@@ -144,42 +144,42 @@
 // leaseSteps adds that a lease is granted, that it ends on its host, and that it then ends for the holder, in
 // this order.
 func (e *explorer) leaseSteps(st modelState) {
-	d := &st.duty
+	d := &st.holder
 	for h := range st.hosts {
 		if d.stage == granting && d.primary != none && st.hosts[h].partition == st.hosts[d.host].partition && st.hosts[h].lease != d.primary {
 			next := st
-			next.hosts[h].lease, next.hosts[h].recalled, next.hosts[h].revoked = d.primary, none, false
-			next.duty.leased[h] = true
+			next.hosts[h].lease, next.hosts[h].revokedPrimary, next.hosts[h].fromFormerHolder = d.primary, none, false
+			next.holder.leased[h] = true
 			e.add("grant", next, "")
 		}
 		if st.hosts[h].lease != none {
 			next := st
-			next.hosts[h].lease, next.hosts[h].revoked = none, false
+			next.hosts[h].lease, next.hosts[h].fromFormerHolder = none, false
 			e.add("lease ends on host", next, "")
 		}
 		if d.leased[h] && st.hosts[h].lease == none {
 			next := st
-			next.duty.leased[h] = false
+			next.holder.leased[h] = false
 			e.add("lease ends for holder", next, "")
 		}
 	}
-	e.expireDuty(st)
-	e.revokeDuty(st)
+	e.expireRole(st)
+	e.removeRole(st)
 	e.restoreStore(st)
 	e.formerHolderSteps(st)
 }
 
-// revokeDuty takes the duty from its holder before its validity ends. The holder is not told.
-func (e *explorer) revokeDuty(st modelState) {
-	if st.faultsLeft.revocations == 0 || st.duty.stage != granting || st.duty.primary == none {
+// removeRole takes the duty from its holder before its validity ends. The holder is not told.
+func (e *explorer) removeRole(st modelState) {
+	if st.faultsLeft.removals == 0 || st.holder.stage != granting || st.holder.primary == none {
 		return
 	}
-	st.faultsLeft.revocations--
-	st.former = formerHolder{active: true, host: st.duty.host, primary: st.duty.primary}
+	st.faultsLeft.removals--
+	st.former = formerHolder{active: true, host: st.holder.host, primary: st.holder.primary}
 	for h := range st.hosts {
-		st.hosts[h].revoked = st.hosts[h].lease != none
+		st.hosts[h].fromFormerHolder = st.hosts[h].lease != none
 	}
-	st.duty = holderState{host: 1 - st.duty.host, primary: none, floor: st.duty.floor, target: none}
+	st.holder = holderState{host: 1 - st.holder.host, primary: none, floor: st.holder.floor, target: none}
 	e.add("duty is revoked", st, "")
 }
 
@@ -191,21 +191,21 @@
 		return
 	}
 	st.faultsLeft.restores--
-	if st.duty.stage == granting && st.duty.primary != none {
-		st.former = formerHolder{active: true, host: st.duty.host, primary: st.duty.primary}
+	if st.holder.stage == granting && st.holder.primary != none {
+		st.former = formerHolder{active: true, host: st.holder.host, primary: st.holder.primary}
 		for h := range st.hosts {
-			st.hosts[h].revoked = st.hosts[h].lease != none
+			st.hosts[h].fromFormerHolder = st.hosts[h].lease != none
 		}
-	} else if st.duty.leased != [hostCount]bool{} {
+	} else if st.holder.leased != [hostCount]bool{} {
 		return // leases that a failover waits for end before the next holder has finished its own wait
 	}
-	floor := st.duty.floor
+	floor := st.holder.floor
 	for m := range st.nodes {
 		if !st.nodes[m].listed {
 			floor = none // the floor of the record is valid only for the members that it names
 		}
 	}
-	st.duty = holderState{host: 1 - st.duty.host, primary: none, floor: floor, target: none}
+	st.holder = holderState{host: 1 - st.holder.host, primary: none, floor: floor, target: none}
 	if !e.safeguards.rememberRecord {
 		st.recordedOrder, st.recordedTerm = none, 0
 	}
@@ -221,31 +221,31 @@
 	for h := range st.hosts {
 		if s := &st.hosts[h]; s.partition == st.hosts[f.host].partition && s.lease != f.primary {
 			next := st
-			next.hosts[h].lease, next.hosts[h].recalled, next.hosts[h].revoked = f.primary, none, true
+			next.hosts[h].lease, next.hosts[h].revokedPrimary, next.hosts[h].fromFormerHolder = f.primary, none, true
 			e.add("former holder grants lease", next, "")
 		}
 	}
 	f.active = false
 	for h := range st.hosts {
-		if st.hosts[h].revoked {
-			st.hosts[h].lease, st.hosts[h].revoked = none, false
+		if st.hosts[h].fromFormerHolder {
+			st.hosts[h].lease, st.hosts[h].fromFormerHolder = none, false
 		}
 	}
 	e.add("former holder's validity ends", st, "")
 }
 
-// expireDuty passes the duty on to the other host. Leases end before the duty does.
-func (e *explorer) expireDuty(st modelState) {
-	if st.faultsLeft.expirations == 0 || e.safeguards.boundByDuty && st.duty.leased != [hostCount]bool{} {
+// expireRole passes the duty on to the other host. Leases end before the duty does.
+func (e *explorer) expireRole(st modelState) {
+	if st.faultsLeft.expirations == 0 || e.safeguards.boundByRole && st.holder.leased != [hostCount]bool{} {
 		return
 	}
 	st.faultsLeft.expirations--
-	floor := st.duty.floor
+	floor := st.holder.floor
 	for m := range st.nodes {
 		if !st.nodes[m].listed {
 			floor = none // the floor of the record is valid only for the members that it names
 		}
 	}
-	st.duty = holderState{host: 1 - st.duty.host, primary: none, floor: floor, target: none}
+	st.holder = holderState{host: 1 - st.holder.host, primary: none, floor: floor, target: none}
 	e.add("duty expires", st, "")
 }
--- a/core/quota/bench_test.go
+++ b/core/quota/bench_test.go
@@ -20,7 +20,7 @@
 			g := newTestGranter(Tolerance{5 * time.Second, 0.1, 20}, ids...)
 			q := account.Quota{Rate: 100, Burst: 100}
 			now := t0.Add(time.Second)
-			req := Request{Token: 5, Accounts: make([]AccountRequest, 1)}
+			req := Request{FencingToken: 5, Accounts: make([]AccountRequest, 1)}
 			n := 0
 			b.ReportAllocs()
 			for b.Loop() {
--- a/core/quota/granter.go
+++ b/core/quota/granter.go
@@ -12,11 +12,11 @@
 // Granter distributes the tokens of a group of accounts, and tracks what it has granted. Use NewGranter. It is not safe
 // for concurrent use.
 type Granter struct {
-	// firstToken and token are the fencing tokens of the start of this granter's duty and the latest one. All tokens
+	// firstFencingToken and fencingToken are the fencing tokens of the start of this granter's duty and the latest one. All tokens
 	// in between belong to this granter too.
-	firstToken, token int64
-	tolerance         Tolerance
-	startedAt         time.Time
+	firstFencingToken, fencingToken int64
+	tolerance                       Tolerance
+	startedAt                       time.Time
 	// soleUntil is the time before which no successor can have started. endsAt is when this granter's term ends.
 	soleUntil, endsAt time.Time
 	// formerGranters holds the hosts that were granters before and may still believe that they are.
@@ -61,7 +61,7 @@
 // from earlier granters, and the hosts in before may have been granters.
 func NewGranter(token int64, t Tolerance, now time.Time, mayHold, before []string) *Granter {
 	g := &Granter{
-		firstToken: token, token: token, tolerance: t, startedAt: now, scopeSince: now, formerGranters: map[string]bool{},
+		firstFencingToken: token, fencingToken: token, tolerance: t, startedAt: now, scopeSince: now, formerGranters: map[string]bool{},
 		hosts: map[string]*host{}, pools: map[string]*tokenPool{}, suspended: map[string]*host{},
 	}
 	for _, id := range before {
@@ -86,7 +86,7 @@
 		return scopeFollowers
 	case g.HoldingsKnown(now):
 		return scopeEntire
-	case len(g.formerGranters) == 0 || !now.Before(g.startedAt.Add(leadership.DutyValidity+maxClockDrift)):
+	case len(g.formerGranters) == 0 || !now.Before(g.startedAt.Add(leadership.RoleValidity+maxClockDrift)):
 		return scopeUnreserved
 	}
 	return scopeFollowers
@@ -108,16 +108,16 @@
 	g.scope, g.scopeSince = s, now
 }
 
-// Token returns the granter's fencing token.
-func (g *Granter) Token() int64 { return g.token }
+// FencingToken returns the granter's fencing token.
+func (g *Granter) FencingToken() int64 { return g.fencingToken }
 
-// RaiseToken records that the granter's fencing token has risen.
-func (g *Granter) RaiseToken(token int64) { g.token = max(g.token, token) }
+// RaiseFencingToken records that the granter's fencing token has risen.
+func (g *Granter) RaiseFencingToken(token int64) { g.fencingToken = max(g.fencingToken, token) }
 
 // Extend records that the granter held its duty at the given time, so that no successor starts within
 // leadership.Certainty of it. For the rest of PortionTTL the granter goes on with what its followers hold.
 func (g *Granter) Extend(held time.Time) {
-	g.soleUntil, g.endsAt = held.Add(leadership.DutyValidity), held.Add(PortionTTL)
+	g.soleUntil, g.endsAt = held.Add(leadership.RoleValidity), held.Add(PortionTTL)
 }
 
 // KnowsHost reports whether the host may be given portions: only hosts that a successor will ask for a report may.
@@ -272,7 +272,7 @@
 // ended.
 func (g *Granter) HandleRequest(id, process string, req Request, now time.Time) (Response, bool) {
 	h := g.hosts[id]
-	if h == nil || h.unreported || h.process != process || req.ID <= h.lastRequest || req.Token < g.firstToken || req.Token > g.token || !now.Before(g.endsAt) {
+	if h == nil || h.unreported || h.process != process || req.ID <= h.lastRequest || req.FencingToken < g.firstFencingToken || req.FencingToken > g.fencingToken || !now.Before(g.endsAt) {
 		return Response{}, false
 	}
 	g.updateScope(now)
@@ -334,7 +334,7 @@
 		p = *known
 	}
 	p.active = h.active
-	p.applyReport(req)
+	p.applyRequest(req)
 	pool.tokens += float64(req.Returned)
 	pool.setPortions(id, p)
 	out := g.renewPortion(pool, &p, req, known, now)
@@ -347,7 +347,7 @@
 		out.RetryAfter = pool.retryAfter(g.scope)
 		if g.scope == scopeFollowers && now.Before(g.soleUntil) {
 			// By then this granter is the only one.
-			out.RetryAfter = min(out.RetryAfter, max(minRetryAfter, g.startedAt.Add(leadership.DutyValidity+maxClockDrift).Sub(now)))
+			out.RetryAfter = min(out.RetryAfter, max(minRetryAfter, g.startedAt.Add(leadership.RoleValidity+maxClockDrift).Sub(now)))
 		}
 	}
 	return out
--- a/core/quota/granter_test.go
+++ b/core/quota/granter_test.go
@@ -35,7 +35,7 @@
 	t.Helper()
 	q.Account, q.Quota = "a", quota40
 	requestID++
-	out, ok := g.HandleRequest(host, host+".1", Request{ID: requestID, Token: 5, Accounts: []AccountRequest{q}}, at)
+	out, ok := g.HandleRequest(host, host+".1", Request{ID: requestID, FencingToken: 5, Accounts: []AccountRequest{q}}, at)
 	if !ok {
 		t.Fatalf("%s got no response", host)
 	}
@@ -62,7 +62,7 @@
 		{"a host that no successor would ask", "h3", "h3.1", 5, t0, false},
 		{"a follower after the granter's term", "h1", "h1.1", 5, t0.Add(PortionTTL), false},
 	} {
-		if _, ok := g.HandleRequest(c.host, c.process, Request{ID: uint64(i + 1), Token: c.token, Accounts: accounts}, c.at); ok != c.want {
+		if _, ok := g.HandleRequest(c.host, c.process, Request{ID: uint64(i + 1), FencingToken: c.token, Accounts: accounts}, c.at); ok != c.want {
 			t.Errorf("%s: answered = %v", c.what, ok)
 		}
 	}
@@ -76,7 +76,7 @@
 	bursty := account.Quota{Rate: 40, Burst: 400}
 	requestBursty := func(host string, at time.Time, holding uint64, demand float64) Grant {
 		requestID++
-		req := Request{ID: requestID, Token: 5, Accounts: []AccountRequest{{Account: "a", Quota: bursty, HeldSerial: holding, Demand: demand}}}
+		req := Request{ID: requestID, FencingToken: 5, Accounts: []AccountRequest{{Account: "a", Quota: bursty, HeldSerial: holding, Demand: demand}}}
 		out, ok := g.HandleRequest(host, host+".1", req, at)
 		if !ok {
 			t.Fatalf("%s got no response", host)
@@ -103,7 +103,7 @@
 	request := func(lastAnswered uint64, at time.Time) (uint64, Response) {
 		requestID++
 		q := []AccountRequest{{Account: "a", Quota: quota40, Demand: 20}}
-		out, ok := g.HandleRequest("h1", "h1.1", Request{ID: requestID, LastAnswered: lastAnswered, Token: 5, Accounts: q}, at)
+		out, ok := g.HandleRequest("h1", "h1.1", Request{ID: requestID, LastAnswered: lastAnswered, FencingToken: 5, Accounts: q}, at)
 		if !ok {
 			t.Fatal("no response")
 		}
@@ -144,10 +144,10 @@
 func TestLateRequestsAreNotAnswered(t *testing.T) {
 	g := newTestGranter(noTolerance, "h1")
 	q := []AccountRequest{{Account: "a", Quota: quota40, Demand: 5}}
-	if _, ok := g.HandleRequest("h1", "h1.1", Request{ID: 8, Token: 5, Accounts: q}, t0); !ok {
+	if _, ok := g.HandleRequest("h1", "h1.1", Request{ID: 8, FencingToken: 5, Accounts: q}, t0); !ok {
 		t.Fatal("no response")
 	}
-	if _, ok := g.HandleRequest("h1", "h1.1", Request{ID: 7, Token: 5, Accounts: q}, t0.Add(ms)); ok {
+	if _, ok := g.HandleRequest("h1", "h1.1", Request{ID: 7, FencingToken: 5, Accounts: q}, t0.Add(ms)); ok {
 		t.Error("the late request was answered")
 	}
 }
@@ -173,8 +173,8 @@
 	}{
 		{0, scopeFollowers, 0},
 		{assumeActiveAfter + 100*ms, scopeFollowers, held},
-		{leadership.DutyValidity + 2*maxClockDrift, scopeUnreserved, (1-portionRateFraction)*quota40.Rate + held},
-		{leadership.DutyValidity + 5*time.Second, scopeUnreserved, (1-portionRateFraction)*quota40.Rate + held},
+		{leadership.RoleValidity + 2*maxClockDrift, scopeUnreserved, (1-portionRateFraction)*quota40.Rate + held},
+		{leadership.RoleValidity + 5*time.Second, scopeUnreserved, (1-portionRateFraction)*quota40.Rate + held},
 		{PortionTTL + maxClockDrift, scopeEntire, 0},
 	} {
 		at := now.Add(c.after)
@@ -182,7 +182,7 @@
 		for i := range 2 { // the second request shows that the first was answered
 			requestID++
 			q := []AccountRequest{{Account: "a", Quota: quota40, HeldSerial: holds.Serial}}
-			if _, ok := next.HandleRequest("h2", "h2.1", Request{ID: requestID, LastAnswered: requestID - 1, Token: 5, Accounts: q}, at.Add(time.Duration(i)*ms)); !ok {
+			if _, ok := next.HandleRequest("h2", "h2.1", Request{ID: requestID, LastAnswered: requestID - 1, FencingToken: 5, Accounts: q}, at.Add(time.Duration(i)*ms)); !ok {
 				t.Fatal("no response")
 			}
 		}
@@ -206,7 +206,7 @@
 	for at := t0; !at.After(t0.Add(5 * time.Second)); at = at.Add(100 * ms) {
 		g.Extend(at)
 		requestID++
-		req := Request{ID: requestID, Token: 5, Accounts: []AccountRequest{{Account: "a", Quota: quota40, Waiting: 5}}}
+		req := Request{ID: requestID, FencingToken: 5, Accounts: []AccountRequest{{Account: "a", Quota: quota40, Waiting: 5}}}
 		if out, ok := g.HandleRequest("h1", "h1.2", req, at); ok {
 			got += out.Grants[0].Tokens
 		}
--- a/core/quota/limiter.go
+++ b/core/quota/limiter.go
@@ -30,10 +30,10 @@
 // Limiter decides on one host which operations may begin, for the accounts that share a granter. It holds the host's
 // tokens. Use NewLimiter. It is not safe for concurrent use.
 type Limiter struct {
-	// token is the fencing token of the latest granter that this host knows of. The host accepts nothing from earlier
+	// fencingToken is the fencing fencingToken of the latest granter that this host knows of. The host accepts nothing from earlier
 	// ones.
-	token    int64
-	accounts map[string]*localAccount
+	fencingToken int64
+	accounts     map[string]*localAccount
 	// lastRequest is the ID of the last request, sent at requestedAt. pending is true while its response is awaited.
 	// lastAnswered is the ID of the last request that was answered.
 	lastRequest, lastAnswered uint64
@@ -61,18 +61,18 @@
 // NewLimiter returns a limiter without tokens.
 func NewLimiter() *Limiter { return &Limiter{accounts: map[string]*localAccount{}} }
 
-// Token returns the fencing token of the latest granter that the host knows of.
-func (l *Limiter) Token() int64 { return l.token }
+// FencingToken returns the fencing token of the latest granter that the host knows of.
+func (l *Limiter) FencingToken() int64 { return l.fencingToken }
 
 // Follow makes the host accept tokens only from the granter with the given fencing token, unless it knows of a later
 // granter.
-func (l *Limiter) Follow(token int64) { l.token = max(l.token, token) }
+func (l *Limiter) Follow(token int64) { l.fencingToken = max(l.fencingToken, token) }
 
 // Report returns what the host holds, and follows the granter that queries it. It returns false if the host knows of a
 // later granter. A response that is in transit will be rejected.
 func (l *Limiter) Report(token int64, now time.Time) ([]Holding, bool) {
 	l.Follow(token)
-	if l.token != token {
+	if l.fencingToken != token {
 		return nil, false
 	}
 	l.pending = false
@@ -174,7 +174,7 @@
 	ID uint64
 	// LastAnswered is the ID of the last request that was answered.
 	LastAnswered uint64
-	Token        int64
+	FencingToken int64
 	// Accounts may be empty. Such a request only shows that the host reaches the granter.
 	Accounts []AccountRequest
 }
@@ -197,7 +197,7 @@
 	}
 	l.lastRequest++
 	l.pending, l.requestedAt = true, now
-	return Request{l.lastRequest, l.lastAnswered, l.token, out}, true
+	return Request{l.lastRequest, l.lastAnswered, l.fencingToken, out}, true
 }
 
 // RequestDue reports whether a request for the account is due.
@@ -239,7 +239,7 @@
 // HandleResponse applies the response to a request. It returns false, and changes nothing, if the request is not the last
 // one, if the response is later than ResponseTimeout, or if the host follows another granter.
 func (l *Limiter) HandleResponse(id uint64, token int64, resp Response, now time.Time) bool {
-	if !l.pending || id != l.lastRequest || token != l.token || now.Sub(l.requestedAt) > ResponseTimeout {
+	if !l.pending || id != l.lastRequest || token != l.fencingToken || now.Sub(l.requestedAt) > ResponseTimeout {
 		return false
 	}
 	l.pending, l.lastAnswered = false, id
--- a/core/quota/limiter_test.go
+++ b/core/quota/limiter_test.go
@@ -48,8 +48,8 @@
 		t.Error("the host reported to an earlier granter")
 	}
 	s.Begin("a", quota40, t0)
-	if req, _ := s.NextRequest(t0.Add(time.Second)); req.Token != 6 {
-		t.Errorf("the request has fencing token %d", req.Token)
+	if req, _ := s.NextRequest(t0.Add(time.Second)); req.FencingToken != 6 {
+		t.Errorf("the request has fencing token %d", req.FencingToken)
 	}
 }
 
--- a/core/quota/shard.go
+++ b/core/quota/shard.go
@@ -23,7 +23,7 @@
 // it stops, since a host that has reported to a granter must take part in no earlier one. Report returns false if the
 // host knows of a later granter.
 func (s *Shard) Report(token int64, now time.Time) ([]Holding, bool) {
-	if s.granter != nil && s.granter.Token() < token {
+	if s.granter != nil && s.granter.FencingToken() < token {
 		s.granter = nil
 	}
 	return s.Limiter.Report(token, now)
--- a/core/quota/simulation_test.go
+++ b/core/quota/simulation_test.go
@@ -17,9 +17,9 @@
 	quota     account.Quota
 	now       time.Time
 	hosts     []*simHost
-	// dutyToken is the fencing token of the duty's holder. mayHold and formerGranters are the hosts that it has recorded
+	// latestToken is the fencing token of the duty's holder. mayHold and formerGranters are the hosts that it has recorded
 	// in the store for its successor.
-	dutyToken               int64
+	latestToken             int64
 	mayHold, formerGranters []string
 	// lossRate is the fraction of messages that are lost, and delayRate the fraction of the others that are delayed.
 	lossRate, delayRate float64
@@ -73,7 +73,7 @@
 	for _, i := range s.random.Perm(len(allFaults))[:2+s.random.IntN(4)] {
 		s.faults = append(s.faults, allFaults[i])
 	}
-	s.takeDuty(s.hosts[0])
+	s.acquireRole(s.hosts[0])
 	return s
 }
 
@@ -81,12 +81,12 @@
 	s.trace = append(s.trace, fmt.Sprintf("%6d ms ", s.now.Sub(time.UnixMilli(1_000_000)).Milliseconds())+fmt.Sprintf(format, args...))
 }
 
-// takeDuty makes the host the holder of the duty.
-func (s *simulation) takeDuty(h *simHost) {
-	s.dutyToken++
-	s.logf("%s takes the duty with fencing token %d", h.id, s.dutyToken)
-	h.token, h.renewedAt = s.dutyToken, s.now
-	h.shard.SetGranter(NewGranter(s.dutyToken, s.tolerance, s.now, s.mayHold, s.formerGranters))
+// acquireRole makes the host the holder of the duty.
+func (s *simulation) acquireRole(h *simHost) {
+	s.latestToken++
+	s.logf("%s takes the duty with fencing token %d", h.id, s.latestToken)
+	h.token, h.renewedAt = s.latestToken, s.now
+	h.shard.SetGranter(NewGranter(s.latestToken, s.tolerance, s.now, s.mayHold, s.formerGranters))
 	if !slices.Contains(s.formerGranters, h.id) {
 		s.formerGranters = append(s.formerGranters, h.id)
 	}
@@ -97,7 +97,7 @@
 func (s *simulation) announceHolder() {
 	for _, h := range s.hosts {
 		for _, o := range s.hosts {
-			if h.up && !h.unresponsive && !h.storeUnreachable && o.token == s.dutyToken {
+			if h.up && !h.unresponsive && !h.storeUnreachable && o.token == s.latestToken {
 				h.holder, h.holderToken = o, o.token
 				if h != o {
 					h.shard.SetGranter(nil) // it learns that it has lost the duty
@@ -152,7 +152,7 @@
 // runGranter renews the granter's duty and queries hosts for their holdings.
 func (s *simulation) runGranter(g *simHost) {
 	granter := g.shard.Granter()
-	if g.token == s.dutyToken && !g.storeUnreachable {
+	if g.token == s.latestToken && !g.storeUnreachable {
 		g.renewedAt = s.now
 		granter.Extend(s.now)
 		s.formerGranters = append(granter.FormerGranters(), g.id)
@@ -268,7 +268,7 @@
 		}
 		s.send(g, h, func() {
 			if h.process == process && h.up && !h.unresponsive {
-				shard.HandleResponse(req.ID, req.Token, response, s.now)
+				shard.HandleResponse(req.ID, req.FencingToken, response, s.now)
 			}
 		})
 	})
@@ -284,7 +284,7 @@
 		for _, each := range s.hosts {
 			s.restart(each)
 		}
-		s.takeDuty(h)
+		s.acquireRole(h)
 	},
 	func(s *simulation, h *simHost) {
 		if h.up = !h.up; h.up {
@@ -312,7 +312,7 @@
 		h.loadPerStep = s.random.Float64() * 3 * s.quota.Rate * stepDuration.Seconds()
 		s.logf("%s gets %.2f operations per step", h.id, h.loadPerStep)
 	},
-	func(s *simulation, h *simHost) { s.transferDuty(h) },
+	func(s *simulation, h *simHost) { s.transferRole(h) },
 	func(s *simulation, h *simHost) { s.splitNetwork(h) },
 	func(s *simulation, _ *simHost) {
 		for _, each := range s.hosts {
@@ -333,25 +333,25 @@
 // other hosts. It then moves the duty to the given host, before or after the holder's lease has ended.
 func (s *simulation) splitNetwork(h *simHost) {
 	for _, o := range s.hosts {
-		o.storeUnreachable = o != h && (o.token == s.dutyToken || s.random.IntN(2) == 0)
+		o.storeUnreachable = o != h && (o.token == s.latestToken || s.random.IntN(2) == 0)
 		o.partition = 0
 		if o.storeUnreachable && s.random.IntN(3) > 0 {
 			o.partition = 1
 		}
 	}
 	s.logf("%s is separated from some of the other hosts", h.id)
-	s.transferDuty(h)
+	s.transferRole(h)
 }
 
-// transferDuty moves the duty to the host: because the holder resigned, because its entry was removed without its
+// transferRole moves the duty to the host: because the holder resigned, because its entry was removed without its
 // knowledge, or because it has not renewed its lease in time.
-func (s *simulation) transferDuty(h *simHost) {
+func (s *simulation) transferRole(h *simHost) {
 	if !h.up || h.unresponsive || h.storeUnreachable {
 		return
 	}
 	var before *simHost
 	for _, o := range s.hosts {
-		if o.token == s.dutyToken {
+		if o.token == s.latestToken {
 			before = o
 		}
 	}
@@ -361,7 +361,7 @@
 	if before != nil && !before.storeUnreachable && s.random.IntN(2) == 0 {
 		before.shard.SetGranter(nil) // it resigned
 	}
-	s.takeDuty(h)
+	s.acquireRole(h)
 }
 
 // busiestWindow returns the largest number of operations that started within one window, and the start of that window.
--- a/core/quota/token_pool.go
+++ b/core/quota/token_pool.go
@@ -81,9 +81,9 @@
 func (p *hostPortions) rate() float64 { return max(p.held.Rate, p.offered.Rate) }
 func (p *hostPortions) cap() float64  { return max(p.held.Cap, p.offered.Cap) }
 
-// applyReport records what a request says that the host holds. Granted tokens that the request does not include were
+// applyRequest records what a request says that the host holds. Granted tokens that the request does not include were
 // lost together with the portion that came with them.
-func (p *hostPortions) applyReport(req AccountRequest) {
+func (p *hostPortions) applyRequest(req AccountRequest) {
 	p.demand = req.Demand
 	switch req.HeldSerial {
 	case p.offered.Serial:
--- a/core/serving/cores_test.go
+++ b/core/serving/cores_test.go
@@ -22,12 +22,12 @@
 
 // In a fleet of 1,000 groups every host held some duty and renewed a lease of its own. The hosts with the most cores must
 // hold all duties, spread evenly, and the others must take them over when those hosts are gone.
-func TestDutiesGoToHostsWithMostCores(t *testing.T) {
+func TestRolesGoToHostsWithMostCores(t *testing.T) {
 	hosts := unevenHosts(500, 5)
 	table := newTable(hosts)
 	held := map[string]int{}
 	for i := range 1000 {
-		first := table.RankedForDuty(fmt.Sprint("group-", i))[0]
+		first := table.RankedCoordinators(fmt.Sprint("group-", i))[0]
 		if first.Cores < 1 {
 			t.Fatalf("group-%d: duty is held by %+v, want a host with 1.6 cores", i, first)
 		}
@@ -42,7 +42,7 @@
 		}
 	}
 	table.Update(hosts[50:])
-	if first := table.RankedForDuty("group-0"); len(first) == 0 {
+	if first := table.RankedCoordinators("group-0"); len(first) == 0 {
 		t.Error("no host takes the duty after the hosts with the most cores are gone")
 	}
 }
--- a/core/serving/table.go
+++ b/core/serving/table.go
@@ -56,9 +56,9 @@
 	// zones holds the first rankedPerZone active hosts of each availability zone, or all of
 	// them if there are fewer, in order of rank.
 	zones map[string][]scoredHost
-	// ranked and dutyRanked cache the results of Ranked and RankedForDuty. They are nil after
+	// ranked and rankedCoordinators cache the results of Ranked and RankedForDuty. They are nil after
 	// a change.
-	ranked, dutyRanked []membership.Host
+	ranked, rankedCoordinators []membership.Host
 }
 
 // scoredHost is a host with its score for a group. Higher scores rank first.
@@ -147,17 +147,17 @@
 	return r.ranked
 }
 
-// RankedForDuty returns the hosts of Ranked in the order in which they take the group's duty: those with more cores first,
+// RankedCoordinators returns the hosts of Ranked in the order in which they take the group's duty: those with more cores first,
 // and those with equal cores in the order of Ranked. The cost of duties grows with the number of hosts that hold any, so
 // a few hosts hold many duties each. Later calls do not modify the slice, and the caller must not change it.
-func (t *Table) RankedForDuty(group string) []membership.Host {
+func (t *Table) RankedCoordinators(group string) []membership.Host {
 	ranked := t.Ranked(group)
 	r := t.ranking(group)
-	if r.dutyRanked == nil {
-		r.dutyRanked = slices.Clone(ranked)
-		slices.SortStableFunc(r.dutyRanked, func(a, b membership.Host) int { return cmp.Compare(effectiveCores(b), effectiveCores(a)) })
+	if r.rankedCoordinators == nil {
+		r.rankedCoordinators = slices.Clone(ranked)
+		slices.SortStableFunc(r.rankedCoordinators, func(a, b membership.Host) int { return cmp.Compare(effectiveCores(b), effectiveCores(a)) })
 	}
-	return r.dutyRanked
+	return r.rankedCoordinators
 }
 
 // Len returns the number of listed hosts, leaving ones included.
@@ -215,7 +215,7 @@
 		ranked = insertScored(ranked, scoredHost{h, r.score(h)})
 	}
 	r.zones[z.name] = ranked
-	r.ranked, r.dutyRanked = nil, nil
+	r.ranked, r.rankedCoordinators = nil, nil
 }
 
 // add ranks a new host if it is among the first rankedPerZone of its availability zone.
@@ -226,7 +226,7 @@
 		return
 	}
 	r.zones[h.Zone] = insertScored(ranked, added)
-	r.ranked, r.dutyRanked = nil, nil
+	r.ranked, r.rankedCoordinators = nil, nil
 }
 
 // remove removes a host that is no longer among the active hosts of z.
@@ -239,10 +239,10 @@
 		r.rebuildZone(z)
 	case len(z.active) == 0:
 		delete(r.zones, h.Zone)
-		r.ranked, r.dutyRanked = nil, nil
+		r.ranked, r.rankedCoordinators = nil, nil
 	default:
 		r.zones[h.Zone] = slices.Delete(ranked, i, i+1)
-		r.ranked, r.dutyRanked = nil, nil
+		r.ranked, r.rankedCoordinators = nil, nil
 	}
 }
 
--- a/internal/fleet/hosts.go
+++ b/internal/fleet/hosts.go
@@ -170,7 +170,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	place := 0
-	for _, h := range f.table.RankedForDuty(group) {
+	for _, h := range f.table.RankedCoordinators(group) {
 		if h.ID == f.self.ID {
 			break
 		}
--- a/internal/follow/join.go
+++ b/internal/follow/join.go
@@ -36,7 +36,7 @@
 			if busy := (*busyError)(nil); errors.As(err, &busy) {
 				j.Redirect(busy.elsewhere)
 			}
-		case joining.Pause:
+		case joining.Backoff:
 			pause.For(ctx, step.For)
 		}
 		if err != nil && f.known.Revision() == 0 {
--- a/internal/gateway/account_test.go
+++ b/internal/gateway/account_test.go
@@ -121,7 +121,7 @@
 
 func openSessionAs(t *testing.T, h *Host, key string) *Session {
 	t.Helper()
-	s, failure := h.Open(testDatabase, account.Caller{Key: account.FingerprintOf(key)})
+	s, failure := h.Open(testDatabase, account.Credentials{KeyFingerprint: account.FingerprintOf(key)})
 	if failure != nil {
 		t.Fatal(failure)
 	}
--- a/internal/gateway/coordinator.go
+++ b/internal/gateway/coordinator.go
@@ -155,22 +155,22 @@
 		d.loseRole("acquired by " + holder)
 	case leadership.LoseToRemoval:
 		d.loseRole("entry removed")
-	case leadership.ResignDuty:
+	case leadership.HandBackRole:
 		d.resign(ctx)
 	case leadership.InheritRecord:
 		d.tryInheritRecord(ctx)
-	case leadership.ReclaimDuty:
+	case leadership.ReclaimRole:
 		return true
 	case leadership.ForgetVacancy:
 		d.vacantSince, d.acquireBackoff = time.Time{}, 0
-	case leadership.ClaimDuty:
+	case leadership.ClaimRole:
 		return d.mayAcquire(now)
 	}
 	return false
 }
 
 // state returns the known state of the role and the host that its entry names.
-func (d *coordinator) state() (s leadership.DutyState, holder string) {
+func (d *coordinator) state() (s leadership.RoleState, holder string) {
 	h := d.host
 	h.mu.Lock()
 	entry, _ := h.storeView.Item(h.coordinatorKey(d.group.name))
@@ -179,9 +179,9 @@
 	holder = string(entry.Value)
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return leadership.DutyState{
+	return leadership.RoleState{
 		Held: d.held, Token: d.token, EntryRevision: entry.Revision, OwnEntry: holder == h.settings.Host, StoreRevision: revision,
-		Stopping: h.stopping.Load(), MayTakeDuty: h.mayCoordinate(), Candidate: h.isCandidate(d.group.name), UpToDate: recent, RecordInherited: d.recordRevision != 0,
+		Stopping: h.stopping.Load(), MayClaim: h.mayCoordinate(), Candidate: h.isCandidate(d.group.name), UpToDate: recent, RecordInherited: d.recordRevision != 0,
 	}, holder
 }
 
@@ -311,7 +311,7 @@
 
 // soleHolderUntil returns until when this host may grant leases, and may request promotions on a platform that checks no
 // fencing tokens. d.mu must be held.
-func (d *coordinator) soleHolderUntil() time.Time { return d.renewedAt.Add(leadership.DutyValidity) }
+func (d *coordinator) soleHolderUntil() time.Time { return d.renewedAt.Add(leadership.RoleValidity) }
 
 // unrecordedPromotionsUntil returns until when an earlier coordinator may have requested promotions without recording
 // them: the time at which the platform saw this host's token, the start of this process if the earlier coordinator was a
@@ -341,7 +341,7 @@
 	case d.reclaimed:
 		return d.host.started.Add(leadership.LeaseDuration)
 	}
-	return d.acquiredAt.Add(leadership.DutyValidity)
+	return d.acquiredAt.Add(leadership.RoleValidity)
 }
 
 // isHeld reports whether this host has acquired the role and has not seen that it was lost.
--- a/internal/gateway/fakesite_test.go
+++ b/internal/gateway/fakesite_test.go
@@ -307,7 +307,7 @@
 	var out []account.Account
 	for line := range strings.Lines(string(value[2:])) {
 		f := strings.Fields(line)
-		a := account.Account{Name: f[0], Keys: []account.Fingerprint{account.FingerprintOf(f[1])}}
+		a := account.Account{Name: f[0], KeyFingerprints: []account.Fingerprint{account.FingerprintOf(f[1])}}
 		if len(f) > 2 {
 			rate, err := strconv.ParseFloat(f[2], 64)
 			if err != nil {
@@ -377,7 +377,7 @@
 
 // execAs is exec for a caller with the given account key.
 func execAs(h *Host, key string, st Statement) Reply {
-	s, failure := h.Open(testDatabase, account.Caller{Key: account.FingerprintOf(key)})
+	s, failure := h.Open(testDatabase, account.Credentials{KeyFingerprint: account.FingerprintOf(key)})
 	if failure != nil {
 		return Reply{Failure: failure}
 	}
--- a/internal/gateway/floor.go
+++ b/internal/gateway/floor.go
@@ -81,11 +81,11 @@
 }
 
 // listedIncarnations returns the incarnations of the listed members. g.mu must be held.
-func (g *Group) listedIncarnations() []leadership.Incarnation {
-	var out []leadership.Incarnation
+func (g *Group) listedIncarnations() []leadership.MemberRun {
+	var out []leadership.MemberRun
 	for _, m := range g.sortedMembers {
 		if m.missingSince.IsZero() && !m.dropped {
-			out = append(out, leadership.Incarnation{Member: m.ID, Born: m.Incarnation})
+			out = append(out, leadership.MemberRun{Member: m.ID, Incarnation: m.Incarnation})
 		}
 	}
 	return out
--- a/internal/gateway/groups_test.go
+++ b/internal/gateway/groups_test.go
@@ -41,7 +41,7 @@
 		if h.existingGroup(irrelevant) != nil {
 			t.Fatalf("%s is kept although it is not relevant", irrelevant)
 		}
-		target, err := h.route(irrelevant, account.Caller{})
+		target, err := h.route(irrelevant, account.Credentials{})
 		if err != nil || target.group == nil || len(target.group.listMembers()) != 3 || !target.group.servedByOthers() {
 			t.Fatalf("the statement is routed to %+v, %v", target, err)
 		}
--- a/internal/gateway/host.go
+++ b/internal/gateway/host.go
@@ -244,7 +244,7 @@
 }
 
 // route returns the route of a database, its group and the caller's account. It creates the group if necessary.
-func (h *Host) route(database string, c account.Caller) (routeTarget, *Failure) {
+func (h *Host) route(database string, c account.Credentials) (routeTarget, *Failure) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	r, a, err := h.routeAndAccount(database, c)
@@ -255,7 +255,7 @@
 }
 
 // routeAndAccount returns the route of a database and the caller's account. h.mu must be held.
-func (h *Host) routeAndAccount(database string, c account.Caller) (Route, *account.Account, *Failure) {
+func (h *Host) routeAndAccount(database string, c account.Credentials) (Route, *account.Account, *Failure) {
 	if h.config == nil {
 		return Route{}, nil, &Failure{Busy, "no configuration yet, " + retryAfter(0)}
 	}
@@ -271,7 +271,7 @@
 }
 
 // authorize returns a failure if the caller may not use the database.
-func (h *Host) authorize(database string, c account.Caller) *Failure {
+func (h *Host) authorize(database string, c account.Credentials) *Failure {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	_, _, err := h.routeAndAccount(database, c)
--- a/internal/gateway/lease_grants.go
+++ b/internal/gateway/lease_grants.go
@@ -69,7 +69,7 @@
 	if alive && heard.After(s.heardAt) {
 		s.heardAt = heard
 	}
-	granted := d.grants.Grant(host, now, leadership.GrantLimits{LastReply: s.heardAt, DutyUntil: d.soleHolderUntil(), InSwitchover: s.inSwitchover})
+	granted := d.grants.Grant(host, now, leadership.GrantLimits{LastAnsweredRequest: s.heardAt, RoleUntil: d.soleHolderUntil(), InSwitchover: s.inSwitchover})
 	if granted == 0 && now.Sub(d.lastWokenAt) >= probeInterval {
 		// The primary may not have been probed recently because no statement needed it.
 		d.lastWokenAt = now
@@ -185,5 +185,5 @@
 		w.grants.Downgrade(host)
 		return
 	}
-	w.grants.Release(host)
+	w.grants.Revoke(host)
 }
--- a/internal/gateway/quota.go
+++ b/internal/gateway/quota.go
@@ -72,11 +72,11 @@
 	if !ok {
 		return nil, errRecordUnknown
 	}
-	r.Grantees = leadership.Union(append(d.host.fleet.ListedIDs(), r.Grantees...), host, d.host.settings.Host)
+	r.PortionHolders = leadership.Union(append(d.host.fleet.ListedIDs(), r.PortionHolders...), host, d.host.settings.Host)
 	if err := d.saveRecord(ctx, r); err != nil {
 		return nil, err
 	}
-	return r.Grantees, nil
+	return r.PortionHolders, nil
 }
 
 // quotaGranters returns the hosts that may regard themselves as the granter of the group's accounts, including this
@@ -84,7 +84,7 @@
 func (d *coordinator) quotaGranters(last leadership.Record) []string {
 	before, granting := d.host.quotas.Before(d.group.name)
 	if !granting {
-		before = last.Granters
+		before = last.QuotaGranters
 	}
 	return leadership.Union(before, d.host.settings.Host)
 }
--- a/internal/gateway/record.go
+++ b/internal/gateway/record.go
@@ -77,14 +77,14 @@
 func (d *coordinator) newInheritance(item kv.Item, epoch kv.Epoch) inheritance {
 	stored, readable := d.parseStoredRecord(item)
 	found, certain := leadership.Inherit(stored, d.newestKnownRecord(), epoch)
-	i := inheritance{found: found, certain: certain && readable, formerGranters: found.Granters, record: found.Record}
+	i := inheritance{found: found, certain: certain && readable, formerGranters: found.QuotaGranters, record: found.Record}
 	if !i.certain {
 		// The store may have lost the entry of a later coordinator, which may have been any host.
 		i.formerGranters = leadership.Union(i.formerGranters, d.host.fleet.ListedIDs()...)
-		i.record.Grantees = leadership.Union(i.record.Grantees, i.formerGranters...)
+		i.record.PortionHolders = leadership.Union(i.record.PortionHolders, i.formerGranters...)
 	}
 	i.record.Holder, i.record.HandedBack, i.record.Epoch = d.host.settings.Host, false, epoch
-	i.record.Granters = leadership.Union(i.formerGranters, d.host.settings.Host)
+	i.record.QuotaGranters = leadership.Union(i.formerGranters, d.host.settings.Host)
 	return i
 }
 
@@ -110,7 +110,7 @@
 	// The floor is the position that the log of a successor of the primary must have reached.
 	d.group.inheritFloor(r, found.Revision)
 	d.group.noteTerm(r.Term)
-	d.startQuotaGranting(r.Grantees, i.formerGranters)
+	d.startQuotaGranting(r.PortionHolders, i.formerGranters)
 	d.mu.Lock()
 	if !d.recordInherited { // afterwards this host knows the pending promotion better than the store
 		d.recordInherited, d.predecessorHandedBack = true, i.certain && (found.HandedBack || found.Holder == "")
@@ -139,11 +139,11 @@
 	call, cancel := context.WithTimeout(ctx, recordWriteTimeout)
 	defer cancel()
 	r.Holder = d.host.settings.Host
-	if r.Grantees == nil {
-		r.Grantees = last.Grantees
+	if r.PortionHolders == nil {
+		r.PortionHolders = last.PortionHolders
 	}
-	if r.Granters = d.quotaGranters(last); r.HandedBack {
-		r.Granters = withoutID(r.Granters, r.Holder)
+	if r.QuotaGranters = d.quotaGranters(last); r.HandedBack {
+		r.QuotaGranters = withoutID(r.QuotaGranters, r.Holder)
 	}
 	err := d.writeRecord(call, r, revision, extra)
 	if err != nil {
@@ -224,8 +224,8 @@
 		return
 	}
 	r, known := w.group.successorRequirements()
-	r.Grantees, r.Granters = old.Grantees, w.quotaGranters(old)
-	if !known || old.PendingPromotion == "" && old.Term == r.Term && old.SameMembers(r.Members) && len(r.Granters) == len(old.Granters) {
+	r.PortionHolders, r.QuotaGranters = old.PortionHolders, w.quotaGranters(old)
+	if !known || old.PendingPromotion == "" && old.Term == r.Term && old.SameMembers(r.Members) && len(r.QuotaGranters) == len(old.QuotaGranters) {
 		return
 	}
 	if err := w.saveRecord(ctx, r); err != nil {
--- a/internal/gateway/record_codec.go
+++ b/internal/gateway/record_codec.go
@@ -33,11 +33,11 @@
 
 func encodeRecord(r leadership.Record) ([]byte, error) {
 	out := wireRecord{
-		Holder: r.Holder, Epoch: int64(r.Epoch), Term: uint64(r.Term), Ordered: r.PendingPromotion, HandedBack: r.HandedBack, Grantees: r.Grantees, Granters: r.Granters,
+		Holder: r.Holder, Epoch: int64(r.Epoch), Term: uint64(r.Term), Ordered: r.PendingPromotion, HandedBack: r.HandedBack, Grantees: r.PortionHolders, Granters: r.QuotaGranters,
 		FloorTerm: uint64(r.Floor.Term), FloorLSN: uint64(r.Floor.LSN),
 	}
 	for _, m := range r.Members {
-		out.Members = append(out.Members, wireIncarnation{m.Member, m.Born})
+		out.Members = append(out.Members, wireIncarnation{m.Member, m.Incarnation})
 	}
 	return json.Marshal(out)
 }
@@ -48,11 +48,11 @@
 		return leadership.Record{}, errors.Wrap(err, "decode leadership record")
 	}
 	out := leadership.Record{
-		Holder: in.Holder, Epoch: kv.Epoch(in.Epoch), Term: group.Term(in.Term), PendingPromotion: in.Ordered, HandedBack: in.HandedBack, Grantees: in.Grantees, Granters: in.Granters,
+		Holder: in.Holder, Epoch: kv.Epoch(in.Epoch), Term: group.Term(in.Term), PendingPromotion: in.Ordered, HandedBack: in.HandedBack, PortionHolders: in.Grantees, QuotaGranters: in.Granters,
 		Floor: group.Position{Term: group.Term(in.FloorTerm), LSN: group.LSN(in.FloorLSN)},
 	}
 	for _, m := range in.Members {
-		out.Members = append(out.Members, leadership.Incarnation{Member: m.Member, Born: m.Born})
+		out.Members = append(out.Members, leadership.MemberRun{Member: m.Member, Incarnation: m.Born})
 	}
 	return out, nil
 }
--- a/internal/gateway/record_test.go
+++ b/internal/gateway/record_test.go
@@ -86,7 +86,7 @@
 func TestRecordRoundTrip(t *testing.T) {
 	r := leadership.Record{
 		Holder: "h1", Term: 3, Floor: group.Position{Term: 2, LSN: 77}, PendingPromotion: "b",
-		Members: []leadership.Incarnation{{Member: "a", Born: 5}, {Member: "b"}},
+		Members: []leadership.MemberRun{{Member: "a", Incarnation: 5}, {Member: "b"}},
 	}
 	value, err := encodeRecord(r)
 	if err != nil {
--- a/internal/gateway/restore_test.go
+++ b/internal/gateway/restore_test.go
@@ -289,8 +289,8 @@
 			s.mu.Unlock()
 		}
 		r, err := decodeRecord(i.Value)
-		if err != nil || len(r.Grantees) != 4 || len(r.Granters) != 4 {
-			t.Errorf("%v may hold portions, and %v may grant them; %v", r.Grantees, r.Granters, err)
+		if err != nil || len(r.PortionHolders) != 4 || len(r.QuotaGranters) != 4 {
+			t.Errorf("%v may hold portions, and %v may grant them; %v", r.PortionHolders, r.QuotaGranters, err)
 		}
 	})
 }
--- a/internal/gateway/session.go
+++ b/internal/gateway/session.go
@@ -12,7 +12,7 @@
 type Session struct {
 	host     *Host
 	database string
-	caller   account.Caller
+	caller   account.Credentials
 	// values and prepared keep the caller's session values and prepared statements until the
 	// session ends.
 	values   map[string]string
@@ -29,7 +29,7 @@
 }
 
 // Open starts a session with a database for a caller, or returns a *Failure.
-func (h *Host) Open(database string, c account.Caller) (*Session, *Failure) {
+func (h *Host) Open(database string, c account.Credentials) (*Session, *Failure) {
 	if err := h.authorize(database, c); err != nil {
 		h.logRefused(database, err)
 		return nil, err
--- a/internal/gateway/session_test.go
+++ b/internal/gateway/session_test.go
@@ -25,7 +25,7 @@
 
 func openSession(t *testing.T, h *Host) *Session {
 	t.Helper()
-	s, failure := h.Open(testDatabase, account.Caller{})
+	s, failure := h.Open(testDatabase, account.Credentials{})
 	if failure != nil {
 		t.Fatal(failure)
 	}
@@ -270,7 +270,7 @@
 
 func TestUnknownDatabase(t *testing.T) {
 	withHost(t, freshness.Latest{}, func(_ *fakeSite, h *Host) {
-		if _, f := h.Open("nobody", account.Caller{}); f == nil || f.Code != NoDatabase {
+		if _, f := h.Open("nobody", account.Credentials{}); f == nil || f.Code != NoDatabase {
 			t.Errorf("Open = %v", f)
 		}
 	})
@@ -311,7 +311,7 @@
 	for i, h := range hosts {
 		for j := range callers[i] {
 			wait.Go(func() {
-				session, failure := h.Open(testDatabase, account.Caller{})
+				session, failure := h.Open(testDatabase, account.Credentials{})
 				if failure != nil {
 					return
 				}
--- a/internal/quotas/ask.go
+++ b/internal/quotas/ask.go
@@ -46,7 +46,7 @@
 // took takes over an answer, or that there is none. The shard's lock is held.
 func (k *Keeper) took(s *shard, in quota.Request, reply Reply, err error) {
 	now := k.now()
-	if err == nil && !reply.Declined && s.HandleResponse(in.ID, in.Token, reply.Answer, now) {
+	if err == nil && !reply.Declined && s.HandleResponse(in.ID, in.FencingToken, reply.Answer, now) {
 		if !s.failingSince.IsZero() {
 			k.log("granter_regained", "shard", s.name, "after_ms", now.Sub(s.failingSince).Milliseconds())
 		}
@@ -57,7 +57,7 @@
 	s.Abandon(in.ID)
 	if s.failingSince.IsZero() {
 		s.failingSince = now
-		k.log("granter_lost", "shard", s.name, "token", in.Token, "declined", reply.Declined, "err", err)
+		k.log("granter_lost", "shard", s.name, "token", in.FencingToken, "declined", reply.Declined, "err", err)
 	}
 	s.askAt = now.Add(askAgain)
 	time.AfterFunc(askAgain, func() {
--- a/internal/quotas/grant.go
+++ b/internal/quotas/grant.go
@@ -37,7 +37,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if l := s.Granter(); l != nil {
-		l.RaiseToken(token)
+		l.RaiseFencingToken(token)
 	}
 }
 
@@ -83,7 +83,7 @@
 	}
 	now := k.now()
 	if host == k.settings.Host && l.KnowsHost(host) && !l.HasReported(host, process) {
-		holds, _ := s.Shard.Report(l.Token(), now)
+		holds, _ := s.Shard.Report(l.FencingToken(), now)
 		l.RecordReport(host, process, holds, now)
 	}
 	questions := in.Accounts[:0:0]
@@ -150,7 +150,7 @@
 // tell asks a host what it holds. The shard's lock is held.
 func (k *Keeper) tell(s *shard, l *quota.Granter, host string) {
 	if host == k.settings.Host {
-		holds, _ := s.Shard.Report(l.Token(), k.now())
+		holds, _ := s.Shard.Report(l.FencingToken(), k.now())
 		l.RecordReport(host, k.settings.Process, holds, k.now())
 		return
 	}
@@ -163,7 +163,7 @@
 		return
 	}
 	t.under = true
-	r := TellRequest{s.name, k.settings.Host, l.Token()}
+	r := TellRequest{s.name, k.settings.Host, l.FencingToken()}
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), askTimeout)
 		defer cancel()
@@ -190,7 +190,7 @@
 		}
 		return
 	case err == nil:
-		k.log("granter_outlived", "shard", s.name, "peer", host, "token", l.Token())
+		k.log("granter_outlived", "shard", s.name, "peer", host, "token", l.FencingToken())
 	case k.fleet.Ended(err):
 		l.RecordExit(host, now)
 	}
--- a/io/peer/quota_messages.go
+++ b/io/peer/quota_messages.go
@@ -65,7 +65,7 @@
 	w.str("process", m.Process)
 	w.uint("id", m.Inquiry.ID)
 	w.uint("heard", m.Inquiry.LastAnswered)
-	w.uint("token", uint64(m.Inquiry.Token))
+	w.uint("token", uint64(m.Inquiry.FencingToken))
 	list := make([]questionMessage, len(m.Inquiry.Accounts))
 	for i, q := range m.Inquiry.Accounts {
 		list[i] = questionMessage(q)
@@ -86,7 +86,7 @@
 	case "heard":
 		return r.uint(&m.Inquiry.LastAnswered)
 	case "token":
-		return readNumber(r, &m.Inquiry.Token)
+		return readNumber(r, &m.Inquiry.FencingToken)
 	case "questions":
 		var list []questionMessage
 		readList(r, &list)
--- a/io/upstream/pool.go
+++ b/io/upstream/pool.go
@@ -58,7 +58,7 @@
 	mu        sync.Mutex
 	members   []memberPool
 	queue     *admission.Queue[*connRequest]
-	holdTimes admission.Estimate
+	holdTimes admission.WaitEstimator
 	primary   int // the primary that the connections were opened for
 	// maxOpen is the number of connections that may be open now. It is below limit
 	// while another owner holds some, and zero until those have been counted.
