--- a/core/leadership/change_test.go
+++ b/core/leadership/change_test.go
@@ -18,12 +18,12 @@
 // adoptPrimary makes the holder treat as primary the member with the highest term that leads and that it can
 // reach, unless a promotion order is pending.
 func (e *explorer) adoptPrimary(st modelState) {
-	d := &st.holder
+	d := &st.coordinator
 	best := none
 	for m := range st.nodes {
 		n := &st.nodes[m]
 		known := n.term >= st.recordedTerm || !e.safeguards.recordOrder
-		if n.up && n.leads && known && st.holderReaches(m) && (best == none || n.term > st.nodes[best].term) {
+		if n.up && n.leads && known && st.coordinatorReaches(m) && (best == none || n.term > st.nodes[best].term) {
 			best = m
 		}
 	}
@@ -49,8 +49,8 @@
 
 // sampleFloor sets the floor for a successor to the primary's position.
 func (e *explorer) sampleFloor(st modelState) {
-	d := &st.holder
-	if d.stage != granting || d.primary == none || d.floor != none || !st.holderReaches(int(d.primary)) || !st.nodes[d.primary].up {
+	d := &st.coordinator
+	if d.stage != granting || d.primary == none || d.floor != none || !st.coordinatorReaches(int(d.primary)) || !st.nodes[d.primary].up {
 		return
 	}
 	d.floor = st.nodes[d.primary].length
@@ -59,19 +59,19 @@
 
 // startFailover makes the holder start to replace the primary, whether or not it has failed.
 func (e *explorer) startFailover(st modelState) {
-	if st.holder.stage != granting || st.holder.primary == none || st.recordedOrder != none && e.safeguards.recordOrder {
+	if st.coordinator.stage != granting || st.coordinator.primary == none || st.recordedOrder != none && e.safeguards.recordOrder {
 		return
 	}
-	st.holder.stage = revoking
+	st.coordinator.stage = revoking
 	if !e.safeguards.waitForLeases {
-		st.holder.stage = fencing
+		st.coordinator.stage = fencing
 	}
 	e.add("suspect", st, "")
 }
 
 // revokeLeases recalls leases from reachable hosts, and starts to fence once no lease is left.
 func (e *explorer) revokeLeases(st modelState) {
-	d := &st.holder
+	d := &st.coordinator
 	if d.stage != revoking {
 		return
 	}
@@ -79,11 +79,11 @@
 		if d.leased[h] && st.hosts[h].partition == st.hosts[d.host].partition {
 			next := st
 			next.hosts[h].lease, next.hosts[h].revokedPrimary = none, d.primary
-			next.holder.leased[h] = false
+			next.coordinator.leased[h] = false
 			e.add("recall", next, "")
 		}
 	}
-	if d.leased == [hostCount]bool{} && !(e.safeguards.waitForFormerHolder && st.former.active) {
+	if d.leased == [hostCount]bool{} && !(e.safeguards.waitForFormerCoordinator && st.former.active) {
 		d.stage = fencing
 		e.add("all leases ended", st, "")
 	}
@@ -91,20 +91,20 @@
 
 // fenceReplicas fences a reachable replica and records the length of its log.
 func (e *explorer) fenceReplicas(st modelState) {
-	d := &st.holder
+	d := &st.coordinator
 	if d.stage != fencing {
 		return
 	}
 	for m := range st.nodes {
 		n := &st.nodes[m]
-		if int8(m) == d.primary || d.fenced[m] || d.rechecked || !n.up || !st.holderReaches(m) || n.leads {
+		if int8(m) == d.primary || d.fenced[m] || d.rechecked || !n.up || !st.coordinatorReaches(m) || n.leads {
 			continue
 		}
 		next := st
 		if e.safeguards.fenceReplicas {
 			next.nodes[m].fenceTerm = n.term + 1
 		}
-		next.holder.fenced[m], next.holder.fencedLength[m] = true, n.length
+		next.coordinator.fenced[m], next.coordinator.fencedLength[m] = true, n.length
 		e.add("fence "+memberName(m), next, "")
 	}
 	if e.safeguards.recheckReplicas && e.safeguards.fenceReplicas && !d.rechecked && d.fenced != [memberCount]bool{} {
@@ -115,11 +115,11 @@
 // recheckReplicas probes the replicas again after all reachable ones were fenced. One that has lost its fence
 // was restarted in between.
 func (e *explorer) recheckReplicas(st modelState) {
-	d := &st.holder
+	d := &st.coordinator
 	d.rechecked = true
 	for m := range st.nodes {
 		n := &st.nodes[m]
-		if d.fenced[m] && (!n.up || !st.holderReaches(m) || n.fenceTerm <= n.term) {
+		if d.fenced[m] && (!n.up || !st.coordinatorReaches(m) || n.fenceTerm <= n.term) {
 			d.fenced[m] = false
 		}
 		d.fencedLength[m] = 0
@@ -133,16 +133,16 @@
 // chooseSuccessor orders the promotion of a replica that has every acknowledged write, or resumes with the old
 // primary.
 func (e *explorer) chooseSuccessor(st modelState) {
-	d := &st.holder
+	d := &st.coordinator
 	if d.stage != fencing {
 		return
 	}
 	resumed := st
-	resumed.holder.stage, resumed.holder.rechecked = granting, false
-	resumed.holder.fenced, resumed.holder.fencedLength = [memberCount]bool{}, [memberCount]int8{}
-	if p := d.primary; st.nodes[p].up && st.nodes[p].leads && st.holderReaches(int(p)) {
+	resumed.coordinator.stage, resumed.coordinator.rechecked = granting, false
+	resumed.coordinator.fenced, resumed.coordinator.fencedLength = [memberCount]bool{}, [memberCount]int8{}
+	if p := d.primary; st.nodes[p].up && st.nodes[p].leads && st.coordinatorReaches(int(p)) {
 		for m := range resumed.nodes {
-			if resumed.holderReaches(m) {
+			if resumed.coordinatorReaches(m) {
 				resumed.nodes[m].fenceTerm = 0
 			}
 		}
@@ -160,10 +160,10 @@
 // standbys returns the replicas as the holder knows them.
 func (st *modelState) standbys(safe safeguards) []group.Standby {
 	var out []group.Standby
-	d := &st.holder
+	d := &st.coordinator
 	for m := range st.nodes {
 		n := &st.nodes[m]
-		departed := !d.fenced[m] && !n.listed && !n.up && st.holderReaches(m)
+		departed := !d.fenced[m] && !n.listed && !n.up && st.coordinatorReaches(m)
 		if int8(m) == d.primary || departed {
 			continue
 		}
--- a/core/leadership/checker_test.go
+++ b/core/leadership/checker_test.go
@@ -86,9 +86,9 @@
 		{"restarts are detected", faultBounds{0, 1, 0, 0, 0}, func(s *safeguards) { s.detectRestarts = false }},
 		{"promotion orders are recorded", faultBounds{1, 0, 1, 0, 0}, func(s *safeguards) { s.recordOrder = false }},
 		{"writes without a lease are confirmed", faultBounds{1, 0, 0, 0, 0}, func(s *safeguards) { s.confirmWrites = false }},
-		{"failover waits for a holder whose duty was revoked", faultBounds{1, 0, 0, 1, 0}, func(s *safeguards) { s.waitForFormerHolder = false }},
+		{"failover waits for a holder whose duty was revoked", faultBounds{1, 0, 0, 1, 0}, func(s *safeguards) { s.waitForFormerCoordinator = false }},
 		{"record is remembered over a restore of the store", faultBounds{1, 0, 0, 0, 1}, func(s *safeguards) { s.rememberRecord = false }},
-		{"failover waits for a holder missing from the restored store", faultBounds{1, 0, 0, 0, 1}, func(s *safeguards) { s.waitForFormerHolder = false }},
+		{"failover waits for a holder missing from the restored store", faultBounds{1, 0, 0, 0, 1}, func(s *safeguards) { s.waitForFormerCoordinator = false }},
 		{"all other members confirm the primary", faultBounds{2, 1, 0, 0, 0}, func(s *safeguards) { s.proveByAll = false }},
 	} {
 		t.Run(c.name, func(t *testing.T) {
--- a/core/leadership/faults_test.go
+++ b/core/leadership/faults_test.go
@@ -71,8 +71,8 @@
 	if n.listed {
 		next := st
 		next.nodes[m].listed = false
-		if int8(m) != st.holder.primary || st.holder.stage == ordered {
-			next.holder.floor, next.holder.memberLeft = none, true
+		if int8(m) != st.coordinator.primary || st.coordinator.stage == ordered {
+			next.coordinator.floor, next.coordinator.memberLeft = none, true
 		}
 		e.add("unlist "+memberName(m), next, "")
 	}
@@ -90,7 +90,7 @@
 	f := &fresh.nodes[m]
 	*f = node{up: true, partition: n.partition, listed: true}
 	if e.safeguards.detectRestarts {
-		fresh.holder.floor, fresh.holder.memberLeft = none, true
+		fresh.coordinator.floor, fresh.coordinator.memberLeft = none, true
 	}
 	if st.platformOrder == int8(m) {
 		// An order names a member, not one of its runs. The model assumes that the platform drops an order
--- a/core/leadership/model_test.go
+++ b/core/leadership/model_test.go
@@ -16,7 +16,7 @@
 
 // safeguards are the rules on which the protocol relies. The checker disables them one by one.
 type safeguards struct {
-	waitForLeases, boundByRole, confirmWrites, fenceReplicas, requireFloor, detectRestarts, recordOrder, proveByAll, recheckReplicas, waitForFormerHolder, rememberRecord bool
+	waitForLeases, boundByRole, confirmWrites, fenceReplicas, requireFloor, detectRestarts, recordOrder, proveByAll, recheckReplicas, waitForFormerCoordinator, rememberRecord bool
 }
 
 func allSafeguards() safeguards {
@@ -41,13 +41,13 @@
 type hostState struct {
 	partition             int8
 	lease, revokedPrimary int8
-	// fromFormerHolder is true if the lease comes from a holder whose duty was fromFormerHolder.
-	fromFormerHolder bool
+	// fromFormerCoordinator is true if the lease comes from a holder whose duty was fromFormerCoordinator.
+	fromFormerCoordinator bool
 }
 
-// formerHolder is a holder whose duty the platform revoked early. It continues to grant leases until its own
+// formerCoordinator is a holder whose duty the platform revoked early. It continues to grant leases until its own
 // validity of the duty ends.
-type formerHolder struct {
+type formerCoordinator struct {
 	active        bool
 	host, primary int8
 }
@@ -62,8 +62,8 @@
 	ordered
 )
 
-// holderState is the state of the holder of the duty.
-type holderState struct {
+// coordinatorState is the state of the holder of the duty.
+type coordinatorState struct {
 	host, primary int8
 	stage         stage
 	// leased hosts may have a lease.
@@ -95,11 +95,11 @@
 // modelState is a state of the whole system. It is comparable, so that the checker can recognize states that it
 // has visited.
 type modelState struct {
-	nodes  [memberCount]node
-	hosts  [hostCount]hostState
-	holder holderState
-	former formerHolder
-	writes [writeCount]write
+	nodes       [memberCount]node
+	hosts       [hostCount]hostState
+	coordinator coordinatorState
+	former      formerCoordinator
+	writes      [writeCount]write
 	// platformOrder is the member of an order that the platform may execute at any time.
 	platformOrder int8
 	// recordedOrder is the member of the order in the store, and recordedTerm the highest term there.
@@ -120,7 +120,7 @@
 	for i := range st.hosts {
 		st.hosts[i] = hostState{lease: none, revokedPrimary: none}
 	}
-	st.holder = holderState{floor: none, target: none}
+	st.coordinator = coordinatorState{floor: none, target: none}
 	return st
 }
 
@@ -161,9 +161,9 @@
 // logPosition returns the position of the end of a log.
 func logPosition(length int8) group.Position { return group.Position{Term: 1, LSN: group.LSN(length)} }
 
-// holderReaches reports whether the holder and the member are on the same side of a partition.
-func (st *modelState) holderReaches(m int) bool {
-	return st.hosts[st.holder.host].partition == st.nodes[m].partition
+// coordinatorReaches reports whether the holder and the member are on the same side of a partition.
+func (st *modelState) coordinatorReaches(m int) bool {
+	return st.hosts[st.coordinator.host].partition == st.nodes[m].partition
 }
 
 // probeResults returns the results that the host gets when it probes the members.
--- a/core/leadership/steps_test.go
+++ b/core/leadership/steps_test.go
@@ -144,42 +144,42 @@
 // leaseSteps adds that a lease is granted, that it ends on its host, and that it then ends for the holder, in
 // this order.
 func (e *explorer) leaseSteps(st modelState) {
-	d := &st.holder
+	d := &st.coordinator
 	for h := range st.hosts {
 		if d.stage == granting && d.primary != none && st.hosts[h].partition == st.hosts[d.host].partition && st.hosts[h].lease != d.primary {
 			next := st
-			next.hosts[h].lease, next.hosts[h].revokedPrimary, next.hosts[h].fromFormerHolder = d.primary, none, false
-			next.holder.leased[h] = true
+			next.hosts[h].lease, next.hosts[h].revokedPrimary, next.hosts[h].fromFormerCoordinator = d.primary, none, false
+			next.coordinator.leased[h] = true
 			e.add("grant", next, "")
 		}
 		if st.hosts[h].lease != none {
 			next := st
-			next.hosts[h].lease, next.hosts[h].fromFormerHolder = none, false
+			next.hosts[h].lease, next.hosts[h].fromFormerCoordinator = none, false
 			e.add("lease ends on host", next, "")
 		}
 		if d.leased[h] && st.hosts[h].lease == none {
 			next := st
-			next.holder.leased[h] = false
+			next.coordinator.leased[h] = false
 			e.add("lease ends for holder", next, "")
 		}
 	}
 	e.expireRole(st)
 	e.removeRole(st)
 	e.restoreStore(st)
-	e.formerHolderSteps(st)
+	e.formerCoordinatorSteps(st)
 }
 
 // removeRole takes the duty from its holder before its validity ends. The holder is not told.
 func (e *explorer) removeRole(st modelState) {
-	if st.faultsLeft.removals == 0 || st.holder.stage != granting || st.holder.primary == none {
+	if st.faultsLeft.removals == 0 || st.coordinator.stage != granting || st.coordinator.primary == none {
 		return
 	}
 	st.faultsLeft.removals--
-	st.former = formerHolder{active: true, host: st.holder.host, primary: st.holder.primary}
+	st.former = formerCoordinator{active: true, host: st.coordinator.host, primary: st.coordinator.primary}
 	for h := range st.hosts {
-		st.hosts[h].fromFormerHolder = st.hosts[h].lease != none
+		st.hosts[h].fromFormerCoordinator = st.hosts[h].lease != none
 	}
-	st.holder = holderState{host: 1 - st.holder.host, primary: none, floor: st.holder.floor, target: none}
+	st.coordinator = coordinatorState{host: 1 - st.coordinator.host, primary: none, floor: st.coordinator.floor, target: none}
 	e.add("duty is revoked", st, "")
 }
 
@@ -191,29 +191,29 @@
 		return
 	}
 	st.faultsLeft.restores--
-	if st.holder.stage == granting && st.holder.primary != none {
-		st.former = formerHolder{active: true, host: st.holder.host, primary: st.holder.primary}
+	if st.coordinator.stage == granting && st.coordinator.primary != none {
+		st.former = formerCoordinator{active: true, host: st.coordinator.host, primary: st.coordinator.primary}
 		for h := range st.hosts {
-			st.hosts[h].fromFormerHolder = st.hosts[h].lease != none
+			st.hosts[h].fromFormerCoordinator = st.hosts[h].lease != none
 		}
-	} else if st.holder.leased != [hostCount]bool{} {
+	} else if st.coordinator.leased != [hostCount]bool{} {
 		return // leases that a failover waits for end before the next holder has finished its own wait
 	}
-	floor := st.holder.floor
+	floor := st.coordinator.floor
 	for m := range st.nodes {
 		if !st.nodes[m].listed {
 			floor = none // the floor of the record is valid only for the members that it names
 		}
 	}
-	st.holder = holderState{host: 1 - st.holder.host, primary: none, floor: floor, target: none}
+	st.coordinator = coordinatorState{host: 1 - st.coordinator.host, primary: none, floor: floor, target: none}
 	if !e.safeguards.rememberRecord {
 		st.recordedOrder, st.recordedTerm = none, 0
 	}
 	e.add("store is restored", st, "")
 }
 
-// formerHolderSteps adds the leases that a former holder grants. They end with its validity of the duty.
-func (e *explorer) formerHolderSteps(st modelState) {
+// formerCoordinatorSteps adds the leases that a former holder grants. They end with its validity of the duty.
+func (e *explorer) formerCoordinatorSteps(st modelState) {
 	f := &st.former
 	if !f.active {
 		return
@@ -221,14 +221,14 @@
 	for h := range st.hosts {
 		if s := &st.hosts[h]; s.partition == st.hosts[f.host].partition && s.lease != f.primary {
 			next := st
-			next.hosts[h].lease, next.hosts[h].revokedPrimary, next.hosts[h].fromFormerHolder = f.primary, none, true
+			next.hosts[h].lease, next.hosts[h].revokedPrimary, next.hosts[h].fromFormerCoordinator = f.primary, none, true
 			e.add("former holder grants lease", next, "")
 		}
 	}
 	f.active = false
 	for h := range st.hosts {
-		if st.hosts[h].fromFormerHolder {
-			st.hosts[h].lease, st.hosts[h].fromFormerHolder = none, false
+		if st.hosts[h].fromFormerCoordinator {
+			st.hosts[h].lease, st.hosts[h].fromFormerCoordinator = none, false
 		}
 	}
 	e.add("former holder's validity ends", st, "")
@@ -236,16 +236,16 @@
 
 // expireRole passes the duty on to the other host. Leases end before the duty does.
 func (e *explorer) expireRole(st modelState) {
-	if st.faultsLeft.expirations == 0 || e.safeguards.boundByRole && st.holder.leased != [hostCount]bool{} {
+	if st.faultsLeft.expirations == 0 || e.safeguards.boundByRole && st.coordinator.leased != [hostCount]bool{} {
 		return
 	}
 	st.faultsLeft.expirations--
-	floor := st.holder.floor
+	floor := st.coordinator.floor
 	for m := range st.nodes {
 		if !st.nodes[m].listed {
 			floor = none // the floor of the record is valid only for the members that it names
 		}
 	}
-	st.holder = holderState{host: 1 - st.holder.host, primary: none, floor: floor, target: none}
+	st.coordinator = coordinatorState{host: 1 - st.coordinator.host, primary: none, floor: floor, target: none}
 	e.add("duty expires", st, "")
 }
--- a/core/quota/simulation_test.go
+++ b/core/quota/simulation_test.go
@@ -49,11 +49,11 @@
 	up, unresponsive bool
 	// partition is the network partition that the host is in.
 	partition int
-	// holder and holderToken are the holder of the duty and its fencing token, as far as this host knows.
-	holder      *simHost
-	holderToken int64
-	// token is the fencing token of this host's own duty, or zero.
-	token int64
+	// granterHost and holderToken are the granterHost of the duty and its fencing token, as far as this host knows.
+	granterHost  *simHost
+	granterToken int64
+	// fencingToken is the fencing fencingToken of this host's own duty, or zero.
+	fencingToken int64
 	// renewedAt is when the host last renewed its duty.
 	renewedAt time.Time
 	// storeUnreachable is true while the host can't reach the store.
@@ -85,20 +85,20 @@
 func (s *simulation) acquireRole(h *simHost) {
 	s.latestToken++
 	s.logf("%s takes the duty with fencing token %d", h.id, s.latestToken)
-	h.token, h.renewedAt = s.latestToken, s.now
+	h.fencingToken, h.renewedAt = s.latestToken, s.now
 	h.shard.SetGranter(NewGranter(s.latestToken, s.tolerance, s.now, s.mayHold, s.formerGranters))
 	if !slices.Contains(s.formerGranters, h.id) {
 		s.formerGranters = append(s.formerGranters, h.id)
 	}
-	s.announceHolder()
+	s.announceGranter()
 }
 
-// announceHolder tells the hosts that reach the store who holds the duty.
-func (s *simulation) announceHolder() {
+// announceGranter tells the hosts that reach the store who holds the duty.
+func (s *simulation) announceGranter() {
 	for _, h := range s.hosts {
 		for _, o := range s.hosts {
-			if h.up && !h.unresponsive && !h.storeUnreachable && o.token == s.latestToken {
-				h.holder, h.holderToken = o, o.token
+			if h.up && !h.unresponsive && !h.storeUnreachable && o.fencingToken == s.latestToken {
+				h.granterHost, h.granterToken = o, o.fencingToken
 				if h != o {
 					h.shard.SetGranter(nil) // it learns that it has lost the duty
 				}
@@ -107,12 +107,12 @@
 	}
 }
 
-// learnHolder lets a host that has just started learn the holder of the duty from another host that it reaches. That
+// learnGranter lets a host that has just started learn the holder of the duty from another host that it reaches. That
 // host's knowledge may be out of date.
-func (s *simulation) learnHolder(h *simHost) {
+func (s *simulation) learnGranter(h *simHost) {
 	o := s.hosts[s.random.IntN(len(s.hosts))]
-	if h.holder == nil && o.holder != nil && s.reachable(h, o) {
-		h.holder, h.holderToken = o.holder, o.holderToken
+	if h.granterHost == nil && o.granterHost != nil && s.reachable(h, o) {
+		h.granterHost, h.granterToken = o.granterHost, o.granterToken
 	}
 }
 
@@ -126,7 +126,7 @@
 func (s *simulation) restart(h *simHost) {
 	s.logf("%s is restarted", h.id)
 	h.process++
-	h.shard, h.token, h.holder, h.up = NewShard(), 0, nil, true
+	h.shard, h.fencingToken, h.granterHost, h.up = NewShard(), 0, nil, true
 }
 
 func (h *simHost) processName() string { return fmt.Sprint(h.id, ".", h.process) }
@@ -135,7 +135,7 @@
 // their granters.
 func (s *simulation) advance() {
 	s.now = s.now.Add(stepDuration)
-	s.announceHolder()
+	s.announceGranter()
 	s.deliver()
 	for _, g := range s.hosts {
 		if g.shard.Granter() != nil && g.up && !g.unresponsive {
@@ -152,7 +152,7 @@
 // runGranter renews the granter's duty and queries hosts for their holdings.
 func (s *simulation) runGranter(g *simHost) {
 	granter := g.shard.Granter()
-	if g.token == s.latestToken && !g.storeUnreachable {
+	if g.fencingToken == s.latestToken && !g.storeUnreachable {
 		g.renewedAt = s.now
 		granter.Extend(s.now)
 		s.formerGranters = append(granter.FormerGranters(), g.id)
@@ -163,7 +163,7 @@
 		}
 		switch {
 		case s.reachable(g, h):
-			holds, ok := h.shard.Report(g.token, s.now)
+			holds, ok := h.shard.Report(g.fencingToken, s.now)
 			if ok && s.delivered() {
 				granter.RecordReport(h.id, h.processName(), holds, s.now)
 			}
@@ -182,7 +182,7 @@
 
 // serveCallers simulates the requests of the host's callers in one step, and the host's request to the granter.
 func (s *simulation) serveCallers(h *simHost) {
-	s.learnHolder(h)
+	s.learnGranter(h)
 	n := int(h.loadPerStep)
 	if s.random.Float64() < h.loadPerStep-float64(n) {
 		n++
@@ -247,11 +247,11 @@
 // request sends a request to the granter that the host knows. Without an immediate response the host may send another in
 // the next step.
 func (s *simulation) request(h *simHost) {
-	g := h.holder
+	g := h.granterHost
 	if g == nil {
 		return
 	}
-	h.shard.Follow(h.holderToken)
+	h.shard.Follow(h.granterToken)
 	req, ok := h.shard.NextRequest(s.now)
 	if !ok {
 		return
@@ -333,7 +333,7 @@
 // other hosts. It then moves the duty to the given host, before or after the holder's lease has ended.
 func (s *simulation) splitNetwork(h *simHost) {
 	for _, o := range s.hosts {
-		o.storeUnreachable = o != h && (o.token == s.latestToken || s.random.IntN(2) == 0)
+		o.storeUnreachable = o != h && (o.fencingToken == s.latestToken || s.random.IntN(2) == 0)
 		o.partition = 0
 		if o.storeUnreachable && s.random.IntN(3) > 0 {
 			o.partition = 1
@@ -351,7 +351,7 @@
 	}
 	var before *simHost
 	for _, o := range s.hosts {
-		if o.token == s.latestToken {
+		if o.fencingToken == s.latestToken {
 			before = o
 		}
 	}
