--- a/io/upstream/answer.go
+++ b/io/upstream/answer.go
@@ -61,7 +61,7 @@
 // needsReadOnlyTx reports whether the unit must be wrapped in a read-only
 // transaction.
 func (x *Exchange) needsReadOnlyTx(u *statement.Unit) bool {
-	return !x.replica && !x.open && u.Kind == statement.Read && !u.ControlsTransaction && u.Expect == statement.ExpectReady
+	return !x.replica && !x.open && u.Kind == statement.Read && !u.ControlsTransaction && u.ReplyEnd == statement.EndsWithReady
 }
 
 // run sends a unit on the exchange's connection and passes its answer to sink. The
@@ -78,7 +78,7 @@
 	if err != nil {
 		return statement.Outcome{}, errors.Wrap(errConnFailed, err.Error())
 	}
-	if u.Expect == statement.ExpectNothing {
+	if u.ReplyEnd == statement.EndsWithoutReply {
 		return statement.Outcome{CopyIn: true}, nil
 	}
 	a := &answer{unit: u, sink: sink, extraReplies: extra, heldFrom: -1, repliesDue: u.Replies}
@@ -160,7 +160,7 @@
 				a.heldFrom = start
 			}
 		}
-		if a.unit.Expect == statement.ExpectReplies && a.countReply(frame) {
+		if a.unit.ReplyEnd == statement.EndsAfterReplies && a.countReply(frame) {
 			return statement.Outcome{Status: postgres.StatusInTx}, nil
 		}
 		if err := x.flushChunk(a); err != nil {
--- a/io/upstream/ledger.go
+++ b/io/upstream/ledger.go
@@ -25,7 +25,7 @@
 // request identifier. Within a transaction of the caller the identifier has no
 // effect, since the caller's COMMIT decides.
 func (x *Exchange) runsAtMostOnce(u *statement.Unit) bool {
-	return u.RequestID != "" && !x.open && !u.ControlsTransaction && u.Expect == statement.ExpectReady
+	return u.RequestID != "" && !x.open && !u.ControlsTransaction && u.ReplyEnd == statement.EndsWithReady
 }
 
 // runOnce runs a unit under its request identifier. If a request with the identifier
