--- a/internal/follow/source.go
+++ b/internal/follow/source.go
@@ -93,7 +93,7 @@
 // busyError means that a host forwards updates to too many hosts already. It names other hosts that can send them.
 type busyError struct{ referrals []netip.AddrPort }
 
-func (*busyError) Error() string { return "the host forwards updates to too many hosts" }
+func (*busyError) Error() string { return "the host passes news on to too many others" }
 
 // shouldSwitchSource reports whether the host prefers another source than s, now that it is listed and has its own
 // position in the tree of update sources. Hosts that are not listed yet keep their source: while a fleet starts, all of
@@ -103,7 +103,7 @@
 }
 
 // errStaleUpdates means that the source has had no recent contact with the store either.
-var errStaleUpdates = errors.New("the updates are too old")
+var errStaleUpdates = errors.New("the news is old")
 
 // Sources returns the update sources of the host, the preferred one first. It may be called from several goroutines.
 func (f *Follower) Sources() []Source {
--- a/io/upstream/answer.go
+++ b/io/upstream/answer.go
@@ -13,77 +13,82 @@
 )
 
 const (
-	// chunk is how much of an answer is collected before it is passed on, in
-	// bytes.
-	chunk = 16 << 10
-	// maxHeld bounds the part of an answer that waits for the confirmation of a
-	// write, in bytes.
-	maxHeld = 4 << 20
+	// flushSize is how many bytes of an answer are buffered before they are passed
+	// to the sink.
+	flushSize = 16 << 10
+	// maxHeldBytes is the maximum size of the part of an answer that is held back
+	// until a write is confirmed.
+	maxHeldBytes = 4 << 20
 )
 
-// answering is the state of an answer that is being read.
-type answering struct {
-	unit  *statement.Unit
-	sink  Sink
-	stage stage
-	extra int // answers to messages that the caller did not send, still due
-	// held is the offset in buf from which bytes wait for a confirmation, or -1.
-	held   int
-	failed bool // an ErrorResponse was read
-	left   int  // messages still due, for Counted
+// answer is the state of reading the answer to one unit.
+type answer struct {
+	unit         *statement.Unit
+	sink         Sink
+	stage        wrapStage
+	extraReplies int // replies still due to messages that the caller did not send
+	// heldFrom is the offset in Exchange.buf from which bytes are held back until
+	// the write is confirmed, or -1.
+	heldFrom   int
+	failed     bool // an ErrorResponse was read
+	repliesDue int  // replies still due, for statement.ExpectReplies
 }
 
-// stage says where in the answer to a wrapped read the reader is.
-type stage int
+// wrapStage is the part of a wrapped read whose answer is being read.
+type wrapStage int
 
 // The stages. A read that runs on the primary is wrapped in BEGIN READ ONLY and
-// COMMIT, so that a SELECT whose function writes is refused as on a replica,
-// and runs anew as a write.
+// COMMIT, so that a SELECT that calls a writing function is refused as on a
+// replica, and is run again as a write.
 const (
-	unwrapped stage = iota
-	opening         // the answer to BEGIN READ ONLY is due
-	inside          // the answer to the unit is due
-	closing         // the answer to COMMIT is due
+	stageUnwrapped wrapStage = iota
+	stageBegin               // the answer to BEGIN READ ONLY is due
+	stageUnit                // the answer to the unit is due
+	stageCommit              // the answer to COMMIT is due
 )
 
-// Simple queries around a wrapped read.
+// The messages around a wrapped read.
 var (
-	beginReadOnly = simpleQuery("BEGIN READ ONLY")
-	commitRead    = simpleQuery("COMMIT")
+	beginReadOnly = encodeQuery("BEGIN READ ONLY")
+	commitRead    = encodeQuery("COMMIT")
 )
 
-func simpleQuery(sql string) []byte {
+// encodeQuery returns the encoded Query message of a simple query.
+func encodeQuery(sql string) []byte {
 	return postgres.EndFrame(append(postgres.BeginFrame(nil, postgres.TypeQuery), sql+"\x00"...), 0)
 }
 
-// wraps reports whether the unit must be wrapped.
-func (x *Exchange) wraps(u *statement.Unit) bool {
+// needsReadOnlyTx reports whether the unit must be wrapped in a read-only
+// transaction.
+func (x *Exchange) needsReadOnlyTx(u *statement.Unit) bool {
 	return !x.replica && !x.open && u.Kind == statement.Read && !u.ControlsTransaction && u.ReplyEnd == statement.EndsWithReady
 }
 
-// run sends a unit and reads its answer.
+// run sends a unit on the exchange's connection and passes its answer to sink. The
+// error wraps errConnFailed if the connection failed, and errReadOnly if the unit
+// was refused because it writes.
 func (x *Exchange) run(ctx context.Context, u *statement.Unit, sink Sink) (statement.Outcome, error) {
-	stop := x.bound(ctx, u)
+	stop := x.enforceDeadline(ctx, u)
 	defer stop()
 	if u.Kind == statement.Write {
 		x.wrote = true
 	}
-	wrapped := x.wraps(u)
+	wrapped := x.needsReadOnlyTx(u)
 	extra, err := x.conn.send(u, wrapped)
 	if err != nil {
-		return statement.Outcome{}, errors.Wrap(errRead, err.Error())
+		return statement.Outcome{}, errors.Wrap(errConnFailed, err.Error())
 	}
 	if u.ReplyEnd == statement.EndsWithoutReply {
 		return statement.Outcome{CopyIn: true}, nil
 	}
-	a := &answering{unit: u, sink: sink, extra: extra, held: -1, left: u.Replies}
+	a := &answer{unit: u, sink: sink, extraReplies: extra, heldFrom: -1, repliesDue: u.Replies}
 	if wrapped {
-		a.stage = opening
+		a.stage = stageBegin
 	}
-	x.buf, x.passed = x.buf[:0], false
-	out, err := x.read(ctx, a)
+	x.buf, x.delivered = x.buf[:0], false
+	out, err := x.readAnswer(ctx, a)
 	if a.failed && len(u.Prepared) > 0 {
-		x.conn.forget(u.Prepared)
+		x.conn.forgetPrepared(u.Prepared)
 	}
 	if err != nil {
 		return out, err
@@ -93,86 +98,89 @@
 	}
 	out.Pinned = x.pinned
 	x.open = out.Continues()
-	return out, x.pass(a, len(x.buf))
+	return out, x.flush(a, len(x.buf))
 }
 
-// bound makes the connection fail when the caller goes away or its deadline
-// passes. It returns a function that ends this.
-func (x *Exchange) bound(ctx context.Context, u *statement.Unit) func() {
+// enforceDeadline makes I/O on the connection fail when ctx ends, and cancels the
+// statement when the unit's deadline passes. The returned function stops both.
+func (x *Exchange) enforceDeadline(ctx context.Context, u *statement.Unit) func() {
 	c := x.conn
 	stop := context.AfterFunc(ctx, func() { _ = c.net.SetDeadline(time.Unix(1, 0)) })
-	timeout := time.AfterFunc(time.Until(u.Deadline), func() { x.timeout(c) })
+	timeout := time.AfterFunc(time.Until(u.Deadline), func() { x.cancelAtDeadline(c) })
 	return func() {
 		timeout.Stop()
 		if !stop() {
-			// The connection's deadline has passed, and would meet its next user.
-			x.owner.pool.doom(c)
+			// The connection now has a deadline in the past, which would fail the
+			// next exchange that uses it.
+			x.owner.pool.markUnusable(c)
 		}
 	}
 }
 
-// timeout cancels a statement whose caller's deadline has passed. Cancel dooms
-// the connection, so that its deadline meets nobody else.
-func (x *Exchange) timeout(c *conn) {
-	_ = c.net.SetDeadline(time.Now().Add(deadlineGrace))
-	ctx, cancel := context.WithTimeout(context.Background(), deadlineGrace)
+// cancelAtDeadline cancels a statement whose deadline has passed. Cancel marks the
+// connection unusable, so that the deadline set here affects no other exchange.
+func (x *Exchange) cancelAtDeadline(c *conn) {
+	_ = c.net.SetDeadline(time.Now().Add(deadlineCloseDelay))
+	ctx, cancel := context.WithTimeout(context.Background(), deadlineCloseDelay)
 	defer cancel()
 	_ = x.Cancel(ctx)
 }
 
-// deadlineGrace is how long after a caller's deadline its connection is closed.
-// The statement is canceled at the deadline, which usually ends it in order.
-const deadlineGrace = 500 * time.Millisecond
+// deadlineCloseDelay is the time between a statement's deadline and the I/O
+// deadline of its connection. The statement is canceled at its deadline, and
+// usually ends in order before the connection fails.
+const deadlineCloseDelay = 500 * time.Millisecond
 
-// read reads messages until the unit's answer is complete.
-func (x *Exchange) read(ctx context.Context, a *answering) (statement.Outcome, error) {
+// readAnswer reads messages until the unit's answer is complete, and passes on
+// what need not be held back.
+func (x *Exchange) readAnswer(ctx context.Context, a *answer) (statement.Outcome, error) {
 	for {
 		start := len(x.buf)
 		buf, err := postgres.ReadFrame(x.conn.r, x.buf)
 		if err != nil {
-			return statement.Outcome{}, errors.Wrap(errRead, err.Error())
+			return statement.Outcome{}, errors.Wrap(errConnFailed, err.Error())
 		}
 		x.buf = buf
 		frame := postgres.Frame(buf[start:])
-		if x.swallow(a, frame, start) || x.wrapping(a, frame, start) {
+		if x.dropExtraReply(a, frame, start) || x.dropWrapperMessage(a, frame, start) {
 			continue
 		}
 		switch frame.Type() {
 		case postgres.TypeReadyForQuery:
-			return x.ready(ctx, a, frame.Body()[0])
+			return x.handleReady(ctx, a, frame.Body()[0])
 		case postgres.TypeCopyInResponse:
 			return statement.Outcome{CopyIn: true}, nil
 		case postgres.TypeErrorResponse:
 			a.failed = true
-			if x.refusedWrite(a, frame) {
+			if x.isRefusedWrite(a, frame) {
 				return statement.Outcome{}, x.drainRefusal(a)
 			}
 		case postgres.TypeCommandComplete:
-			if a.held < 0 && !x.replica {
-				a.held = start
+			if a.heldFrom < 0 && !x.replica {
+				a.heldFrom = start
 			}
 		}
-		if a.unit.ReplyEnd == statement.EndsAfterReplies && a.counted(frame) {
+		if a.unit.ReplyEnd == statement.EndsAfterReplies && a.countReply(frame) {
 			return statement.Outcome{Status: postgres.StatusInTx}, nil
 		}
-		if err := x.passOn(a); err != nil {
+		if err := x.flushChunk(a); err != nil {
 			return statement.Outcome{}, err
 		}
 	}
 }
 
-// wrapping drops the messages of a wrapped read's own transaction, and reports
-// whether it dropped this one.
-func (x *Exchange) wrapping(a *answering, f postgres.Frame, start int) bool {
+// dropWrapperMessage drops the message if it belongs to the BEGIN or COMMIT around
+// a wrapped read, and reports whether it did.
+func (x *Exchange) dropWrapperMessage(a *answer, f postgres.Frame, start int) bool {
 	ready := f.Type() == postgres.TypeReadyForQuery
 	switch {
-	case a.stage == opening:
+	case a.stage == stageBegin:
 		if ready {
-			a.stage = inside
+			a.stage = stageUnit
 		}
-	case a.stage == inside && ready:
-		a.stage = closing
-	case a.stage == closing && !ready:
+	case a.stage == stageUnit && ready:
+		a.stage = stageCommit
+	case a.stage == stageCommit && !ready:
 	default:
 		return false
 	}
@@ -180,94 +188,99 @@
 	return true
 }
 
-// swallow drops the answers to messages that the caller did not send. They come
-// first; an error among them stands for the whole unit.
-func (x *Exchange) swallow(a *answering, f postgres.Frame, start int) bool {
-	if a.extra == 0 || f.Type() != postgres.TypeParseComplete && f.Type() != postgres.TypeCloseComplete {
+// dropExtraReply drops the message if it replies to a Parse or Close that the
+// caller did not send, and reports whether it did. These replies come first. An
+// error among them is passed on as the error of the whole unit.
+func (x *Exchange) dropExtraReply(a *answer, f postgres.Frame, start int) bool {
+	if a.extraReplies == 0 || f.Type() != postgres.TypeParseComplete && f.Type() != postgres.TypeCloseComplete {
 		return false
 	}
-	a.extra--
+	a.extraReplies--
 	x.buf = x.buf[:start]
 	return true
 }
 
-// refusedWrite reports whether a replica, or the transaction around a wrapped
-// read, refused the first unit of an exchange because it writes.
-func (x *Exchange) refusedWrite(a *answering, f postgres.Frame) bool {
-	if !x.replica && a.stage != inside || x.passed {
+// isRefusedWrite reports whether the ErrorResponse f shows that a replica or a
+// read-only transaction refused the unit because it writes. It returns false once a
+// part of the answer was passed on.
+func (x *Exchange) isRefusedWrite(a *answer, f postgres.Frame) bool {
+	if !x.replica && a.stage != stageUnit || x.delivered {
 		return false
 	}
 	var e pgproto3.ErrorResponse
 	return e.Decode(f.Body()) == nil && e.Code == postgres.CodeReadOnly
 }
 
-// drainRefusal reads to the end of a refused unit, so that the connection can be
-// used again.
-func (x *Exchange) drainRefusal(a *answering) error {
+// drainRefusal reads the rest of the answer to a refused unit, so that the
+// connection can be used again. It returns errReadOnly, or another error if the
+// connection cannot be used again.
+func (x *Exchange) drainRefusal(a *answer) error {
 	status, err := x.conn.skipToReady()
-	if a.stage == inside && err == nil {
+	if a.stage == stageUnit && err == nil {
 		status, err = x.conn.skipToReady()
 	}
 	if err != nil || status != postgres.StatusIdle {
 		// Inside BEGIN READ ONLY the caller itself must see the error.
-		return errors.Wrap(errRead, "after a refused write")
+		return errors.Wrap(errConnFailed, "after a refused write")
 	}
 	return errReadOnly
 }
 
-// counted counts an answer to a message before Flush and reports whether it was
-// the last one due.
-func (a *answering) counted(f postgres.Frame) bool {
+// countReply counts a reply to a message sent before Flush and reports whether it
+// was the last one due. An error ends the replies.
+func (a *answer) countReply(f postgres.Frame) bool {
 	switch f.Type() {
 	case postgres.TypeErrorResponse:
 		return true
 	case postgres.TypeParseComplete, postgres.TypeBindComplete, postgres.TypeCloseComplete,
 		postgres.TypeParameterDescrip, postgres.TypeRowDescription, postgres.TypeNoData,
 		postgres.TypeCommandComplete, postgres.TypeEmptyQuery, postgres.TypePortalSuspended:
-		a.left--
+		a.repliesDue--
 	}
-	return a.left <= 0
+	return a.repliesDue <= 0
 }
 
-// passOn passes a full chunk on, up to where bytes are held.
-func (x *Exchange) passOn(a *answering) error {
+// flushChunk passes buffered bytes to the sink if there are at least flushSize that
+// need not be held back. It fails if the held part exceeds maxHeldBytes.
+func (x *Exchange) flushChunk(a *answer) error {
 	end := len(x.buf)
-	if a.held >= 0 {
-		if end-a.held > maxHeld {
+	if a.heldFrom >= 0 {
+		if end-a.heldFrom > maxHeldBytes {
 			return errors.New("the answer is too large to hold until its write is confirmed")
 		}
-		end = a.held
+		end = a.heldFrom
 	}
-	if end < chunk {
+	if end < flushSize {
 		return nil
 	}
-	return x.pass(a, end)
+	return x.flush(a, end)
 }
 
-// pass passes the first end bytes on.
-func (x *Exchange) pass(a *answering, end int) error {
+// flush passes the first end bytes of the buffer to the sink.
+func (x *Exchange) flush(a *answer, end int) error {
 	if end == 0 {
 		return nil
 	}
-	if err := x.covered(a); err != nil {
+	if err := x.awaitReadLease(a); err != nil {
 		return err
 	}
 	if err := a.sink(x.buf[:end]); err != nil {
 		return errors.Wrap(err, "pass the answer on")
 	}
-	x.passed = true
+	x.delivered = true
 	n := copy(x.buf, x.buf[end:])
 	x.buf = x.buf[:n]
-	if a.held >= 0 {
-		a.held -= end
+	if a.heldFrom >= 0 {
+		a.heldFrom -= end
 	}
 	return nil
 }
 
-// covered waits until the owner's lease covers an answer of a replica whose
-// session may have written through another owner.
-func (x *Exchange) covered(a *answering) error {
-	if !x.replica || x.passed || x.request.NeverWrote {
+// awaitReadLease waits, before the first bytes of a replica's answer are passed on,
+// until the owner's read lease is valid. Sessions that never wrote need no lease:
+// the lease guards against writes acknowledged by another owner.
+func (x *Exchange) awaitReadLease(a *answer) error {
+	if !x.replica || x.delivered || x.request.NeverWrote {
 		return nil
 	}
 	ctx, cancel := context.WithDeadline(context.Background(), a.unit.Deadline)
@@ -275,9 +288,9 @@
 	return x.owner.awaitLease(ctx)
 }
 
-// ready ends a unit at ReadyForQuery. What a transaction on the primary did or
-// saw is confirmed before its end is passed on.
-func (x *Exchange) ready(ctx context.Context, a *answering, status byte) (statement.Outcome, error) {
+// handleReady returns the outcome of a unit at ReadyForQuery. When a transaction on
+// the primary has ended, everything that it wrote or read is confirmed first.
+func (x *Exchange) handleReady(ctx context.Context, a *answer, status byte) (statement.Outcome, error) {
 	out := statement.Outcome{Status: status}
 	if x.replica || status != postgres.StatusIdle {
 		return out, nil
@@ -293,27 +306,30 @@
 	return out, err
 }
 
+// confirm waits until a majority of the members holds what the primary has written
+// so far. While the group is handed over, the next owner confirms instead, and the
+// returned position is zero.
 func (x *Exchange) confirm(ctx context.Context, deadline time.Time) (group.Position, error) {
 	ctx, cancel := context.WithDeadline(ctx, deadline)
 	defer cancel()
 	started := time.Now()
 	if x.owner.options.Unsafe.SkipConfirm {
-		return x.owner.seen(), nil
+		return x.owner.lastPosition(), nil
 	}
-	if x.owner.handing() {
-		return group.Position{}, x.delegate(ctx)
+	if x.owner.isHandingOver() {
+		return group.Position{}, x.confirmBySuccessor(ctx)
 	}
 	p, err := x.owner.confirm(ctx, x.term)
-	if err != nil && x.owner.handing() {
-		return group.Position{}, x.delegate(ctx)
+	if err != nil && x.owner.isHandingOver() {
+		return group.Position{}, x.confirmBySuccessor(ctx)
 	}
 	x.owner.stats.confirmTime.UpdateSince(started)
 	return p, err
 }
 
-// delegate has the next owner confirm: this one has given the owner lock away,
-// and only the holder's word shows that no other primary reigns.
-func (x *Exchange) delegate(ctx context.Context) error {
+// confirmBySuccessor asks the next owner to confirm. This owner has released the
+// owner lock, and only its holder knows that no other primary was promoted.
+func (x *Exchange) confirmBySuccessor(ctx context.Context) error {
 	if x.owner.options.Successor == nil {
 		return errUnconfirmed
 	}
--- a/io/upstream/bind.go
+++ b/io/upstream/bind.go
@@ -8,119 +8,124 @@
 	"pearlatch/core/statement"
 )
 
-// ask has the members asked again and again while a read waits that no replica
-// was fresh enough for, until the returned function is called. Reads that wait
-// for a connection learn nothing from that.
-func (p *pool) ask(w *want) (done func()) {
+// probeWhileStale makes the members be probed repeatedly while the read w waits
+// for a replica to become fresh enough, until the returned function is called. If a
+// replica is fresh enough, the read waits for a connection only, and no probes are
+// made. If no replica is expected to be fresh enough before w.primaryAt, the read
+// may use the primary at once.
+func (p *pool) probeWhileStale(w *connRequest) (done func()) {
 	v, now := p.owner.view(), time.Now()
 	for i := range v.members {
-		if v.serves(i, w.need, now) {
+		if v.canServe(i, w.requirement, now) {
 			return func() {}
 		}
 	}
-	if wait, ok := p.owner.replicaWait(w.need, now); !ok || wait > w.primaryAt.Sub(now) {
-		// Patience would end in vain.
+	if wait, ok := p.owner.replicaWait(w.requirement, now); !ok || wait > w.primaryAt.Sub(now) {
 		p.mu.Lock()
 		w.primaryAt = now
 		p.mu.Unlock()
 		p.dispatch()
 		return func() {}
 	}
-	p.count(1)
-	p.owner.kickAll()
-	return func() { p.count(-1) }
+	p.addStaleReads(1)
+	p.owner.probeAll()
+	return func() { p.addStaleReads(-1) }
 }
 
-func (p *pool) count(stale int) {
+// addStaleReads adds n to the number of reads that wait for a fresh replica.
+func (p *pool) addStaleReads(n int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.stale += stale
+	p.staleReads += n
 }
 
-// bind chooses the member of a read on its arrival, for early bindings. bound
-// counts the requests of each member.
-func (p *pool) bind(w *want) {
+// bindEarly sets w.member for the bindings EarlyTwo and EarlyLeast: the replica
+// with the fewest bound reads, out of two random ones or out of all that can serve
+// w. p.mu must be held.
+func (p *pool) bindEarly(w *connRequest) {
 	w.member = group.NoMember
 	if p.owner.options.Binding == Late || w.kind != statement.Read {
 		return
 	}
 	v, now := p.owner.view(), time.Now()
-	var fit []int
+	var candidates []int
 	for i := range v.members {
-		if v.serves(i, w.need, now) {
-			fit = append(fit, i)
+		if v.canServe(i, w.requirement, now) {
+			candidates = append(candidates, i)
 		}
 	}
-	if p.owner.options.Binding == EarlyTwo && len(fit) > 2 {
-		rand.Shuffle(len(fit), func(i, j int) { fit[i], fit[j] = fit[j], fit[i] })
-		fit = fit[:2]
+	if p.owner.options.Binding == EarlyTwo && len(candidates) > 2 {
+		rand.Shuffle(len(candidates), func(i, j int) { candidates[i], candidates[j] = candidates[j], candidates[i] })
+		candidates = candidates[:2]
 	}
-	for _, i := range fit {
-		if w.member == group.NoMember || p.members[i].bound < p.members[w.member].bound {
+	for _, i := range candidates {
+		if w.member == group.NoMember || p.members[i].boundReads < p.members[w.member].boundReads {
 			w.member = i
 		}
 	}
 	if w.member != group.NoMember {
-		p.members[w.member].bound++
+		p.members[w.member].boundReads++
 	}
 }
 
-// direct returns a free connection for w if nothing waits before it.
-func (p *pool) direct(w *want) *conn {
+// acquireDirect returns an idle connection for w, or nil if there is none or if
+// other requests are queued. p.mu must be held.
+func (p *pool) acquireDirect(w *connRequest) *conn {
 	if p.closed || p.queue.Len() > 0 {
 		return nil
 	}
 	v, now := p.owner.view(), time.Now()
-	c := p.find(v, w, now)
+	c := p.findConn(v, w, now)
 	if c != nil {
-		c.take(v, now)
+		c.markAcquired(v, now)
 	}
 	return c
 }
 
-// find takes an idle connection that may serve w. Without one it opens a
-// connection if there is room, and returns nil.
-func (p *pool) find(v *view, w *want, now time.Time) *conn {
+// findConn takes an idle connection that can serve w. If there is none, it begins
+// to open one within the limits and returns nil. p.mu must be held.
+func (p *pool) findConn(v *view, w *connRequest, now time.Time) *conn {
 	if w.kind == statement.Write {
-		if !v.confirmable(now, p.owner.confirmPatience()) {
+		if !v.canConfirmWrites(now, p.owner.confirmationTTL()) {
 			return nil
 		}
-		return p.from(v.primary, p.primaryCap, now)
+		return p.idleConn(v.primary, p.primaryCap, now)
 	}
-	if c := p.findReplica(v, w, now); c != nil {
+	if c := p.findReplicaConn(v, w, now); c != nil {
 		return c
 	}
-	if v.confirmable(now, p.owner.confirmPatience()) && !now.Before(w.primaryAt) {
-		return p.from(v.primary, p.primaryCap, now)
+	if v.canConfirmWrites(now, p.owner.confirmationTTL()) && !now.Before(w.primaryAt) {
+		return p.idleConn(v.primary, p.primaryCap, now)
 	}
 	return nil
 }
 
-// findReplica takes a connection to the least busy replica that serves w and has
-// one free. Only when none has is a connection opened: that takes longer than
-// most reads.
-func (p *pool) findReplica(v *view, w *want, now time.Time) *conn {
-	best, spare := group.NoMember, group.NoMember
+// findReplicaConn takes a connection to the least busy replica that can serve w and
+// has an idle connection. If none has one, it begins to open a connection and
+// returns nil. Opening one takes longer than most reads.
+func (p *pool) findReplicaConn(v *view, w *connRequest, now time.Time) *conn {
+	best, openable := group.NoMember, group.NoMember
 	for i := range v.members {
-		if !v.serves(i, w.need, now) || w.member != group.NoMember && w.member != i {
+		if !v.canServe(i, w.requirement, now) || w.member != group.NoMember && w.member != i {
 			continue
 		}
 		if len(p.members[i].idle) > 0 {
 			best = p.lessBusy(best, i)
 		} else if p.members[i].open() < p.replicaCap {
-			spare = p.lessBusy(spare, i)
+			openable = p.lessBusy(openable, i)
 		}
 	}
 	if best == group.NoMember {
-		best = spare
+		best = openable
 	}
 	if best == group.NoMember {
 		return nil
 	}
-	return p.from(best, p.replicaCap, now)
+	return p.idleConn(best, p.replicaCap, now)
 }
 
-// lessBusy returns the less busy of two members, the first of which may be none.
+// lessBusy returns the member with fewer connections in use. a may be
+// group.NoMember.
 func (p *pool) lessBusy(a, b int) int {
 	if a == group.NoMember || len(p.members[b].busy) < len(p.members[a].busy) {
 		return b
@@ -128,8 +133,9 @@
 	return a
 }
 
-// from takes an idle connection to member i, or begins to open one.
-func (p *pool) from(i, limit int, now time.Time) *conn {
+// idleConn takes an idle connection to member i. If there is none that is alive, it
+// begins to open one, up to limit, and returns nil. p.mu must be held.
+func (p *pool) idleConn(i, limit int, now time.Time) *conn {
 	m := &p.members[i]
 	for len(m.idle) > 0 {
 		c := m.idle[len(m.idle)-1]
@@ -141,6 +147,6 @@
 		m.busy[c] = struct{}{}
 		return c
 	}
-	p.openMore(i, limit, now)
+	p.tryOpen(i, limit, now)
 	return nil
 }
--- a/io/upstream/confirm.go
+++ b/io/upstream/confirm.go
@@ -9,27 +9,31 @@
 	"pearlatch/core/group"
 )
 
-// errUnconfirmed means that the write may or may not survive.
+// errUnconfirmed means that it is unknown whether a write survives a failover.
 var errUnconfirmed = errors.New("the outcome could not be confirmed")
 
-// waiter waits until what the primary held after since is confirmed.
-type waiter struct {
+// confirmWaiter waits until everything that the primary had written by the time
+// since is confirmed.
+type confirmWaiter struct {
 	term  group.Term
 	since time.Time
-	// target is an upper bound of the write's end: the primary's position asked
-	// for at or after since. Zero until there is one.
+	// target is an upper bound of the end of the write: the primary's position in
+	// a sample requested at or after since. It is zero until there is such a
+	// sample.
 	target group.LSN
-	done   chan error // buffered, gets one value
+	done   chan error // buffered, receives one value
 }
 
-// confirm waits until a majority holds everything that the primary of term had
-// written by now, and returns a position that includes it.
+// confirm waits until a majority of the members holds everything that the primary
+// of the term had written at the time of the call, and returns a position that
+// includes it. It returns errUnconfirmed if that does not happen before ctx ends.
+// The position may be set even then.
 func (o *Owner) confirm(ctx context.Context, term group.Term) (group.Position, error) {
-	w := &waiter{term: term, since: time.Now(), done: make(chan error, 1)}
+	w := &confirmWaiter{term: term, since: time.Now(), done: make(chan error, 1)}
 	o.mu.Lock()
 	o.waiters[w] = struct{}{}
 	o.mu.Unlock()
-	o.kickAll()
+	o.probeAll()
 	var err error
 	select {
 	case err = <-w.done:
@@ -43,9 +47,10 @@
 	return p, err
 }
 
-// settle answers the waiters that the samples allow to be answered. o.mu is
-// held and l's control connection is that of the primary's sample.
-func (o *Owner) settle(l *lead) {
+// resolveWaiters ends the waiters whose outcome follows from the samples, and has
+// the members probed if others remain. o.mu must be held, and the primary's sample
+// must come from l's control connection.
+func (o *Owner) resolveWaiters(l *leadership) {
 	if len(o.waiters) == 0 {
 		return
 	}
@@ -53,25 +58,27 @@
 	waiting := false
 	for w := range o.waiters {
 		if w.term != l.term {
-			o.resolve(w, l)
+			o.resolveEndedTerm(w, l)
 			waiting = true
 			continue
 		}
 		if w.target == 0 && !primary.SentAt.Before(w.since) {
 			w.target = primary.Status.Received
 		}
-		if o.confirmed(w, l) {
-			o.finish(w, nil)
+		if o.isConfirmed(w, l) {
+			o.finishWaiter(w, nil)
 			continue
 		}
 		waiting = true
 	}
 	if waiting {
-		o.kickAll()
+		o.probeAll()
 	}
 }
 
-func (o *Owner) confirmed(w *waiter, l *lead) bool {
+// isConfirmed reports whether a majority holds w's target and the lease of an
+// earlier owner has ended. o.mu must be held.
+func (o *Owner) isConfirmed(w *confirmWaiter, l *leadership) bool {
 	if w.target == 0 || time.Now().Before(l.ackAfter) {
 		return false
 	}
@@ -79,32 +86,36 @@
 	return ok && c.LSN >= w.target
 }
 
-// resolve decides a waiter whose term has ended. The promoted member's log tells
-// whether the write survived: it does if its upper bound is included, and then
-// the waiter goes on until the new term's first record is confirmed. If not, the
-// write itself may still lie below, so the outcome stays unknown.
-func (o *Owner) resolve(w *waiter, l *lead) {
+// resolveEndedTerm handles a waiter whose term has ended. If the log of the
+// promoted member includes the waiter's target, the write survived, and the waiter
+// continues until the new term's first record is confirmed. Otherwise the write
+// itself may still end below that point, so its outcome is unknown. o.mu must be
+// held.
+func (o *Owner) resolveEndedTerm(w *confirmWaiter, l *leadership) {
 	if w.target == 0 || w.term != o.lastTerm || w.target > o.lastEnd {
-		o.finish(w, errUnconfirmed)
+		o.finishWaiter(w, errUnconfirmed)
 		return
 	}
 	w.term, w.target, w.since = l.term, l.floor.LSN, time.Now()
 }
 
-func (o *Owner) finish(w *waiter, err error) {
+// finishWaiter removes a waiter and passes it err. o.mu must be held.
+func (o *Owner) finishWaiter(w *confirmWaiter, err error) {
 	delete(o.waiters, w)
 	w.done <- err
 }
 
+// failWaiters ends all waiters with errUnconfirmed.
 func (o *Owner) failWaiters() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	for w := range o.waiters {
-		o.finish(w, errUnconfirmed)
+		o.finishWaiter(w, errUnconfirmed)
 	}
 }
 
-// awaitLease waits until the owner's lease covers the present moment.
+// awaitLease waits until the owner holds a valid lease. It returns errUnconfirmed
+// if ctx ends or the owner stops first.
 func (o *Owner) awaitLease(ctx context.Context) error {
 	for {
 		v := o.view()
@@ -115,8 +126,8 @@
 		if v.phase == Stopped {
 			return errUnconfirmed
 		}
-		o.kickAll()
-		t := time.NewTimer(leasePoll)
+		o.probeAll()
+		t := time.NewTimer(leasePollInterval)
 		select {
 		case <-t.C:
 		case <-ctx.Done():
@@ -126,5 +137,5 @@
 	}
 }
 
-// leasePoll is how often awaitLease looks again.
-const leasePoll = time.Millisecond
+// leasePollInterval is the interval at which awaitLease checks the lease.
+const leasePollInterval = time.Millisecond
--- a/io/upstream/exchange.go
+++ b/io/upstream/exchange.go
@@ -13,12 +13,13 @@
 	"pearlatch/io/postgres"
 )
 
-// Sink takes the bytes of an answer as they come. It must not keep them.
+// Sink receives the bytes of an answer as they arrive. It must not retain the
+// slice.
 type Sink = func([]byte) error
 
-// Exchange runs the units of one caller from the first statement of a
-// transaction to its end, on one connection. Its methods but Cancel must be
-// called from one goroutine.
+// Exchange runs the units of one caller, from the first statement of a transaction
+// to its end, on one connection. All methods except Cancel must be called from one
+// goroutine.
 type Exchange struct {
 	owner   *Owner
 	request *statement.Request
@@ -26,60 +27,63 @@
 	mu   sync.Mutex
 	conn *conn
 
-	term    group.Term // under which conn was taken
-	replica bool       // conn leads to a replica
-	need    freshness.Requirement
-	wrote   bool // a unit of the open transaction may have written
-	open    bool // the exchange goes on after its last unit
-	pinned  bool
-	passed  bool // a part of the present answer was passed on
-	buf     []byte
+	term        group.Term // term under which conn was acquired
+	replica     bool       // conn is a connection to a replica
+	requirement freshness.Requirement
+	wrote       bool // a unit of the open transaction may have written
+	open        bool // the exchange continues after its last unit, as in a transaction
+	pinned      bool // a unit left session state, so the exchange continues after a transaction
+	delivered   bool // a part of the current answer was passed to the sink
+	buf         []byte
 }
 
-// Begin opens an exchange. Nothing is sent until its first unit.
+// Begin returns a new exchange for the request. It acquires no connection before
+// its first unit.
 func (o *Owner) Begin(r *statement.Request) *Exchange {
 	return &Exchange{owner: o, request: r}
 }
 
-// Do runs a unit and passes its answer to sink. The error is a
-// *statement.Refusal when the unit got no answer that may be passed on; then the
-// exchange is over.
+// Do runs a unit and passes its answer to sink. It retries a first unit that is
+// safe to run again. If the answer cannot be passed on, the error is a
+// *statement.Refusal and the exchange is over.
 func (x *Exchange) Do(ctx context.Context, u *statement.Unit, sink Sink) (statement.Outcome, error) {
 	for {
 		first := x.conn == nil
 		if first {
-			if err := x.take(ctx, u); err != nil {
+			if err := x.acquireConn(ctx, u); err != nil {
 				return statement.Outcome{}, err
 			}
 		}
 		run := x.run
-		if x.once(u) {
+		if x.runsAtMostOnce(u) {
 			run = x.runOnce
 		}
 		out, err := run(ctx, u, sink)
 		if err == nil {
 			out.Wrote = u.Kind == statement.Write
 			if !out.Continues() {
-				x.finish(true)
+				x.releaseConn(true)
 			}
 			return out, nil
 		}
-		x.finish(errors.Is(err, errReadOnly) || x.owner.options.Unsafe.ReuseUndrained)
-		if first && x.again(u, err) {
+		x.releaseConn(errors.Is(err, errReadOnly) || x.owner.options.Unsafe.ReuseUndrained)
+		if first && x.prepareRetry(u, err) {
 			continue
 		}
 		return statement.Outcome{}, x.refusal(u, err)
 	}
 }
 
-// errReadOnly means that a replica refused a unit before running it.
+// errReadOnly means that a replica or a read-only transaction refused a unit because
+// it writes. The unit had no effect.
 var errReadOnly = errors.New("the replica refused a write")
 
-// errRead means that the connection failed before the answer was complete.
-var errRead = errors.New("the connection failed")
+// errConnFailed means that the connection failed before the answer was complete.
+var errConnFailed = errors.New("the connection failed")
 
-// again reports whether a failed first unit may be run anew, and prepares that.
-func (x *Exchange) again(u *statement.Unit, err error) bool {
+// prepareRetry reports whether a failed first unit may be run again, and changes the
+// unit to a write if it turned out to be one.
+func (x *Exchange) prepareRetry(u *statement.Unit, err error) bool {
 	if !time.Now().Before(u.Deadline) {
 		return false
 	}
@@ -88,17 +92,19 @@
 		u.Kind = statement.Write
 		x.request.NeverWrote = false
 		return true
-	case x.passed:
+	case x.delivered:
 		return false
-	case errors.Is(err, errRead), errors.Is(err, errUnconfirmed):
-		// A read may run any number of times. It includes units that only
-		// prepare or describe. The ledger lets a request with an identifier run
-		// once.
+	case errors.Is(err, errConnFailed), errors.Is(err, errUnconfirmed):
+		// Reads, which include units that only prepare or describe, can be
+		// repeated. The request ledger ensures that a request with an identifier
+		// takes effect once.
 		return u.Kind == statement.Read || x.request.Idempotent || u.RequestID != ""
 	}
 	return false
 }
 
+// refusal returns the refusal that reports err to the caller, and counts unknown
+// outcomes.
 func (x *Exchange) refusal(u *statement.Unit, err error) error {
 	var r *statement.Refusal
 	if errors.As(err, &r) {
@@ -112,24 +118,24 @@
 	return &statement.Refusal{Code: postgres.CodeTransactionUnknown, Reason: reason}
 }
 
-// take acquires a connection for the unit.
-func (x *Exchange) take(ctx context.Context, u *statement.Unit) error {
+// acquireConn acquires a connection that can serve the unit.
+func (x *Exchange) acquireConn(ctx context.Context, u *statement.Unit) error {
 	kind := u.Kind
 	if u.RequestID != "" {
 		kind = statement.Write
 	}
-	x.owner.touch()
-	x.need = x.owner.need(x.request)
-	if _, latest := x.request.Class.(freshness.Latest); latest || x.owner.fixed.toPrimary(x.owner.options.Unsafe.FixedPrimary, x.request, kind) {
+	x.owner.recordRequest()
+	x.requirement = x.owner.requirement(x.request)
+	if _, latest := x.request.Class.(freshness.Latest); latest || x.owner.fixed.routesToPrimary(x.owner.options.Unsafe.FixedPrimary, x.request, kind) {
 		kind = statement.Write
 	}
-	w := &want{
-		request:   x.request,
-		kind:      kind,
-		need:      x.need,
-		primaryAt: time.Now().Add(x.request.ReplicaWait),
-		deadline:  u.Deadline,
-		ready:     make(chan *conn, 1),
+	w := &connRequest{
+		request:     x.request,
+		kind:        kind,
+		requirement: x.requirement,
+		primaryAt:   time.Now().Add(x.request.ReplicaWait),
+		deadline:    u.Deadline,
+		ready:       make(chan *conn, 1),
 	}
 	c, err := x.owner.pool.acquire(ctx, w, u.Deadline)
 	if err != nil {
@@ -140,11 +146,12 @@
 	x.conn = c
 	x.mu.Unlock()
 	x.term, x.replica, x.wrote = c.term, c.replica, false
-	x.count(u)
+	x.countUnit(u)
 	return nil
 }
 
-func (x *Exchange) count(u *statement.Unit) {
+// countUnit counts the unit in the metrics by the member that serves it.
+func (x *Exchange) countUnit(u *statement.Unit) {
 	switch {
 	case x.replica:
 		x.owner.stats.replicaReads.Inc(1)
@@ -155,8 +162,8 @@
 	}
 }
 
-// need returns what the request's reads ask of a member.
-func (o *Owner) need(r *statement.Request) freshness.Requirement {
+// requirement returns the freshness that the request's reads require of a member.
+func (o *Owner) requirement(r *statement.Request) freshness.Requirement {
 	n := freshness.Requirement{Class: r.Class}
 	if r.NeverWrote || o.options.Unsafe.IgnoreMarks || o.options.Unsafe.FixedPrimary > 0 {
 		return n
@@ -168,8 +175,9 @@
 	return n
 }
 
-// finish gives the connection back, or closes it if it is not clean.
-func (x *Exchange) finish(clean bool) {
+// releaseConn returns the connection, if any, to the pool. The pool closes it if it
+// is not clean, that is, in the middle of an answer or a transaction.
+func (x *Exchange) releaseConn(clean bool) {
 	x.mu.Lock()
 	c := x.conn
 	x.conn = nil
@@ -185,12 +193,12 @@
 // Close ends the exchange. A connection in the middle of a transaction is
 // closed, which rolls it back.
 func (x *Exchange) Close() {
-	x.finish(false)
+	x.releaseConn(false)
 }
 
-// Cancel asks the member to cancel the running statement. The connection is not
-// used again: the member acts on the request at some later time, and would
-// cancel the statement of another caller.
+// Cancel asks the member to cancel the running statement. It may be called from any
+// goroutine. The connection is not used again: the member processes the cancel
+// request at some later time, and could cancel another caller's statement.
 func (x *Exchange) Cancel(ctx context.Context) error {
 	x.mu.Lock()
 	c := x.conn
@@ -198,6 +206,6 @@
 	if c == nil {
 		return nil
 	}
-	x.owner.pool.doom(c)
+	x.owner.pool.markUnusable(c)
 	return x.owner.pool.dialer.cancel(ctx, x.owner.options.Group.Members[c.member], c)
 }
--- a/io/upstream/fence.go
+++ b/io/upstream/fence.go
@@ -13,9 +13,9 @@
 	"pearlatch/core/group"
 )
 
-// attachOthers makes the fenced replicas follow the member that is about to be
-// promoted, in the background: the first write then finds a replica that
-// follows. A replica waits until its source is promoted.
+// attachOthers makes the other fenced members follow the member that is about to be
+// promoted. It runs in the background, so that a replica already follows when the
+// first write needs a confirmation. A replica waits until its source is promoted.
 func (o *Owner) attachOthers(ctx context.Context, fenced []group.FenceAck, primary int, fence group.Fence) {
 	o.mu.Lock()
 	for i := range o.attachAfter {
@@ -29,8 +29,8 @@
 	}
 }
 
-// fenceAll fences the members that answer, in parallel, and returns those that
-// accepted.
+// fenceAll fences all members that answer probes, in parallel, and returns the
+// acknowledgments of those that accepted, ordered by member.
 func (o *Owner) fenceAll(ctx context.Context, fence group.Fence) []group.FenceAck {
 	ctx, cancel := context.WithTimeout(ctx, fenceTimeout)
 	defer cancel()
@@ -38,7 +38,7 @@
 	var fenced []group.FenceAck
 	var wg sync.WaitGroup
 	for i := range o.probers {
-		if !o.present(i) {
+		if !o.isPresent(i) {
 			continue
 		}
 		wg.Go(func() {
@@ -57,14 +57,15 @@
 	return fenced
 }
 
-// fence stores the fence on a member, cuts it off from its source and returns
-// where its log ends.
+// fence stores the fence on a member and returns the end of its log. A replica is
+// disconnected from its source; a primary is made read-only and its sessions are
+// ended.
 func (o *Owner) fence(ctx context.Context, i int, fence group.Fence) (group.FenceAck, error) {
 	var out group.FenceAck
 	err := o.probers[i].do(ctx, func(ctx context.Context, conn *pgconn.PgConn, _ uint64) error {
 		if o.options.Unsafe.SkipFence {
-			status, err := askStatus(ctx, conn)
-			out = fencedAs(i, status)
+			status, err := queryStatus(ctx, conn)
+			out = fenceAckOf(i, status)
 			return err
 		}
 		before, status, err := storeFence(ctx, conn, fence, func(s group.Status) []string {
@@ -76,42 +77,45 @@
 		if err != nil {
 			return err
 		}
-		status, err = settled(ctx, conn, status, before.LogTerm == before.Fence.Term)
-		out = fencedAs(i, status)
+		status, err = awaitLogEnd(ctx, conn, status, before.LogTerm == before.Fence.Term)
+		out = fenceAckOf(i, status)
 		return err
 	})
 	return out, err
 }
 
-func fencedAs(i int, s group.Status) group.FenceAck {
+func fenceAckOf(i int, s group.Status) group.FenceAck {
 	return group.FenceAck{Member: i, LogTerm: s.LogTerm, Received: s.Received, InRecovery: s.InRecovery}
 }
 
-// settled waits until the member receives nothing more and the term of its last
-// record is known, and returns its status then. The term is known when that of
-// the last replayed record is the highest which the member had accepted: what it
-// received since can hold no later one. Otherwise all must be replayed first.
-func settled(ctx context.Context, conn *pgconn.PgConn, status group.Status, known bool) (group.Status, error) {
+// awaitLogEnd waits until the member receives no more WAL and the term of its last
+// record is known, and returns the status at that time. known tells that the term of
+// the last replayed record is the highest term that the member had accepted: records
+// received later can hold no higher one. Otherwise the member must replay
+// everything that it received first.
+func awaitLogEnd(ctx context.Context, conn *pgconn.PgConn, status group.Status, known bool) (group.Status, error) {
 	for status.InRecovery && (status.Streaming || !known && status.Replayed != status.Received) {
-		pause(ctx, settlePoll)
+		sleep(ctx, statusPollInterval)
 		var err error
-		if status, err = askStatus(ctx, conn); err != nil {
+		if status, err = queryStatus(ctx, conn); err != nil {
 			return status, err
 		}
 	}
 	return status, nil
 }
 
-const settlePoll = time.Millisecond
+// statusPollInterval is the interval at which a wait for a change of a member's
+// status checks it.
+const statusPollInterval = time.Millisecond
 
-// noSource is the address of a replica's source when it is to follow none.
+// noSource is the source address of a replica that follows no primary.
 var noSource netip.AddrPort
 
-// storeFence compares the member's fence with the new one under a lock, stores
-// it together with what more returns, and reloads. It returns the statuses before
-// and after that.
+// storeFence stores the fence on the member if the member's fence accepts it, runs
+// the statements that more returns, and reloads the configuration. The fence lock is
+// held throughout. It returns the member's status before and after.
 func storeFence(ctx context.Context, conn *pgconn.PgConn, fence group.Fence, more func(group.Status) []string) (before, after group.Status, err error) {
-	rows, err := batch(ctx, conn, TakeFenceLockSQL, StatusSQL)
+	rows, err := execBatch(ctx, conn, TakeFenceLockSQL, StatusSQL)
 	if err != nil {
 		return before, after, err
 	}
@@ -119,13 +123,13 @@
 		return before, after, err
 	}
 	if !before.Fence.Accepts(fence) {
-		_, _ = one(ctx, conn, DropFenceLockSQL)
+		_, _ = queryRow(ctx, conn, DropFenceLockSQL)
 		return before, after, errors.Errorf("term %d refused: the member holds term %d of host %s",
 			fence.Term, before.Fence.Term, before.Fence.Host)
 	}
 	steps := append([]string{SetFenceSQL(fence)}, more(before)...)
 	steps = append(steps, ReloadSQL, DropFenceLockSQL, StatusSQL)
-	if rows, err = batch(ctx, conn, steps...); err != nil {
+	if rows, err = execBatch(ctx, conn, steps...); err != nil {
 		return before, after, err
 	}
 	after, err = parseStatus(rows[len(rows)-1])
--- a/io/upstream/lock_test.go
+++ b/io/upstream/lock_test.go
@@ -8,38 +8,39 @@
 	"pearlatch/core/group"
 )
 
-// The previous owner says that it answers nothing any more, and this one serves
-// at once. Later its control connection breaks, a third owner may come between,
-// and it takes the lock again: the old word must not shorten the wait for the
-// third one's lease, or a read under that lease could miss a write.
-func TestPredecessorsWordHoldsForOneReign(t *testing.T) {
+// Guards against reads that miss a write. The previous owner reports its release, so
+// this owner serves at once. Later its control connection breaks, a third owner may
+// lead the group in between, and this owner takes the lock again. The old report must
+// not shorten the wait for the third owner's lease, since a read under that lease
+// could miss a write.
+func TestPredecessorReleaseAppliesToOneLeadership(t *testing.T) {
 	o := &Owner{
 		options: Options{Group: config.Group{Timing: config.DefaultTiming()}},
-		samples: make([]group.Sample, 1), conns: make([]uint64, 1), unheard: make([]time.Time, 1),
-		gone: make([]bool, 1), leaving: make([]bool, 1), wakeup: make(chan struct{}, 1),
+		samples: make([]group.Sample, 1), sampleConns: make([]uint64, 1), unansweredSince: make([]time.Time, 1),
+		connRefused: make([]bool, 1), leaving: make([]bool, 1), wakeup: make(chan struct{}, 1),
 	}
 	now := time.Now()
 	take := func(conn uint64) time.Time {
 		t.Helper()
-		if err := o.begin(group.Sample{SentAt: now, ReceivedAt: now}, conn, 0, 0, o.ackAfter(now)); err != nil {
+		if err := o.beginLeadership(group.Sample{SentAt: now, ReceivedAt: now}, conn, 0, 0, o.ackTime(now)); err != nil {
 			t.Fatal(err)
 		}
-		return o.lead.ackAfter
+		return o.leadership.ackAfter
 	}
-	wait := o.afterLease(now)
+	wait := o.leaseExpiry(now)
 	if got := take(1); !got.Equal(wait) {
-		t.Errorf("without a word: acknowledges after %s", got.Sub(now))
+		t.Errorf("without a report: acknowledges after %s", got.Sub(now))
 	}
-	o.conns[0] = 2 // the control connection was opened anew
+	o.sampleConns[0] = 2 // the control connection was reopened
 	o.PredecessorReleased()
 	if got := take(2); !got.Equal(now) {
-		t.Errorf("after the word: acknowledges after %s", got.Sub(now))
+		t.Errorf("after the report: acknowledges after %s", got.Sub(now))
 	}
-	o.PredecessorReleased() // arrives late: the lock is held already
-	if !o.lead.ackAfter.IsZero() {
-		t.Error("a late word did not end the wait")
+	o.PredecessorReleased() // arrives late, after the lock was taken
+	if !o.leadership.ackAfter.IsZero() {
+		t.Error("a late report did not end the wait")
 	}
 	if got := take(3); !got.Equal(wait) {
-		t.Errorf("in the next reign: acknowledges after %s", got.Sub(now))
+		t.Errorf("in the next leadership: acknowledges after %s", got.Sub(now))
 	}
 }
--- a/io/upstream/owner.go
+++ b/io/upstream/owner.go
@@ -14,150 +14,160 @@
 	"pearlatch/core/group"
 )
 
-// ownerTick is how often the owner looks for silence when nothing else wakes it.
-const ownerTick = 10 * time.Millisecond
+// stepInterval is the interval at which the owner checks for members that do not
+// answer, and for other due actions, when nothing else wakes it.
+const stepInterval = 10 * time.Millisecond
 
-// idleTick is the same while the group is idle.
-const idleTick = 200 * time.Millisecond
+// idleStepInterval replaces stepInterval while the group is idle.
+const idleStepInterval = 200 * time.Millisecond
 
 // Owner owns a database group: it holds the group's connections, confirms its
-// writes and runs its failover. Use Start.
+// writes and runs its failover. Start creates an Owner. Its methods are safe for
+// concurrent use.
 type Owner struct {
-	options Options
-	logger  log.Logger
-	probers []*prober
-	pool    *pool
-	marks   freshness.SessionMarks
-	fixed   fixedPrimary
-	stats   ownerStats
-	wakeup  chan struct{}
-	stop    context.CancelFunc
-	done    sync.WaitGroup
-	current atomic.Pointer[view]
-	// lastRequest is when the newest request came, in nanoseconds since 1970.
+	options     Options
+	logger      log.Logger
+	probers     []*prober
+	pool        *pool
+	marks       freshness.SessionMarks
+	fixed       fixedPrimary
+	stats       ownerStats
+	wakeup      chan struct{}
+	stop        context.CancelFunc
+	done        sync.WaitGroup
+	currentView atomic.Pointer[view]
+	// lastRequest is when the latest request arrived, in Unix nanoseconds.
 	lastRequest atomic.Int64
 
-	mu      sync.Mutex
-	samples []group.Sample
-	conns   []uint64    // control connection of each sample
-	unheard []time.Time // when probes of the member began to fail, or zero
-	gone    []bool      // the member refused or reset
-	leaving []bool
-	ages    freshness.PositionHistory
-	phase   Phase
-	lead    *lead
-	waiters map[*waiter]struct{}
-	// lastTerm and lastEnd are the term that ended in the newest promotion here,
-	// and the position up to which its log survived.
+	mu              sync.Mutex
+	samples         []group.Sample
+	sampleConns     []uint64    // control connection of each sample
+	unansweredSince []time.Time // when probes of the member began to fail; zero while they succeed
+	connRefused     []bool      // the member refused or reset the connection
+	leaving         []bool
+	history         freshness.PositionHistory
+	phase           Phase
+	leadership      *leadership
+	waiters         map[*confirmWaiter]struct{}
+	// lastTerm is the term that ended with the latest promotion by this owner, and
+	// lastEnd the position up to which its log survived.
 	lastTerm group.Term
 	lastEnd  group.LSN
-	// notBefore delays the next action, and attachAfter that of one member.
+	// notBefore is the earliest time of the next action, and attachAfter that of the
+	// next attach of each member.
 	notBefore   time.Time
 	attachAfter []time.Time
 	started     time.Time
 
-	// rival is the highest fence seen while no primary was in sight, rivalUntil
-	// how long its host is waited for, and rivals how often that began.
-	rival      group.Fence
-	rivalUntil time.Time
-	rivals     int
-	// strangers is how many sessions of other owners were counted at swept.
-	strangers int
-	swept     time.Time
-	// released is true once the previous owner said that it answers nothing any
-	// more, so that its lease need not be waited for.
-	released bool
-
-	// denied is when another session was first found to hold the owner lock, and
-	// forced how often one was ended. They belong to run.
-	denied time.Time
-	forced int
+	// rivalFence is the highest fence seen while no primary was known,
+	// rivalWaitUntil the end of the wait for the promotion by its host, and
+	// rivalWaits the number of such waits.
+	rivalFence     group.Fence
+	rivalWaitUntil time.Time
+	rivalWaits     int
+	// foreignSessions is the number of sessions of other owners, counted at sweptAt.
+	foreignSessions int
+	sweptAt         time.Time
+	// predecessorReleased is true once the previous owner has reported that it sends
+	// no more answers that depend on its lease, so that this owner need not wait for
+	// the lease to end.
+	predecessorReleased bool
+
+	// lockDeniedAt is when another session was first found to hold the owner lock,
+	// and forcedUnlocks the number of such sessions ended. Only actions started by
+	// run use them.
+	lockDeniedAt  time.Time
+	forcedUnlocks int
 }
 
-// lead is a reign over the group: an owner lock on the primary.
-type lead struct {
+// leadership is the state of leading the group in one term, under an owner lock on
+// the primary.
+type leadership struct {
 	primary int
 	term    group.Term
-	// conn is the control connection that holds the owner lock. Answers that
-	// came over another one show nothing about the lock.
+	// conn is the number of the control connection that holds the owner lock. An
+	// answer over another connection does not show that the lock is still held.
 	conn uint64
-	// floor is the primary's position, asked for after the lock was taken.
+	// floor is the primary's position in the sample requested after the lock was
+	// taken.
 	floor group.Position
-	// ackAfter is when the previous owner's lease has certainly ended. Until
-	// then its host may still answer reads, which must not miss a write
-	// acknowledged here.
+	// ackAfter is when the previous owner's lease has certainly ended. Until then
+	// that owner may still answer reads, which would miss a write acknowledged
+	// here.
 	ackAfter time.Time
 	// leaseUntil and confirmedAt are as in view.
 	leaseUntil, confirmedAt time.Time
 }
 
-// Start begins to own a group. Close ends it.
+// Start starts an owner of the group. The caller must call Close to stop it.
 func Start(o Options) *Owner {
 	n := len(o.Group.Members)
 	ctx, stop := context.WithCancel(context.Background())
-	w := &Owner{
-		options: o,
-		logger:  log.With(o.Logger, "group", o.Group.Name),
-		wakeup:  make(chan struct{}, 1),
-		stop:    stop,
-		samples: make([]group.Sample, n),
-		conns:   make([]uint64, n),
-		unheard: make([]time.Time, n),
-		gone:    make([]bool, n),
-		leaving: make([]bool, n),
-		waiters: map[*waiter]struct{}{},
-		started: time.Now(),
+	owner := &Owner{
+		options:         o,
+		logger:          log.With(o.Logger, "group", o.Group.Name),
+		wakeup:          make(chan struct{}, 1),
+		stop:            stop,
+		samples:         make([]group.Sample, n),
+		sampleConns:     make([]uint64, n),
+		unansweredSince: make([]time.Time, n),
+		connRefused:     make([]bool, n),
+		leaving:         make([]bool, n),
+		waiters:         map[*confirmWaiter]struct{}{},
+		started:         time.Now(),
 
 		attachAfter: make([]time.Time, n),
 
 		stats: newOwnerStats(o.Metrics, o.Group.Name),
 	}
 	for i, m := range o.Group.Members {
-		w.leaving[i] = m.Leaving
-		w.probers = append(w.probers, newProber(o, m, w.pace, func(a answer) { w.observe(i, a) }))
+		owner.leaving[i] = m.Leaving
+		owner.probers = append(owner.probers, newProber(o, m, owner.probeInterval, func(a probeResult) { owner.observe(i, a) }))
 	}
-	w.publish()
-	w.pool = newPool(w)
-	for _, p := range w.probers {
-		w.done.Go(func() { p.run(ctx) })
+	owner.publish()
+	owner.pool = newPool(owner)
+	for _, p := range owner.probers {
+		owner.done.Go(func() { p.run(ctx) })
 	}
-	w.done.Go(func() { w.run(ctx) })
-	return w
+	owner.done.Go(func() { owner.run(ctx) })
+	return owner
 }
 
 const (
-	// idleAfter is how long a group must be without requests to count as idle.
-	idleAfter = time.Second
-	// idleInterval is the pause between probes of an idle group's members. Nobody
-	// waits for what they would tell, and the next request has all asked at once.
-	idleInterval = 2 * time.Second
+	// idleTimeout is the time without requests after which a group is idle.
+	idleTimeout = time.Second
+	// idleProbeInterval is the minimum interval between probes of an idle group's
+	// members. No request waits for the results, and the next request makes all
+	// members be probed at once.
+	idleProbeInterval = 2 * time.Second
 )
 
-// pace returns the pause between two probes of a member.
-func (o *Owner) pace() time.Duration {
-	if o.view().phase == Serving && time.Since(time.Unix(0, o.lastRequest.Load())) > idleAfter {
-		return max(idleInterval, o.options.Group.Timing.ProbeInterval)
+// probeInterval returns the current interval between two probes of a member.
+func (o *Owner) probeInterval() time.Duration {
+	if o.view().phase == Serving && time.Since(time.Unix(0, o.lastRequest.Load())) > idleTimeout {
+		return max(idleProbeInterval, o.options.Group.Timing.ProbeInterval)
 	}
 	return o.options.Group.Timing.ProbeInterval
 }
 
-// touch records a request, and wakes the probes of an idle group.
-func (o *Owner) touch() {
+// recordRequest records the arrival of a request, and has the members of an idle
+// group probed at once.
+func (o *Owner) recordRequest() {
 	now := time.Now()
 	last := time.Unix(0, o.lastRequest.Swap(now.UnixNano()))
-	if now.Sub(last) > idleAfter {
-		o.kickAll()
+	if now.Sub(last) > idleTimeout {
+		o.probeAll()
 	}
 }
 
 // Group returns the configuration of the group.
 func (o *Owner) Group() config.Group { return o.options.Group }
 
-// run takes the decisions that need time or I/O.
+// run carries out due actions until ctx ends.
 func (o *Owner) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		o.step(ctx)
-		t := time.NewTimer(o.tick())
+		t := time.NewTimer(o.stepDelay())
 		select {
 		case <-o.wakeup:
 		case <-t.C:
@@ -167,16 +177,16 @@
 	}
 }
 
-// tick returns how long the owner waits for something to happen before it looks
-// by itself. Answers and missed probes wake it in any case.
-func (o *Owner) tick() time.Duration {
-	if o.pace() >= idleInterval {
-		return idleTick
+// stepDelay returns how long run waits before its next step. The result of a probe
+// wakes it earlier.
+func (o *Owner) stepDelay() time.Duration {
+	if o.probeInterval() >= idleProbeInterval {
+		return idleStepInterval
 	}
-	return ownerTick
+	return stepInterval
 }
 
-// wake makes run take a step.
+// wake makes run take its next step at once.
 func (o *Owner) wake() {
 	select {
 	case o.wakeup <- struct{}{}:
@@ -184,9 +194,9 @@
 	}
 }
 
-// step carries out at most one change of the owner's standing.
+// step carries out the action that is due, if any.
 func (o *Owner) step(ctx context.Context) {
-	switch a := o.next(time.Now()).(type) {
+	switch a := o.nextAction(time.Now()).(type) {
 	case takeLock:
 		o.takeLock(ctx, a)
 	case promote:
@@ -201,34 +211,36 @@
 	}
 }
 
-// observe takes in the result of a probe.
-func (o *Owner) observe(i int, a answer) {
+// observe records the result of a probe of member i and publishes the new view.
+func (o *Owner) observe(i int, a probeResult) {
 	o.mu.Lock()
 	switch a := a.(type) {
-	case heard:
-		o.samples[i], o.conns[i] = a.sample, a.conn
-		o.unheard[i], o.gone[i] = time.Time{}, false
-	case missed:
-		if o.unheard[i].IsZero() {
-			o.unheard[i] = time.Now()
+	case probeAnswered:
+		o.samples[i], o.sampleConns[i] = a.sample, a.conn
+		o.unansweredSince[i], o.connRefused[i] = time.Time{}, false
+	case probeFailed:
+		if o.unansweredSince[i].IsZero() {
+			o.unansweredSince[i] = time.Now()
 			_ = level.Warn(o.logger).Log("step", "probe", "peer", o.options.Group.Members[i].Name, "err", a.err)
 		}
-		o.gone[i] = a.gone
+		o.connRefused[i] = a.connRefused
 	}
-	o.evaluate()
+	o.applySamples()
 	o.publish()
 	o.mu.Unlock()
-	if _, miss := a.(missed); miss {
-		o.pool.abandon(i)
+	if _, miss := a.(probeFailed); miss {
+		o.pool.closeReplica(i)
 	}
 	o.pool.dispatch()
 	o.wake()
 }
 
-// evaluate draws the consequences of the samples. o.mu is held.
-func (o *Owner) evaluate() {
-	l := o.lead
-	if l == nil || o.conns[l.primary] != l.conn {
+// applySamples renews the lease and resolves waiters as far as the samples allow. It
+// does nothing unless the primary's sample comes from the connection that holds the
+// owner lock. o.mu must be held.
+func (o *Owner) applySamples() {
+	l := o.leadership
+	if l == nil || o.sampleConns[l.primary] != l.conn {
 		return
 	}
 	if o.samples[l.primary].Status.Fence.Term != l.term || o.samples[l.primary].Status.InRecovery {
@@ -237,16 +249,16 @@
 	if c, ok := group.Confirm(o.samples, l.primary, time.Time{}); ok {
 		l.confirmedAt = c.AsOf
 		l.leaseUntil = c.AsOf.Add(o.options.Group.Timing.Lease)
-		o.ages.Observe(c.AsOf, group.Position{Term: l.term, LSN: o.samples[l.primary].Status.Received})
+		o.history.Observe(c.AsOf, group.Position{Term: l.term, LSN: o.samples[l.primary].Status.Received})
 	}
-	o.settle(l)
-	o.forgetMarks(l)
+	o.resolveWaiters(l)
+	o.pruneMarks(l)
 }
 
-// forgetMarks drops the marks that all present replicas have passed. A replica
-// that is away is checked against the mark when it returns only if the mark is
-// still there, so its absence keeps the marks.
-func (o *Owner) forgetMarks(l *lead) {
+// pruneMarks removes the session marks that all replicas have reached. It removes
+// none while a replica has no sample or does not follow the primary: when that
+// replica returns, it must be checked against the marks. o.mu must be held.
+func (o *Owner) pruneMarks(l *leadership) {
 	reached := group.Position{Term: l.term, LSN: o.samples[l.primary].Status.Received}
 	for i, s := range o.samples {
 		if i == l.primary {
@@ -262,30 +274,30 @@
 	}
 }
 
-// publish makes the present state visible to readers. o.mu is held.
+// publish stores a new view of the current state. o.mu must be held.
 func (o *Owner) publish() {
 	v := &view{phase: o.phase, primary: group.NoMember, successor: group.NoMember, members: make([]memberView, len(o.samples))}
 	for i := range o.samples {
-		v.members[i].present = o.samples[i].Answered() && o.unheard[i].IsZero()
+		v.members[i].present = o.samples[i].Answered() && o.unansweredSince[i].IsZero()
 		v.members[i].leaving = o.leaving[i]
 	}
-	if l := o.lead; l != nil {
+	if l := o.leadership; l != nil {
 		v.primary, v.term, v.floor = l.primary, l.term, l.floor
 		v.leaseUntil, v.confirmedAt = l.leaseUntil, l.confirmedAt
 		o.viewReplicas(v, l)
 		if o.phase == Switching || o.phase == Promoting {
-			v.successor = o.likeliest(l)
+			v.successor = o.likelySuccessor(l)
 		}
 	}
-	o.current.Store(v)
+	o.currentView.Store(v)
 }
 
-// likeliest returns the replica that has received the most of those that may be
-// promoted. o.mu is held.
-func (o *Owner) likeliest(l *lead) int {
+// likelySuccessor returns the promotable replica that has received the most WAL, or
+// group.NoMember. o.mu must be held.
+func (o *Owner) likelySuccessor(l *leadership) int {
 	best := group.NoMember
 	for i, s := range o.samples {
-		if i == l.primary || o.leaving[i] || !s.Answered() || !s.Status.InRecovery || !o.unheard[i].IsZero() {
+		if i == l.primary || o.leaving[i] || !s.Answered() || !s.Status.InRecovery || !o.unansweredSince[i].IsZero() {
 			continue
 		}
 		if best == group.NoMember || s.Status.Received > o.samples[best].Status.Received {
@@ -295,27 +307,28 @@
 	return best
 }
 
-func (o *Owner) viewReplicas(v *view, l *lead) {
+// viewReplicas sets the positions and ages of the replicas in v. o.mu must be held.
+func (o *Owner) viewReplicas(v *view, l *leadership) {
 	p := o.samples[l.primary].Status
 	for i, s := range o.samples {
 		if i == l.primary || !s.Answered() || !s.Status.InRecovery || s.Status.Fence.Term != l.term {
 			continue
 		}
 		m := &v.members[i]
-		// A replica that has not reached the term's first record shows an older
-		// term's data: its position counts in that term.
+		// A replica that has not replayed the term's first record shows data of an
+		// older term, so its position belongs to that term.
 		m.replica.Position = group.Position{Term: s.Status.LogTerm, LSN: s.Status.Replayed}
 		m.follows = group.Follows(s.Status, p) || s.Status.LogTerm == l.term
-		m.replica.AsOf = o.ages.AsOf(m.replica.Position)
+		m.replica.AsOf = o.history.AsOf(m.replica.Position)
 	}
 }
 
-// replicaWait predicts how long a read waits until some replica may answer it. It
-// returns false when no replica is expected to.
+// replicaWait estimates how long a read waits until some replica is fresh enough. It
+// returns false if no replica is expected to be.
 func (o *Owner) replicaWait(need freshness.Requirement, now time.Time) (time.Duration, bool) {
 	v := o.view()
 	o.mu.Lock()
-	reached := o.ages.ReachedAt(need.Position)
+	reached := o.history.ReachedAt(need.Position)
 	o.mu.Unlock()
 	best, found := time.Duration(0), false
 	for i, m := range v.members {
@@ -329,19 +342,21 @@
 	return best, found
 }
 
-func (o *Owner) view() *view { return o.current.Load() }
+// view returns the current view.
+func (o *Owner) view() *view { return o.currentView.Load() }
 
-// seen returns the primary's position as it was last heard.
-func (o *Owner) seen() group.Position {
+// lastPosition returns the primary's position in its latest sample.
+func (o *Owner) lastPosition() group.Position {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if o.lead == nil {
+	if o.leadership == nil {
 		return group.Position{}
 	}
-	return group.Position{Term: o.lead.term, LSN: o.samples[o.lead.primary].Status.Received}
+	return group.Position{Term: o.leadership.term, LSN: o.samples[o.leadership.primary].Status.Received}
 }
 
-// SetLeaving marks members that must get no new work, by name.
+// SetLeaving marks the members for which leaving returns true. They get no new work.
+// leaving is called with the owner's lock held.
 func (o *Owner) SetLeaving(leaving func(member string) bool) {
 	o.mu.Lock()
 	for i, m := range o.options.Group.Members {
@@ -353,25 +368,26 @@
 	o.wake()
 }
 
-// kickAll makes all probers ask at once.
-func (o *Owner) kickAll() {
+// probeAll makes all probers probe at once.
+func (o *Owner) probeAll() {
 	for _, p := range o.probers {
 		p.wake()
 	}
 }
 
-// holdLimit is how long a group may be without a confirmed primary before new
-// requests are refused at once instead of waiting for the failover to end.
-const holdLimit = 5 * time.Second
+// leaderlessTimeout is how long a group may be without a confirmed primary before
+// new requests are refused at once instead of waiting for the failover to end.
+const leaderlessTimeout = 5 * time.Second
 
-// confirmPatience is how old the last confirmation may be for new writes to be
-// sent.
-func (o *Owner) confirmPatience() time.Duration {
+// confirmationTTL returns the maximum age of the last confirmation at which new
+// writes are still sent.
+func (o *Owner) confirmationTTL() time.Duration {
 	t := o.options.Group.Timing
 	return t.ProbeInterval + t.Silence
 }
 
-// leaderlessFor returns for how long no majority has confirmed a primary.
+// leaderlessFor returns the time since a majority last confirmed a primary, or since
+// the start if none has.
 func (o *Owner) leaderlessFor(now time.Time) time.Duration {
 	last := o.view().confirmedAt
 	if last.IsZero() {
--- a/io/upstream/pool.go
+++ b/io/upstream/pool.go
@@ -13,55 +13,60 @@
 )
 
 const (
-	// queueLimit bounds the requests that wait for a connection of one group.
+	// queueLimit is the maximum number of requests that wait for a connection of one
+	// group.
 	queueLimit = 4096
-	// openTimeout bounds the opening of a pooled connection.
+	// openTimeout is the timeout of opening a pooled connection.
 	openTimeout = 2 * time.Second
-	// openPause is the pause after a failed attempt to open a connection.
-	openPause = 50 * time.Millisecond
-	// maxOpening is how many connections to one member are opened at once, so
-	// that the members are not flooded after an availability zone was lost.
+	// openRetryDelay is the delay after a failed attempt to open a connection.
+	openRetryDelay = 50 * time.Millisecond
+	// maxOpening is the maximum number of connections to one member that are being
+	// opened at the same time, so that the members are not flooded after the loss of
+	// an availability zone.
 	maxOpening = 4
 )
 
-// want is a request for a connection.
-type want struct {
-	request *statement.Request
-	kind    statement.Kind
-	need    freshness.Requirement
-	// primaryAt is when a read may go to the primary.
+// connRequest is a request for a connection.
+type connRequest struct {
+	request     *statement.Request
+	kind        statement.Kind
+	requirement freshness.Requirement
+	// primaryAt is the time from which a read may be sent to the primary.
 	primaryAt time.Time
 	deadline  time.Time
-	// late is set, before ready gets nil, when the deadline came too near.
+	// late is set, before nil is sent to ready, when too little time is left until
+	// the deadline.
 	late bool
-	// member is what an early binding has chosen, or group.NoMember.
+	// member is the member chosen by an early binding, or group.NoMember.
 	member int
-	ready  chan *conn // buffered, gets at most one
+	ready  chan *conn // buffered, receives at most one value
 }
 
-// pool holds the connections of a group. Requests wait in one queue and are
-// bound to a member when a connection is free, not when they arrive.
+// pool holds the connections to a group's members. Requests wait in one queue. With
+// the binding Late they are bound to a member when a connection is free, not when
+// they arrive. Methods are safe for concurrent use unless they require p.mu.
 type pool struct {
 	owner  *Owner
 	dialer dialer
-	// limit is the most connections to all members together. Of the group's
-	// budget it leaves two control connections a member: ours, and those of an
-	// owner that takes over.
+	// limit is the maximum number of pooled connections to all members together. It
+	// leaves room in the group's connection budget for two control connections per
+	// member: this owner's, and that of an owner that takes over.
 	limit      int
 	primaryCap int
 	replicaCap int
 
-	mu      sync.Mutex
-	members []memberPool
-	queue   *admission.Queue[*want]
-	held    admission.WaitEstimator
-	primary int // that the connections were opened for
-	// room is how many connections may be open now. It is below limit while an
-	// earlier owner holds some, and zero until those were counted.
-	room   int
-	closed bool
-	// stale is how many reads wait for a replica to become fresh enough.
-	stale int
+	mu        sync.Mutex
+	members   []memberPool
+	queue     *admission.Queue[*connRequest]
+	holdTimes admission.WaitEstimator
+	primary   int // the primary that the connections were opened for
+	// maxOpen is the number of connections that may be open now. It is below limit
+	// while another owner holds some, and zero until those have been counted.
+	maxOpen int
+	closed  bool
+	// staleReads is the number of reads that wait for a replica to become fresh
+	// enough.
+	staleReads int
 }
 
 // memberPool is the part of a pool that belongs to one member.
@@ -69,10 +74,10 @@
 	idle    []*conn
 	busy    map[*conn]struct{}
 	opening int
-	// bound counts the reads that an early binding gave to the member and that
-	// have not ended.
-	bound int
-	// notBefore delays the next attempt to open a connection.
+	// boundReads is the number of reads bound early to the member that have not
+	// ended.
+	boundReads int
+	// notBefore is the earliest time of the next attempt to open a connection.
 	notBefore time.Time
 }
 
@@ -87,7 +92,7 @@
 		dialer:  newDialer(o.options),
 		limit:   limit,
 		members: make([]memberPool, n),
-		queue:   admission.NewQueue[*want](queueLimit),
+		queue:   admission.NewQueue[*connRequest](queueLimit),
 		primary: group.NoMember,
 	}
 	p.primaryCap = max(1, limit/2)
@@ -98,36 +103,38 @@
 	return p
 }
 
-// acquire returns a connection to a member that may serve the request.
-func (p *pool) acquire(ctx context.Context, w *want, deadline time.Time) (*conn, error) {
+// acquire returns a connection to a member that can serve the request. It waits for
+// one until ctx ends or the deadline passes. The error is a *statement.Refusal.
+func (p *pool) acquire(ctx context.Context, w *connRequest, deadline time.Time) (*conn, error) {
 	p.mu.Lock()
-	if refusal := p.refuse(w, deadline); refusal != nil {
+	if refusal := p.admissionRefusal(w, deadline); refusal != nil {
 		p.mu.Unlock()
 		return nil, refusal
 	}
-	p.bind(w)
-	if c := p.direct(w); c != nil {
+	p.bindEarly(w)
+	if c := p.acquireDirect(w); c != nil {
 		p.mu.Unlock()
 		return c, nil
 	}
 	waiter, ok := p.queue.Push(w, w.request.Priority, time.Now())
 	if !ok {
 		p.mu.Unlock()
-		return nil, p.tooMany(p.held.MeanHold())
+		return nil, p.overloadRefusal(p.holdTimes.MeanHold())
 	}
-	p.serve()
+	p.assignQueued()
 	p.mu.Unlock()
 	select {
 	case c := <-w.ready:
-		return p.given(w, c)
+		return p.assigned(w, c)
 	default:
 	}
 	return p.wait(ctx, w, waiter, deadline)
 }
 
-func (p *pool) wait(ctx context.Context, w *want, waiter *admission.Waiter[*want], deadline time.Time) (*conn, error) {
+// wait waits for a connection for w, which is in the queue.
+func (p *pool) wait(ctx context.Context, w *connRequest, waiter *admission.Waiter[*connRequest], deadline time.Time) (*conn, error) {
 	if w.kind == statement.Read {
-		defer p.ask(w)()
+		defer p.probeWhileStale(w)()
 		t := time.AfterFunc(time.Until(w.primaryAt), p.dispatch)
 		defer t.Stop()
 	}
@@ -135,7 +142,7 @@
 	defer t.Stop()
 	select {
 	case c := <-w.ready:
-		return p.given(w, c)
+		return p.assigned(w, c)
 	case <-ctx.Done():
 	case <-t.C:
 	}
@@ -143,43 +150,45 @@
 	queued := p.queue.Remove(waiter)
 	p.mu.Unlock()
 	if !queued {
-		// A connection, or the end of the pool, came at the last moment.
-		return p.given(w, <-w.ready)
+		// A connection was assigned, or the request refused, at the last moment.
+		return p.assigned(w, <-w.ready)
 	}
 	if ctx.Err() != nil {
 		return nil, statement.NewNotRunRefusal(postgres.CodeQueryCanceled, "canceled while waiting for a connection")
 	}
-	return nil, statement.NewNotRunRefusal(postgres.CodeCannotConnectNow, p.whyNot(w))
+	return nil, statement.NewNotRunRefusal(postgres.CodeCannotConnectNow, p.unavailableReason(w))
 }
 
-// given returns the connection that w got, or the reason why it got none.
-func (p *pool) given(w *want, c *conn) (*conn, error) {
+// assigned returns the connection c received from w.ready, or the refusal if c is
+// nil.
+func (p *pool) assigned(w *connRequest, c *conn) (*conn, error) {
 	switch {
 	case c != nil:
 		return c, nil
 	case w.late:
-		return nil, p.tooMany(minRetryAfter)
+		return nil, p.overloadRefusal(minRetryAfter)
 	}
-	return nil, handedOver()
+	return nil, handoverRefusal()
 }
 
-// dispatch serves the queue. What still waits may wait for a replica's progress,
-// so the members are asked again at once.
+// dispatch adapts the pool to the current view, assigns connections to waiting
+// requests and prewarms connections. If reads still wait for a fresh replica, the
+// members are probed again at once.
 func (p *pool) dispatch() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.follow()
-	p.serve()
-	p.warm()
-	if p.stale > 0 {
-		p.owner.kickAll()
+	p.followPrimary()
+	p.assignQueued()
+	p.prewarm()
+	if p.staleReads > 0 {
+		p.owner.probeAll()
 	}
 }
 
-// follow closes the connections that a change of primary has made useless.
-// Those to the old primary are closed even while they are in use: their
-// transactions can no longer be confirmed.
-func (p *pool) follow() {
+// followPrimary closes the connections to the old primary after a change of primary,
+// also those in use: their transactions can no longer be confirmed. p.mu must be
+// held.
+func (p *pool) followPrimary() {
 	v := p.owner.view()
 	if v.primary == p.primary || v.primary == group.NoMember {
 		return
@@ -190,10 +199,11 @@
 	p.primary = v.primary
 }
 
-// abandon closes the connections to a replica that does not answer probes. Its
-// reads run anew on another member instead of waiting for their deadline. A
-// primary's are kept: its writes cannot be repeated, and it may come back.
-func (p *pool) abandon(i int) {
+// closeReplica closes the connections to a replica that does not answer probes, so
+// that its reads are retried on another member instead of waiting for their deadline.
+// Connections to the primary are kept: writes cannot be retried, and the primary may
+// recover.
+func (p *pool) closeReplica(i int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if v := p.owner.view(); v.primary != group.NoMember && i != v.primary {
@@ -201,40 +211,42 @@
 	}
 }
 
+// closeMember closes all connections to member i, also those in use. p.mu must be
+// held.
 func (p *pool) closeMember(i int) {
 	p.closeIdle(i)
 	for c := range p.members[i].busy {
-		c.doomed = true
+		c.unusable = true
 		c.close()
 	}
 }
 
-// serve binds waiting requests to free connections and opens connections for
-// the rest. p.mu is held.
-func (p *pool) serve() {
+// assignQueued assigns idle connections to waiting requests and begins to open
+// connections for the rest. p.mu must be held.
+func (p *pool) assignQueued() {
 	if p.closed {
 		return
 	}
 	v, now := p.owner.view(), time.Now()
 	if p.queue.Len() > 0 {
-		p.expire(now)
+		p.refuseLate(now)
 	}
 	for {
 		var got *conn
-		w := p.queue.Pick(func(w *want) bool {
-			got = p.find(v, w, now)
+		w := p.queue.Pick(func(w *connRequest) bool {
+			got = p.findConn(v, w, now)
 			return got != nil
 		})
 		if w == nil {
 			return
 		}
-		got.take(v, now)
+		got.markAcquired(v, now)
 		w.Value.ready <- got
 	}
 }
 
-// release returns a connection after its exchange. A connection that is not
-// clean is closed.
+// release returns a connection to the pool after its exchange. It closes a connection
+// that is not clean or that is unusable.
 func (p *pool) release(c *conn, clean bool) {
 	if clean && c.dirty {
 		clean = c.reset() == nil
@@ -243,39 +255,40 @@
 	defer p.mu.Unlock()
 	m := &p.members[c.member]
 	delete(m.busy, c)
-	if p.owner.options.Binding != Late && m.bound > 0 {
-		m.bound--
+	if p.owner.options.Binding != Late && m.boundReads > 0 {
+		m.boundReads--
 	}
-	p.held.Observe(time.Since(c.taken))
-	if !clean || c.doomed || p.closed {
+	p.holdTimes.Observe(time.Since(c.acquiredAt))
+	if !clean || c.unusable || p.closed {
 		c.close()
 	} else {
 		m.idle = append(m.idle, c)
 	}
-	p.serve()
+	p.assignQueued()
 }
 
-// doom keeps a connection from being used again.
-func (p *pool) doom(c *conn) {
+// markUnusable prevents a connection from being used again after its exchange.
+func (p *pool) markUnusable(c *conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	c.doomed = true
+	c.unusable = true
 }
 
-// quiet reports whether no exchange holds a connection to the member.
-func (p *pool) quiet(i int) bool {
+// isIdle reports whether no exchange holds a connection to the member.
+func (p *pool) isIdle(i int) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return len(p.members[i].busy) == 0
 }
 
-// close refuses new requests and those that wait, and closes what is idle.
+// close refuses new and waiting requests and closes idle connections. Exchanges in
+// progress continue.
 func (p *pool) close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.closed = true
 	for {
-		w := p.queue.Pick(func(*want) bool { return true })
+		w := p.queue.Pick(func(*connRequest) bool { return true })
 		if w == nil {
 			break
 		}
@@ -293,10 +306,10 @@
 	p.members[i].idle = nil
 }
 
-// drain waits for open exchanges until ctx ends and closes all connections.
+// drain waits until no connection is in use or ctx ends, and closes all connections.
 func (p *pool) drain(ctx context.Context) {
-	for p.busy() > 0 && ctx.Err() == nil {
-		pause(ctx, drainPoll)
+	for p.busyConns() > 0 && ctx.Err() == nil {
+		sleep(ctx, drainPollInterval)
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -305,9 +318,11 @@
 	}
 }
 
-const drainPoll = 5 * time.Millisecond
+// drainPollInterval is the interval at which drain checks for connections in use.
+const drainPollInterval = 5 * time.Millisecond
 
-func (p *pool) busy() int {
+// busyConns returns the number of connections in use.
+func (p *pool) busyConns() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	n := 0
--- a/io/upstream/quiesce.go
+++ b/io/upstream/quiesce.go
@@ -8,12 +8,13 @@
 	"pearlatch/core/group"
 )
 
-// quiesce waits until no transaction is open on the primary, no write waits for
-// its confirmation, and a replica that stays holds everything.
+// quiesce waits until no transaction is open on the primary, no write waits for its
+// confirmation, and a replica that is not leaving holds the whole log. It fails if ctx
+// ends first.
 func (o *Owner) quiesce(ctx context.Context, a switchOver) error {
-	for !o.pool.quiet(a.primary) || !o.caughtUp(a.primary) {
-		o.kickAll()
-		pause(ctx, settlePoll)
+	for !o.pool.isIdle(a.primary) || !o.caughtUp(a.primary) {
+		o.probeAll()
+		sleep(ctx, statusPollInterval)
 		if ctx.Err() != nil {
 			return errors.New("work on the primary did not end in time")
 		}
@@ -21,7 +22,8 @@
 	return nil
 }
 
-// caughtUp reports whether a replica that stays holds all of the primary's log.
+// caughtUp reports whether a replica that is not leaving holds all of the primary's
+// log, and no write waits for its confirmation.
 func (o *Owner) caughtUp(primary int) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
