--- a/io/upstream/answer.go
+++ b/io/upstream/answer.go
@@ -153,7 +153,7 @@
 			}
 		}
 		if a.unit.Expect == statement.ExpectReplies && a.counted(frame) {
-			return statement.Outcome{Status: postgres.StatusInTx}, nil
+			return statement.Outcome{Status: postgres.StatusInTransaction}, nil
 		}
 		if err := x.passOn(a); err != nil {
 			return statement.Outcome{}, err
@@ -222,7 +222,7 @@
 	case postgres.TypeErrorResponse:
 		return true
 	case postgres.TypeParseComplete, postgres.TypeBindComplete, postgres.TypeCloseComplete,
-		postgres.TypeParameterDescrip, postgres.TypeRowDescription, postgres.TypeNoData,
+		postgres.TypeParameterDescription, postgres.TypeRowDescription, postgres.TypeNoData,
 		postgres.TypeCommandComplete, postgres.TypeEmptyQuery, postgres.TypePortalSuspended:
 		a.left--
 	}
