--- a/io/caller/builder.go
+++ b/io/caller/builder.go
@@ -12,40 +12,42 @@
 	"pearlatch/io/postgres"
 )
 
-// protocolError is a message that breaks the protocol. It closes the caller's
-// connection.
+// protocolError is a violation of the protocol by the caller. It closes the
+// caller's connection.
 type protocolError struct{ reason string }
 
 func (e *protocolError) Error() string { return "protocol violation: " + e.reason }
 
-// maxPreparedStatements bounds the named statements of a caller.
+// maxPreparedStatements is the limit of named statements per caller.
 const maxPreparedStatements = 10000
 
-// sharedNamePrefix starts the names of shared prepared statements.
+// sharedNamePrefix is the prefix of the names of shared prepared statements.
 const sharedNamePrefix = "pearlatch_"
 
 // unusedName is a name under which no statement is ever prepared.
 const unusedName = sharedNamePrefix + "none"
 
-// unitBuilder collects a caller's messages into units. Named statements get names
-// derived from their text, so that any pooled connection can hold them.
+// unitBuilder groups a caller's messages into units. It replaces the names of
+// prepared statements by names derived from their text, so that any pooled
+// connection can hold them.
 type unitBuilder struct {
-	// named holds the caller's named statements.
+	// named holds the caller's named statements by the caller's name.
 	named map[string]*preparedStatement
-	// unnamed is the caller's unnamed statement.
+	// unnamed is the caller's unnamed statement, or nil.
 	unnamed *preparedStatement
-	// unnamedParsed is true while the connection's unnamed statement is the caller's:
-	// after Parse in the present unit, until a named Parse takes its place.
+	// unnamedParsed is true while the connection's unnamed statement is the
+	// caller's: after an unnamed Parse in the current unit, until a named Parse
+	// replaces it.
 	unnamedParsed bool
 	// copying is true between CopyInResponse and the end of the COPY.
 	copying bool
-	// extended is true when the present or last unit was of the extended
+	// extended is true if the current or last unit uses the extended query
 	// protocol.
 	extended bool
 
 	unit  statement.Unit
 	data  []byte
-	frame []byte // the message as read
+	frame []byte // last message read
 }
 
 // preparedStatement is a statement that a caller has parsed.
@@ -54,8 +56,9 @@
 	traits statement.Traits
 }
 
-// readUnit reads messages up to the end of a unit. It calls arrived after the first
-// one. It returns io.EOF when the caller ends the connection.
+// readUnit reads messages up to the end of a unit. It calls arrived after the
+// first message. It returns io.EOF when the caller ends the connection. The unit
+// is valid until the next call.
 func (b *unitBuilder) readUnit(r *bufio.Reader, arrived func()) (*statement.Unit, error) {
 	b.reset()
 	for first := true; ; first = false {
@@ -77,7 +80,8 @@
 	}
 }
 
-// maxKeptBufferSize is the largest buffer that a session keeps between units, in bytes.
+// maxKeptBufferSize is the largest buffer that a session keeps between units, in
+// bytes.
 const maxKeptBufferSize = 4 << 10
 
 func (b *unitBuilder) reset() {
@@ -121,13 +125,13 @@
 		b.unit.Replies++
 		return false, nil
 	case postgres.TypeCopyData, postgres.TypeCopyDone, postgres.TypeCopyFail:
-		return false, nil // the rest of a COPY that failed
+		return false, nil // remaining data of a failed COPY
 	}
 	return false, &protocolError{reason: "message type " + string(rune(f.Type())) + " is not supported"}
 }
 
-// addCopyMessage adds a message while the member waits for COPY data. Each goes on at
-// once, so that a large COPY does not gather in memory.
+// addCopyMessage adds a message while the member waits for COPY data. Each
+// CopyData message is a unit, so that a large COPY is not buffered in memory.
 func (b *unitBuilder) addCopyMessage(f postgres.Frame) (done bool, err error) {
 	b.unit.Kind = statement.Write
 	switch f.Type() {
@@ -139,10 +143,10 @@
 		b.data = append(b.data, f...)
 		b.copying = false
 		b.unit.Expect = statement.ExpectReady
-		// After an extended COPY the answer ends only when Sync has arrived.
+		// In the extended query protocol, the reply to a COPY ends only after Sync.
 		return !b.extended, nil
 	case postgres.TypeFlush, postgres.TypeSync:
-		return false, nil // the member ignores them here
+		return false, nil // the member ignores them during COPY
 	case postgres.TypeTerminate:
 		return false, io.EOF
 	}
@@ -161,7 +165,7 @@
 	return nil
 }
 
-// applyTraits adds what a statement's text tells to the unit.
+// applyTraits adds a statement's traits to the unit.
 func (b *unitBuilder) applyTraits(t statement.Traits) {
 	if t.Kind == statement.Write {
 		b.unit.Kind = statement.Write
@@ -197,8 +201,8 @@
 		b.named = map[string]*preparedStatement{}
 	}
 	b.named[name] = p
-	// The text goes to the unnamed statement, where the member checks it. The
-	// shared one is prepared when it is first used on a connection.
+	// The text is parsed as the unnamed statement, so that the member checks it
+	// now. The shared statement is prepared when a connection first uses it.
 	b.unnamedParsed = false
 	start := len(b.data)
 	b.data = append(postgres.BeginFrame(b.data, postgres.TypeParse), 0)
@@ -206,8 +210,9 @@
 	return nil
 }
 
-// newPrepared derives the shared name from rest, the body of a Parse message
-// after its name: the text and the parameter types.
+// newPrepared returns the statement of a Parse message. rest is the body of the
+// message after the name, that is the text and the parameter types. The shared
+// name is a hash of it.
 func newPrepared(sql string, rest []byte) *preparedStatement {
 	sum := xxhash.Sum64(rest)
 	var raw [8]byte
@@ -221,8 +226,9 @@
 	return &preparedStatement{shared: statement.Prepared{Name: name, Parse: msg}, traits: statement.Classify(sql)}
 }
 
-// resolve returns the statement that a name stands for and the name under which
-// the connection holds it.
+// resolve returns the statement that the caller knows by name, or nil, and the
+// name of that statement on the connection. It adds a shared statement to those
+// that the unit requires.
 func (b *unitBuilder) resolve(name string) (p *preparedStatement, shared string) {
 	p = b.named[name]
 	if name == "" {
@@ -232,14 +238,16 @@
 		p = b.unnamed
 	}
 	if p == nil {
-		// The connection may hold another caller's unnamed statement, so even
-		// that name must lead nowhere.
+		// The connection may hold another caller's unnamed statement, so the
+		// empty name must not be passed on either.
 		return nil, unusedName
 	}
 	b.requirePrepared(p.shared)
 	return p, p.shared.Name
 }
 
+// requirePrepared adds s to the statements that the connection must have
+// prepared before the unit runs.
 func (b *unitBuilder) requirePrepared(s statement.Prepared) {
 	for _, each := range b.unit.Prepared {
 		if each.Name == s.Name {
@@ -271,7 +279,8 @@
 	return nil
 }
 
-// addDescribeOrClose handles Describe and Close, which name a statement or a portal.
+// addDescribeOrClose adds a Describe or Close message, which names a statement or
+// a portal.
 func (b *unitBuilder) addDescribeOrClose(f postgres.Frame) error {
 	body := f.Body()
 	if len(body) < 2 {
@@ -293,7 +302,8 @@
 		b.unit.Replies++
 		_, shared = b.resolve(name)
 	} else {
-		// Other callers may use the shared statement: only ours is forgotten.
+		// Other callers may use the shared statement, so only this caller's name
+		// is deleted.
 		delete(b.named, name)
 	}
 	start := len(b.data)
@@ -311,7 +321,8 @@
 	return string(body[:i]), body[i+1:], true
 }
 
-// appendRollbackReply appends the answer to the end of a lost transaction.
+// appendRollbackReply appends the replies, without ReadyForQuery, to a unit that
+// ends a lost transaction. Each statement is answered with ROLLBACK.
 func appendRollbackReply(out []byte, u *statement.Unit) []byte {
 	for rest := u.Data; len(rest) >= postgres.HeaderSize; {
 		f := postgres.Frame(rest)
--- a/io/caller/doc.go
+++ b/io/caller/doc.go
@@ -1,4 +1,4 @@
-// Package caller speaks to callers: it accepts their connections,
-// authenticates them and turns what they send into units for the owner of their
-// group. It plays the entry's role of a host.
+// Package caller serves client connections: it accepts and authenticates them
+// and groups their messages into units, which it sends to the owner of their
+// group. It implements the entry role of a host.
 package caller
--- a/io/caller/listener.go
+++ b/io/caller/listener.go
@@ -15,41 +15,46 @@
 	"pearlatch/io/postgres"
 )
 
-// Exchange runs the units of one transaction. See upstream.Exchange.
+// Exchange runs the units of one transaction. Cancel may be called while Do runs;
+// the other methods are called from one goroutine. See upstream.Exchange.
 type Exchange interface {
 	Do(ctx context.Context, u *statement.Unit, sink func([]byte) error) (statement.Outcome, error)
 	Cancel(ctx context.Context) error
 	Close()
 }
 
-// Router opens exchanges with the owners of groups.
+// Router opens exchanges with the owners of groups. It is used from several
+// goroutines.
 type Router interface {
 	// Begin opens an exchange. It does no I/O.
 	Begin(r *statement.Request) Exchange
-	// Cancel passes a cancel request on to the host that its key names.
+	// Cancel forwards a cancel request to the host that its key names.
 	Cancel(key statement.CancelKey)
 }
 
-// Routes gives the listener the configuration in force.
+// Routes gives the listener the configuration in force. It is used from several
+// goroutines.
 type Routes interface {
 	// Route returns the route of the given name.
 	Route(name string) (config.Route, bool)
-	// Verifier returns what checks the password of a credential's user, or nil
-	// when the credential does not exist or its user has another name.
+	// Verifier returns the password verifier of a credential's user, or nil if
+	// the credential does not exist or its user has another name.
 	Verifier(credential, user string) *postgres.Verifier
-	// Ready returns an empty string, or the reason why the host cannot serve.
+	// Ready returns the reason why the host cannot serve, or an empty string if
+	// it can.
 	Ready() string
 }
 
-// Options says what a listener needs.
+// Options configures a Listener.
 type Options struct {
 	// Host is the identifier of this host.
 	Host string
-	// HostNumber is the upper half of the process numbers given to callers.
+	// HostNumber is the upper half of the process IDs in the cancel keys that
+	// callers receive.
 	HostNumber uint16
-	// TLS is nil to refuse encryption.
+	// TLS is the TLS configuration, or nil to refuse encryption.
 	TLS *tls.Config
-	// StartupTimeout bounds a caller's startup and authentication.
+	// StartupTimeout is the time limit of a caller's startup and authentication.
 	StartupTimeout time.Duration
 	Router         Router
 	Routes         Routes
@@ -57,7 +62,8 @@
 	Metrics        metrics.Registry
 }
 
-// Listener accepts callers.
+// Listener accepts callers and serves them. Its methods may be called from
+// several goroutines. Use NewListener.
 type Listener struct {
 	options Options
 	stats   stats
@@ -76,7 +82,7 @@
 	refusals   metrics.Counter
 }
 
-// NewListener returns a listener. Serve makes it accept.
+// NewListener returns a listener. Call Serve to accept callers.
 func NewListener(o Options) *Listener {
 	return &Listener{
 		options:        o,
@@ -90,11 +96,12 @@
 	}
 }
 
-// acceptRetryDelay is the pause after a failed accept, as when file descriptors run
-// out, so that the loop does not spin.
+// acceptRetryDelay is the delay after a failed accept, for example when file
+// descriptors run out, so that the accept loop does not spin.
 const acceptRetryDelay = 20 * time.Millisecond
 
-// Serve accepts callers from l until l closes.
+// Serve accepts callers from lis until lis is closed or times out, or until
+// Accept fails while the listener drains.
 func (l *Listener) Serve(lis net.Listener) {
 	for {
 		conn, err := lis.Accept()
@@ -142,15 +149,15 @@
 	return out
 }
 
-// Drain ends all callers: idle ones at once, the others at the end of their
-// transaction. It returns when all are gone or ctx ends, and then closes the
-// rest.
+// Drain refuses new callers and closes all sessions: idle ones at once, the
+// others at the end of their transaction. When ctx ends, it closes the remaining
+// connections. It returns when all sessions have ended.
 func (l *Listener) Drain(ctx context.Context) {
 	l.mu.Lock()
 	l.draining = true
-	open := l.openSessions()
+	sessions := l.openSessions()
 	l.mu.Unlock()
-	for _, s := range open {
+	for _, s := range sessions {
 		s.drain()
 	}
 	done := make(chan struct{})
@@ -162,15 +169,16 @@
 	case <-done:
 	case <-ctx.Done():
 		l.mu.Lock()
-		open = l.openSessions()
+		sessions = l.openSessions()
 		l.mu.Unlock()
-		for _, s := range open {
+		for _, s := range sessions {
 			s.conn.Close()
 		}
 		<-done
 	}
 }
 
+// openSessions returns the open sessions. l.mu must be held.
 func (l *Listener) openSessions() []*session {
 	out := make([]*session, 0, len(l.sessions))
 	for _, s := range l.sessions {
@@ -179,8 +187,8 @@
 	return out
 }
 
-// admit counts a caller of the route and gives it a key. It returns false when
-// the route is full or the host drains.
+// admit adds a session and gives it a cancel key. It returns false if the route
+// has reached its limit of callers or the host is draining.
 func (l *Listener) admit(s *session) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -201,6 +209,7 @@
 	return true
 }
 
+// remove removes a session that admit has added.
 func (l *Listener) remove(s *session) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/io/caller/session.go
+++ b/io/caller/session.go
@@ -15,43 +15,45 @@
 	"pearlatch/io/postgres"
 )
 
-// readBufferSize is the size of a caller's read buffer, in bytes. It is small since
-// most callers are idle.
+// readBufferSize is the size of a caller's read buffer, in bytes. It is small
+// because most callers are idle.
 const readBufferSize = 2 << 10
 
-// session is a caller's connection. One goroutine runs it.
+// session is a caller's connection. One goroutine runs it; cancel and drain may
+// be called from others.
 type session struct {
 	listener   *Listener
 	conn       net.Conn
 	reader     *bufio.Reader
 	route      config.Route
 	cancelKey  statement.CancelKey
-	sessionKey string // session key, or one made from key
-	ownSession bool   // name belongs to this connection alone
-	neverWrote bool   // own, and no write was sent
+	sessionKey string // as given by the caller, or derived from cancelKey
+	ownSession bool   // sessionKey is derived, so no other connection uses it
+	neverWrote bool   // ownSession, and no write was sent
 
 	builder  unitBuilder
 	exchange Exchange
 	txStatus byte // of the last ReadyForQuery
-	// transactionLost is true after the open transaction was transactionLost: everything but its end
-	// is refused, so that later statements do not run outside of it.
+	// transactionLost is true after the open transaction was lost. Until the
+	// caller ends the transaction, all other statements are refused, so that
+	// they do not run outside of it.
 	transactionLost bool
 
 	mu              sync.Mutex
-	runningExchange Exchange // what Cancel reaches; nil between units
+	runningExchange Exchange // exchange that cancel cancels; nil between units
 	draining        bool
-	idle            bool // waits outside of a transaction, perhaps with a pinned connection
+	idle            bool // waiting for a unit outside a transaction, perhaps with a pinned connection
 }
 
-func newSession(l *Listener, conn net.Conn, route config.Route, name string) *session {
+func newSession(l *Listener, conn net.Conn, route config.Route, sessionKey string) *session {
 	return &session{
 		listener:   l,
 		conn:       conn,
 		reader:     bufio.NewReaderSize(conn, readBufferSize),
 		route:      route,
-		sessionKey: name,
-		ownSession: name == "",
-		neverWrote: name == "",
+		sessionKey: sessionKey,
+		ownSession: sessionKey == "",
+		neverWrote: sessionKey == "",
 		txStatus:   postgres.StatusIdle,
 	}
 }
@@ -79,14 +81,15 @@
 	}
 }
 
-// errDrained ends a session at a transaction boundary.
+// errDrained ends a session at a transaction boundary when the host drains.
 var errDrained = errors.New("the host is shutting down")
 
-// errIdleInTransaction ends a session that left its transaction open too long.
+// errIdleInTransaction ends a session that was idle in a transaction for longer
+// than the route allows.
 var errIdleInTransaction = errors.New("terminating connection due to idle-in-transaction timeout")
 
-// nextUnit reads the next unit. It returns nil when the messages read need no
-// answer from the upstream.
+// nextUnit reads the next unit. It returns nil if the messages read need no
+// reply from the upstream.
 func (s *session) nextUnit() (*statement.Unit, error) {
 	if err := s.beginWait(); err != nil {
 		return nil, err
@@ -98,7 +101,8 @@
 	return u, err
 }
 
-// beginWait prepares for the wait for a message.
+// beginWait sets the read deadline and the idle flag before a unit is read. It
+// returns errDrained if the session is draining and outside a transaction.
 func (s *session) beginWait() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -112,7 +116,8 @@
 	return nil
 }
 
-// endWait is called when the first message of a unit has arrived.
+// endWait clears the idle flag and the read deadline. It is called when the
+// first message of a unit has arrived.
 func (s *session) endWait() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -122,6 +127,7 @@
 	}
 }
 
+// timeoutError returns the reason why the read deadline was exceeded.
 func (s *session) timeoutError() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -131,7 +137,8 @@
 	return errIdleInTransaction
 }
 
-// drain ends the session at the next transaction boundary.
+// drain ends the session at the next transaction boundary, and at once if it is
+// idle.
 func (s *session) drain() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -141,7 +148,8 @@
 	}
 }
 
-// reportEnd tells the caller why its connection closes, where the protocol allows.
+// reportEnd sends the caller the reason for closing its connection as a FATAL
+// error, unless err is a failure of the connection itself.
 func (s *session) reportEnd(err error) {
 	var p *protocolError
 	switch {
@@ -154,15 +162,16 @@
 	}
 }
 
+// trySend writes b to the caller and ignores errors.
 func (s *session) trySend(b []byte) { _, _ = s.conn.Write(b) }
 
-// send passes bytes of an answer to the caller.
+// send writes bytes of a reply to the caller.
 func (s *session) send(b []byte) error {
 	_, err := s.conn.Write(b)
 	return err
 }
 
-// runUnit runs a unit. It returns an error when the connection must close.
+// runUnit runs a unit. It returns an error if the connection must be closed.
 func (s *session) runUnit(u *statement.Unit) error {
 	if s.transactionLost {
 		return s.refuseInLostTransaction(u)
@@ -192,6 +201,7 @@
 	return nil
 }
 
+// beginExchange opens the exchange for a transaction whose first unit is u.
 func (s *session) beginExchange(u *statement.Unit) {
 	if u.Kind == statement.Write {
 		s.neverWrote = false
@@ -215,7 +225,7 @@
 	s.runningExchange = x
 }
 
-// cancel cancels the running statement.
+// cancel cancels the running statement, if any.
 func (s *session) cancel(ctx context.Context) {
 	s.mu.Lock()
 	x := s.runningExchange
@@ -232,13 +242,14 @@
 	}
 }
 
-// sendFailure answers a unit that the upstream did not answer.
+// sendFailure replies to a unit for which the exchange returned err. It returns
+// err if the caller's own connection failed.
 func (s *session) sendFailure(u *statement.Unit, err error) error {
 	s.closeExchange()
 	s.listener.stats.refusals.Inc(1)
 	var r *statement.Refusal
 	if !errors.As(err, &r) {
-		return err // the caller's own connection failed
+		return err // the caller's connection failed
 	}
 	inTransaction := s.txStatus != postgres.StatusIdle
 	s.builder.copying = false
@@ -248,8 +259,8 @@
 	} else {
 		s.txStatus = postgres.StatusIdle
 	}
-	// A simple COPY that fails half way ends at once; the caller's remaining data
-	// is dropped.
+	// In the simple query protocol, a failed COPY ends at once; the caller's
+	// remaining data is discarded.
 	simpleCopy := u.Expect == statement.ExpectNothing && !s.builder.extended
 	if u.Expect == statement.ExpectReady || simpleCopy {
 		out = postgres.AppendReady(out, s.txStatus)
@@ -257,7 +268,8 @@
 	return s.send(out)
 }
 
-// refuseInLostTransaction answers units after the transaction was lost, until its end.
+// refuseInLostTransaction replies to a unit after the transaction was lost. A
+// unit that ends the transaction is answered with ROLLBACK, others with an error.
 func (s *session) refuseInLostTransaction(u *statement.Unit) error {
 	if u.Expect != statement.ExpectReady {
 		return nil
--- a/io/caller/startup.go
+++ b/io/caller/startup.go
@@ -19,11 +19,11 @@
 // SessionOption is the startup parameter that carries a session key.
 const SessionOption = "pearlatch.session"
 
-// maxSessionKeySize bounds a session key, in bytes.
+// maxSessionKeySize is the size limit of a session key, in bytes.
 const maxSessionKeySize = 200
 
-// reportedParameters are the parameters that callers are told at startup. Upstream
-// sessions are reset to the same values.
+// reportedParameters are the parameters that callers receive at startup.
+// Upstream sessions are reset to the same values.
 var reportedParameters = []pgproto3.ParameterStatus{
 	{Name: "server_version", Value: "17.0"},
 	{Name: "server_encoding", Value: "UTF8"},
@@ -35,8 +35,8 @@
 	{Name: "standard_conforming_strings", Value: "on"},
 }
 
-// ignoredParameters are startup parameters that change nothing that pooled connections
-// share.
+// ignoredParameters are startup parameters that have no effect on the state of
+// pooled connections, so any value is accepted.
 var ignoredParameters = map[string]bool{
 	"user": true, "database": true, "application_name": true, "options": true,
 	SessionOption: true, "extra_float_digits": true, "fallback_application_name": true,
@@ -50,7 +50,8 @@
 	return binary.BigEndian.Uint32(b[:])
 }
 
-// refusal is a reason to end a caller's startup.
+// refusal is the error of a startup that the host refuses. It is sent to the
+// caller as a FATAL error with the SQLSTATE code.
 type refusal struct{ code, message string }
 
 func (r *refusal) Error() string { return r.message }
@@ -59,7 +60,7 @@
 	return &refusal{code: code, message: fmt.Sprintf(format, args...)}
 }
 
-// serve takes one caller from its first byte to its last.
+// serve runs a caller's connection from startup until it closes.
 func (l *Listener) serve(conn net.Conn) {
 	s, err := l.start(conn)
 	if err != nil {
@@ -80,7 +81,8 @@
 	s.loop()
 }
 
-// start runs startup and authentication. It returns nil after a cancel request.
+// start runs startup and authentication and adds the session to the listener.
+// It returns a nil session after a cancel request.
 func (l *Listener) start(conn net.Conn) (*session, error) {
 	_ = conn.SetDeadline(time.Now().Add(l.options.StartupTimeout))
 	conn, msg, err := l.receiveStartup(conn)
@@ -107,7 +109,8 @@
 }
 
 // receiveStartup negotiates encryption and reads the startup message. It
-// returns none after a cancel request.
+// returns the connection to use from then on, and a nil message after a cancel
+// request.
 func (l *Listener) receiveStartup(conn net.Conn) (net.Conn, *pgproto3.StartupMessage, error) {
 	for {
 		msg, err := pgproto3.NewBackend(conn, conn).ReceiveStartupMessage()
@@ -132,6 +135,8 @@
 	}
 }
 
+// startTLS answers an SSLRequest and returns the connection to use afterwards:
+// a TLS connection, or conn if the listener has no TLS configuration.
 func (l *Listener) startTLS(conn net.Conn) (net.Conn, error) {
 	if l.options.TLS == nil {
 		_, err := conn.Write([]byte{'N'})
@@ -160,8 +165,8 @@
 		name = params["user"]
 	}
 	route, known := l.options.Routes.Route(name)
-	// The password is asked for before an unknown route is refused, so that
-	// routes cannot be probed without one; the refusal then names the route.
+	// An unknown route is refused only after the password exchange, so that
+	// routes cannot be probed without a password. The refusal names the route.
 	var verifier *postgres.Verifier
 	if known {
 		verifier = l.options.Routes.Verifier(route.Credential, params["user"])
@@ -198,8 +203,8 @@
 	return key, nil
 }
 
-// checkParameters refuses startup parameters that would need a session of their
-// own on the upstream.
+// checkParameters refuses startup parameters that would need an upstream session
+// of the caller's own.
 func checkParameters(params map[string]string) error {
 	for name, value := range params {
 		if ignoredParameters[name] || strings.HasPrefix(name, "_pq_.") {
@@ -213,6 +218,8 @@
 	return nil
 }
 
+// matchesReported reports whether value equals the reported value of the
+// parameter. Letter case and hyphens in values are ignored.
 func matchesReported(name, value string) bool {
 	for _, p := range reportedParameters {
 		if strings.EqualFold(p.Name, name) {
@@ -224,6 +231,8 @@
 	return false
 }
 
+// finishStartup sends the messages that end startup, from AuthenticationOk to
+// ReadyForQuery.
 func finishStartup(backend *pgproto3.Backend, key statement.CancelKey) error {
 	backend.Send(&pgproto3.AuthenticationOk{})
 	for i := range reportedParameters {
--- a/io/etcd/doc.go
+++ b/io/etcd/doc.go
@@ -1,4 +1,4 @@
-// Package etcd speaks to the platform: its key-value service, through the
-// published HTTP/JSON form of the etcd v3 API, and its list of hosts, which
-// stands under a prefix of that service.
+// Package etcd is the client of the platform's key-value service, which it
+// reaches through the HTTP/JSON gateway of the etcd v3 API. The service holds the
+// configuration and, under a prefix of its own, the platform's list of hosts.
 package etcd
--- a/io/etcd/etcd.go
+++ b/io/etcd/etcd.go
@@ -17,32 +17,34 @@
 	"pearlatch/core/membership"
 )
 
-// Etcd is a Store over the HTTP/JSON gateway of the etcd v3 API, as its
-// documentation describes it in "gRPC gateway". Use NewEtcd.
+// Etcd is a Store that uses the HTTP/JSON gateway of the etcd v3 API, described
+// under "gRPC gateway" in the etcd documentation. Its methods may be called from
+// several goroutines. Use NewEtcd.
 type Etcd struct {
 	endpoints    []netip.AddrPort
 	client       *http.Client
-	lastEndpoint atomic.Uint32 // endpoint that answered last
+	lastEndpoint atomic.Uint32 // index of the endpoint that answered last
 	calls        atomic.Int64
 }
 
 var _ Store = (*Etcd)(nil)
 
-// callTimeout bounds a call but a watch. The service answers in milliseconds
-// when it is well.
+// callTimeout is the time limit of every call except a watch. A healthy service
+// answers within milliseconds.
 const callTimeout = 2 * time.Second
 
-// NewEtcd returns a store at the given endpoints, which are tried in turn. There
-// must be at least one.
+// NewEtcd returns a store at the given endpoints. A call tries them in turn,
+// starting with the one that answered last. There must be at least one endpoint.
 func NewEtcd(endpoints []netip.AddrPort) *Etcd {
 	transport := &http.Transport{MaxIdleConnsPerHost: 2, IdleConnTimeout: time.Minute}
 	return &Etcd{endpoints: endpoints, client: &http.Client{Transport: transport}}
 }
 
-// Calls returns how many calls were made, a watch counted as one.
+// Calls returns the number of calls made so far. A watch counts as one call.
 func (e *Etcd) Calls() int64 { return e.calls.Load() }
 
-// int64String is a 64-bit number as the gateway writes it: a string.
+// int64String is a 64-bit integer that is a string in JSON, as the gateway
+// encodes it.
 type int64String int64
 
 // MarshalJSON implements json.Marshaler.
@@ -50,15 +52,15 @@
 	return json.Marshal(strconv.FormatInt(int64(n), 10))
 }
 
-// UnmarshalJSON implements json.Unmarshaler. It takes numbers as well.
+// UnmarshalJSON implements json.Unmarshaler. It accepts JSON numbers as well.
 func (n *int64String) UnmarshalJSON(b []byte) error {
 	v, err := strconv.ParseInt(strings.Trim(string(b), `"`), 10, 64)
 	*n = int64String(v)
 	return err
 }
 
-// The wire types of the gateway. Byte slices are base64 there, as in
-// encoding/json.
+// The wire types of the gateway. It encodes byte slices in base64, as
+// encoding/json does.
 type (
 	keyValue struct {
 		Key         []byte      `json:"key"`
@@ -127,7 +129,8 @@
 	}
 )
 
-// post makes a call and returns the body of the answer.
+// post makes a call and returns the response body. It tries each endpoint once,
+// until one answers or ctx ends.
 func (e *Etcd) post(ctx context.Context, path string, in any) (io.ReadCloser, error) {
 	body, err := json.Marshal(in)
 	if err != nil {
@@ -149,6 +152,7 @@
 	return nil, err
 }
 
+// postTo makes a call to the given endpoint. Any status but 200 is an error.
 func (e *Etcd) postTo(ctx context.Context, endpoint netip.AddrPort, path string, body []byte) (io.ReadCloser, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+endpoint.String()+path, bytes.NewReader(body))
 	if err != nil {
@@ -166,7 +170,7 @@
 	return resp.Body, nil
 }
 
-// call makes a call whose answer is one JSON object.
+// call makes a call whose response is one JSON object.
 func call[Out any](ctx context.Context, e *Etcd, path string, in any) (Out, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -204,7 +208,7 @@
 // List implements Store.
 func (e *Etcd) List(ctx context.Context, prefix string) (map[string]Entry, error) {
 	end := []byte(prefix)
-	end[len(end)-1]++ // prefixes end with '/', so that nothing overflows
+	end[len(end)-1]++ // prefixes end with '/', so the byte does not overflow
 	out, err := call[rangeResponse](ctx, e, "/v3/kv/range", rangeRequest{Key: []byte(prefix), RangeEnd: end})
 	if err != nil {
 		return nil, err
@@ -278,14 +282,14 @@
 	return err
 }
 
-// hostRecord is an entry of the platform's list.
+// hostRecord is the JSON form of a host in the platform's list.
 type hostRecord struct {
 	Zone    string `json:"availability_zone"`
 	Peer    string `json:"peer_address"`
 	Leaving bool   `json:"leaving"`
 }
 
-// Hosts implements Store. Entries that cannot be read are left out.
+// Hosts implements Store. It skips entries that it cannot decode.
 func (e *Etcd) Hosts(ctx context.Context) ([]membership.Host, error) {
 	entries, err := e.List(ctx, HostsPrefix)
 	if err != nil {
@@ -313,7 +317,7 @@
 	return membership.Host{ID: strings.TrimPrefix(key, HostsPrefix), Zone: r.Zone, Peer: peer, Leaving: r.Leaving}, nil
 }
 
-// EncodeHost returns the value of a host's entry.
+// EncodeHost returns the value of a host's entry in the platform's list.
 func EncodeHost(h membership.Host) []byte {
 	out, err := json.Marshal(hostRecord{Zone: h.Zone, Peer: h.Peer.String(), Leaving: h.Leaving})
 	if err != nil {
--- a/io/etcd/revision.go
+++ b/io/etcd/revision.go
@@ -12,17 +12,17 @@
 	"pearlatch/core/config"
 )
 
-// MaxValueSize is the most that the platform's service holds in one value, in bytes.
+// MaxValueSize is the size limit of a value in the platform's service, in bytes.
 const MaxValueSize = 1 << 20
 
-// maxRevisionSize bounds a decoded revision, in bytes, so that a few hostile bytes
-// cannot stand for gigabytes.
+// maxRevisionSize is the size limit of a decompressed revision, in bytes. It keeps
+// a few bytes of malicious input from expanding to gigabytes.
 const maxRevisionSize = 64 << 20
 
-// maxHistory is how many revisions the store keeps.
+// maxHistory is the number of revisions that the store keeps.
 const maxHistory = 100
 
-// revisionRecord is a revision in the store, before compression.
+// revisionRecord is the JSON form of a revision in the store, before compression.
 type revisionRecord struct {
 	Number     uint64    `json:"number"`
 	Author     string    `json:"author"`
@@ -36,8 +36,8 @@
 	decoder, _ = zstd.NewReader(nil, zstd.WithDecoderMaxMemory(maxRevisionSize))
 )
 
-// EncodeRevision returns the stored form of a revision: a JSON object,
-// compressed with zstd.
+// EncodeRevision returns the stored form of a revision: a JSON object compressed
+// with zstd. It returns an error if the result exceeds MaxValueSize.
 func EncodeRevision(r config.Revision) ([]byte, error) {
 	plain, err := marshalRevision(r)
 	if err != nil {
@@ -57,7 +57,7 @@
 	return out, errors.Wrap(err, "encode revision")
 }
 
-// DecodeRevision reads the stored form of a revision.
+// DecodeRevision decodes what EncodeRevision returned.
 func DecodeRevision(b []byte) (config.Revision, error) {
 	plain, err := decoder.DecodeAll(b, nil)
 	if err != nil {
@@ -79,19 +79,21 @@
 	}, nil
 }
 
-// deltaRecord is the difference between two revisions: the documents' common
-// beginning and end are left out. An operator changes one section at a time.
+// deltaRecord is the difference between two revisions. The common prefix and
+// suffix of the documents are left out. That suffices because an operator usually
+// changes one section at a time.
 type deltaRecord struct {
 	Number     uint64    `json:"number"`
 	Author     string    `json:"author"`
 	At         time.Time `json:"at"`
 	Submission string    `json:"submission"`
-	Prefix     int       `json:"prefix"`
-	Suffix     int       `json:"suffix"`
+	Prefix     int       `json:"prefix"` // in bytes
+	Suffix     int       `json:"suffix"` // in bytes
 	Middle     []byte    `json:"middle"`
 }
 
-// EncodeDelta returns a form of r that can be read by whoever has base.
+// EncodeDelta returns the difference of r from base. DecodeDelta restores r from
+// it and base.
 func EncodeDelta(base, r config.Revision) ([]byte, error) {
 	prefix := commonPrefix(base.Text, r.Text)
 	suffix := commonSuffix(base.Text[prefix:], r.Text[prefix:])
@@ -121,7 +123,7 @@
 	return n
 }
 
-// DecodeDelta reads what EncodeDelta returned for the same base.
+// DecodeDelta decodes what EncodeDelta returned for the same base.
 func DecodeDelta(base config.Revision, delta []byte) (config.Revision, error) {
 	plain, err := decoder.DecodeAll(delta, nil)
 	if err != nil {
@@ -138,5 +140,6 @@
 	return config.Revision{Number: d.Number, Author: d.Author, At: d.At, Submission: d.Submission, Text: text}, nil
 }
 
-// historyKey returns the key of an earlier revision.
+// historyKey returns the key of a revision in the history. The number is padded
+// with zeros, so that keys sort by number.
 func historyKey(number uint64) string { return fmt.Sprintf("%s%020d", HistoryPrefix, number) }
--- a/io/etcd/submit.go
+++ b/io/etcd/submit.go
@@ -12,7 +12,8 @@
 	"pearlatch/core/config"
 )
 
-// Conflict is the error of a submission whose base is not the revision in force.
+// Conflict is the error of a submission whose base is no longer the revision in
+// force.
 type Conflict struct {
 	// Current is the revision in force.
 	Current config.Revision
@@ -26,26 +27,30 @@
 // ErrOutcomeUnknown means that it is not known whether a submission was accepted.
 var ErrOutcomeUnknown = errors.New("the platform's store did not tell whether the submission was accepted: look at the history before submitting again")
 
-// submitRetryDelay is the pause before a submission is tried or looked for again.
+// submitRetryDelay is the delay before a submission whose outcome is unknown is
+// tried again.
 const submitRetryDelay = 100 * time.Millisecond
 
 // Submit makes a document the next revision if base is still in force, and
-// returns that revision. An answer that is lost after its write is settled by
-// looking for the submission's identifier, so that acceptance is claimed only of
-// what the store holds. ctx bounds the attempts.
+// returns that revision. If the reply to a write is lost, it looks in the store
+// for the submission's identifier, so that it reports acceptance only of what the
+// store holds. It tries again until ctx ends.
+//
+// The error is a *Conflict if base is not in force, ErrOutcomeUnknown if ctx ended
+// first, or an encoding error.
 func Submit(ctx context.Context, s Store, base uint64, author string, text []byte) (config.Revision, error) {
 	r := config.Revision{Number: base + 1, Author: author, At: time.Now().UTC(), Submission: rand.Text(), Text: text}
 	value, err := EncodeRevision(r)
 	if err != nil {
 		return config.Revision{}, err
 	}
-	tried := false
+	retried := false
 	for {
-		done, err := trySubmit(ctx, s, base, r, value, tried)
+		done, err := trySubmit(ctx, s, base, r, value, retried)
 		if done {
 			return r, err
 		}
-		tried = true
+		retried = true
 		select {
 		case <-ctx.Done():
 			return config.Revision{}, errors.Wrap(ErrOutcomeUnknown, err.Error())
@@ -54,15 +59,16 @@
 	}
 }
 
-// trySubmit tries to write the revision once. It returns false when the store did
-// not tell what became of it.
-func trySubmit(ctx context.Context, s Store, base uint64, r config.Revision, value []byte, tried bool) (done bool, err error) {
+// trySubmit tries to write the revision once. retried is true if an earlier try
+// may have written it. If done is false, the outcome is unknown and err is the
+// reason.
+func trySubmit(ctx context.Context, s Store, base uint64, r config.Revision, value []byte, retried bool) (done bool, err error) {
 	entry, current, err := Current(ctx, s)
 	if err != nil {
 		return false, err
 	}
 	if current.Number != base {
-		if tried {
+		if retried {
 			return findOutcome(ctx, s, current, r)
 		}
 		return true, &Conflict{Current: current}
@@ -82,8 +88,8 @@
 	return err == nil, err
 }
 
-// WriteBack writes a revision that the service has lost, if it still holds the older entry that was read.
-// ErrConflict means that it does not.
+// WriteBack writes a revision that the service has lost, if the service still
+// holds the older entry. Otherwise it returns ErrConflict.
 func WriteBack(ctx context.Context, s Store, older Entry, r config.Revision) error {
 	value, err := EncodeRevision(r)
 	if err != nil {
@@ -94,7 +100,8 @@
 	return err
 }
 
-// findOutcome finds out whether the revision was accepted after all.
+// findOutcome looks for r in the revision in force and in the history. It returns
+// a *Conflict if r was not accepted. If done is false, the outcome is unknown.
 func findOutcome(ctx context.Context, s Store, current, r config.Revision) (done bool, err error) {
 	if current.Submission == r.Submission {
 		return true, nil
@@ -111,8 +118,8 @@
 	return true, &Conflict{Current: current}
 }
 
-// Current returns the revision in force, or the zero revision when there is
-// none.
+// Current returns the revision in force and its entry, or the zero revision if
+// there is none.
 func Current(ctx context.Context, s Store) (Entry, config.Revision, error) {
 	entry, err := s.Get(ctx, ConfigKey)
 	if err != nil || entry.Revision == 0 {
--- a/io/etcd/submit_test.go
+++ b/io/etcd/submit_test.go
@@ -17,9 +17,11 @@
 	"pearlatch/io/etcd"
 )
 
+// lastNet is the last octet of the address that was last used by a test.
 var lastNet atomic.Uint32
 
-// startPlatform runs a platform until the test ends.
+// startPlatform starts a platform that runs until the test ends, and returns it
+// with a store that uses it.
 func startPlatform(t *testing.T) (*standin.Platform, *etcd.Etcd) {
 	t.Helper()
 	addr := netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 4, byte(os.Getpid()), byte(lastNet.Add(1))}), 2379)
@@ -38,8 +40,8 @@
 	return ctx
 }
 
-// Two operators fill their forms from the same revision and submit at the same
-// moment. Exactly one is accepted; the other is shown what the first one did.
+// Of several concurrent submissions on the same base, exactly one is accepted.
+// The others fail with a conflict that holds the accepted revision.
 func TestConcurrentSubmissionsAcceptOne(t *testing.T) {
 	_, store := startPlatform(t)
 	ctx := testContext(t)
@@ -71,8 +73,8 @@
 	}
 }
 
-// The store writes every submission and loses most of the answers. The operator
-// is told of an acceptance that did happen, and nothing is submitted twice.
+// The store writes every submission but most of its replies are lost. Submit must
+// still report the acceptance, and no document may be written twice.
 func TestSubmitWithLostReplies(t *testing.T) {
 	p, store := startPlatform(t)
 	ctx := testContext(t)
@@ -94,9 +96,9 @@
 	}
 }
 
-// An answer is lost after its effect, and another operator builds on the
-// revision before the first one looks. The first submission was accepted and
-// must be called so, although it is no longer in force.
+// A reply is lost after the write took effect, and another operator submits on
+// top of that revision. The first submission was accepted and must stay in the
+// history, although it is no longer in force.
 func TestAcceptedSubmissionFoundInHistory(t *testing.T) {
 	p, store := startPlatform(t)
 	ctx := testContext(t)
@@ -131,8 +133,8 @@
 	}
 }
 
-// A holder is paused while its lease lapses. When it wakes it must learn that,
-// rather than go on.
+// A lease holder that was paused while its lease expired must get an error from
+// KeepAlive, and the leased key must be gone.
 func TestKeepAliveOfLapsedLease(t *testing.T) {
 	p, store := startPlatform(t)
 	ctx := testContext(t)
--- a/io/postgres/auth.go
+++ b/io/postgres/auth.go
@@ -14,7 +14,8 @@
 	scramMechanism  = "SCRAM-SHA-256"
 )
 
-// Verifier holds what a server needs to check a password, without the password.
+// Verifier holds the SCRAM credentials with which a server checks a password
+// without storing it.
 type Verifier struct {
 	stored scram.StoredCredentials
 }
@@ -34,12 +35,13 @@
 	return &Verifier{stored: stored}, nil
 }
 
-// ErrInvalidPassword is returned by Authenticate for a wrong password.
+// ErrInvalidPassword is returned by Authenticate for a wrong password or an
+// unknown user.
 var ErrInvalidPassword = errors.New("password authentication failed")
 
-// Authenticate runs the server's side of SCRAM-SHA-256 over backend. A nil
-// verifier, of an unknown user, fails after the same exchange as a wrong
-// password does, so that names cannot be probed.
+// Authenticate runs the server side of SCRAM-SHA-256 over backend. A nil
+// verifier stands for an unknown user: it fails after the same exchange as a
+// wrong password, so that user names cannot be probed.
 func Authenticate(backend *pgproto3.Backend, v *Verifier) error {
 	known := v != nil
 	if !known {
--- a/io/postgres/frame.go
+++ b/io/postgres/frame.go
@@ -8,8 +8,8 @@
 	"github.com/pkg/errors"
 )
 
-// Message types as they stand on the wire, from PostgreSQL's documentation,
-// chapter "Message Formats".
+// Message types on the wire, as defined in the chapter "Message Formats" of the
+// PostgreSQL documentation.
 const (
 	TypeBind      = 'B'
 	TypeClose     = 'C'
@@ -42,36 +42,38 @@
 	TypeParameterDescription = 't'
 )
 
-// Status bytes of ReadyForQuery.
+// Transaction status bytes of ReadyForQuery.
 const (
 	StatusIdle          = 'I'
 	StatusInTransaction = 'T'
 	StatusFailed        = 'E'
 )
 
-// HeaderSize is the size of a message's type and length, in bytes.
+// HeaderSize is the size of a message header, that is the type and the length, in
+// bytes.
 const HeaderSize = 5
 
-// MaxFrameSize bounds one message from a caller, in bytes. A larger one closes the
-// connection: a length field is the one place where a few hostile bytes could
-// make the process allocate a gigabyte.
+// MaxFrameSize is the size limit of a message from a caller, in bytes. A larger
+// message closes the connection: otherwise a forged length field of a few bytes
+// could make the process allocate a gigabyte.
 const MaxFrameSize = 64 << 20
 
-// A Frame is one message with its header. Its bytes are valid until the next
-// call on the reader that returned it.
+// A Frame is a message with its header. Its bytes are valid until the next call
+// on the reader that returned it.
 type Frame []byte
 
 // Type returns the message type.
 func (f Frame) Type() byte { return f[0] }
 
-// Size returns the size of the message that starts f, its header included.
+// Size returns the size of the message at the start of f, including the header,
+// in bytes.
 func (f Frame) Size() int { return 1 + int(binary.BigEndian.Uint32(f[1:])) }
 
 // Body returns the message without its header.
 func (f Frame) Body() []byte { return f[HeaderSize:] }
 
-// ReadFrame reads one message. It appends the message to buf and returns the
-// longer buffer; the message starts at len(buf).
+// ReadFrame reads a message and appends it to buf. In the returned buffer, the
+// message starts at len(buf). On error, it returns buf unchanged.
 func ReadFrame(r *bufio.Reader, buf []byte) ([]byte, error) {
 	header, err := r.Peek(HeaderSize)
 	if err != nil {
@@ -97,12 +99,14 @@
 	return append(buf, make([]byte, n)...)
 }
 
-// BeginFrame appends the header of a message whose length EndFrame fills in.
+// BeginFrame appends the header of a message of the given type. EndFrame sets
+// its length.
 func BeginFrame(buf []byte, kind byte) []byte {
 	return append(buf, kind, 0, 0, 0, 0)
 }
 
-// EndFrame sets the length of the message that starts at start and ends with buf.
+// EndFrame sets the length of the message that starts at buf[start] and ends at
+// the end of buf.
 func EndFrame(buf []byte, start int) []byte {
 	binary.BigEndian.PutUint32(buf[start+1:], uint32(len(buf)-start-1))
 	return buf
--- a/io/postgres/sqlstate.go
+++ b/io/postgres/sqlstate.go
@@ -2,8 +2,8 @@
 
 import "github.com/jackc/pgx/v5/pgproto3"
 
-// SQLSTATE codes that pearlatch sends or acts on, from PostgreSQL's
-// documentation, appendix "PostgreSQL Error Codes".
+// SQLSTATE codes that pearlatch sends or handles, as defined in the appendix
+// "PostgreSQL Error Codes" of the PostgreSQL documentation.
 const (
 	CodeConnectionFailure      = "08006"
 	CodeConnectionRejected     = "08004"
@@ -27,7 +27,7 @@
 	CodeInFailedTransaction    = "25P02"
 )
 
-// NotRun reports whether a member that refuses a statement with the given code
+// NotRun reports whether a member that answers a statement with the given code
 // has certainly not run it.
 func NotRun(code string) bool {
 	switch code {
@@ -58,7 +58,7 @@
 	}
 	out, err := m.Encode(buf)
 	if err != nil {
-		// Only a message over 1 GB fails to encode, and ours are short.
+		// Encode fails only for messages over 1 GB, and these are short.
 		return buf
 	}
 	return out
