--- a/io/etcd/submit_test.go
+++ b/io/etcd/submit_test.go
@@ -82,7 +82,7 @@
 	for base := range uint64(20) {
 		r, err := etcd.Submit(ctx, store, base, "operator", []byte{byte(base)})
 		if err != nil || r.Number != base+1 {
-			t.Fatalf("on revision %d: revision %d, %v", base, r.Number, err)
+			t.Fatalf("submission on base %d: revision %d, %v", base, r.Number, err)
 		}
 	}
 	list, err := etcd.History(ctx, store)
@@ -150,10 +150,10 @@
 	}
 	p.LapseLeases()
 	if err := store.KeepAlive(ctx, lease); err == nil {
-		t.Error("a lapsed lease was renewed")
+		t.Error("an expired lease was renewed")
 	}
 	if entry, err := store.Get(ctx, "/leased"); err != nil || entry.Revision != 0 {
-		t.Errorf("the key outlived its lease: %v, %v", entry, err)
+		t.Errorf("the key exists after its lease expired: %v, %v", entry, err)
 	}
 }
 
@@ -192,7 +192,7 @@
 		t.Fatal(err)
 	}
 	if len(delta) > 1<<10 {
-		t.Errorf("a changed word takes %d bytes", len(delta))
+		t.Errorf("the delta of one added line takes %d bytes", len(delta))
 	}
 	got, err := etcd.DecodeDelta(base, delta)
 	if err != nil || string(got.Text) != string(next.Text) || got.Number != 2 {
--- a/io/operator/api.go
+++ b/io/operator/api.go
@@ -13,12 +13,14 @@
 	"pearlatch/io/etcd"
 )
 
-// Configuration is the configuration as operators change it.
+// Configuration gives operators access to the configuration. Its methods may be
+// called from several goroutines.
 type Configuration interface {
 	// InForce returns the revision in force on this host.
 	InForce() config.Revision
-	// Submit makes a document the next revision. The error is a
-	// yamlmap.Mistakes, a *etcd.Conflict or one that says what failed.
+	// Submit makes a document the next revision if base is in force. The error
+	// is a yamlmap.Mistakes if the document is invalid, a *etcd.Conflict if base
+	// is not in force, or another error if the submission failed.
 	Submit(ctx context.Context, base uint64, author string, text []byte) (config.Revision, error)
 	// History returns the revisions that the store keeps, newest first.
 	History(ctx context.Context) ([]config.Revision, error)
@@ -30,11 +32,11 @@
 type HostRevision struct {
 	Host     string
 	Revision uint64
-	// Answered is false for a host that did not say.
+	// Answered is false if the host did not answer.
 	Answered bool
 }
 
-// RevisionBody is a revision in the JSON interface.
+// RevisionBody is the JSON form of a revision. The document may be left out.
 type RevisionBody struct {
 	Revision uint64    `json:"revision"`
 	Author   string    `json:"author"`
@@ -42,7 +44,7 @@
 	Document string    `json:"document,omitempty"`
 }
 
-// SubmitBody is a submission in the JSON interface.
+// SubmitBody is the JSON form of a submission.
 type SubmitBody struct {
 	Base     uint64 `json:"base"`
 	Author   string `json:"author"`
@@ -57,10 +59,11 @@
 	return out
 }
 
-// maxBodySize bounds what a client may send, in bytes.
+// maxBodySize is the size limit of a request body with a document, in bytes.
 const maxBodySize = 16 << 20
 
-// registerAPI adds the JSON interface that the command line uses.
+// registerAPI registers the handlers of the JSON interface, which the command line
+// uses.
 func registerAPI(mux *http.ServeMux, c Configuration) {
 	mux.HandleFunc("GET /config", func(w http.ResponseWriter, _ *http.Request) {
 		writeJSON(w, newRevisionBody(c.InForce(), true))
--- a/io/operator/client.go
+++ b/io/operator/client.go
@@ -13,20 +13,22 @@
 	"github.com/pkg/errors"
 )
 
-// clientTimeout bounds a call of Client. A submission may have to be settled.
+// clientTimeout is the time limit of a call of Client. It is long because the host
+// may have to find out whether a submission was accepted.
 const clientTimeout = 30 * time.Second
 
-// Client calls a host's operator address.
+// Client calls the operator interface of a host. Its methods may be called from
+// several goroutines.
 type Client struct {
-	// Addr is HOST:PORT.
+	// Addr is the operator address, as HOST:PORT.
 	Addr string
-	// Login is needed for everything but Dump.
+	// Login is required by all methods except Dump.
 	Login Login
-	// TLS is nil for plain HTTP.
+	// TLS is the TLS configuration, or nil for plain HTTP.
 	TLS *tls.Config
 }
 
-// httpClient returns the httpClient and the client to use.
+// httpClient returns the URL scheme and the HTTP client to use.
 func (c Client) httpClient() (scheme string, client *http.Client) {
 	if c.TLS == nil {
 		return "http://", http.DefaultClient
@@ -34,20 +36,20 @@
 	return "https://", &http.Client{Transport: &http.Transport{TLSClientConfig: c.TLS}}
 }
 
-// ErrConflict means that the configuration has changed meanwhile.
+// ErrConflict means that the base of a submission is no longer in force.
 var ErrConflict = errors.New("conflict")
 
-// ErrInvalidDocument means that a document is wrong.
+// ErrInvalidDocument means that the host refused a document as invalid.
 var ErrInvalidDocument = errors.New("invalid document")
 
-// Dump returns the host's state as it sent it.
+// Dump returns the host's state as JSON, unchanged.
 func (c Client) Dump(ctx context.Context) ([]byte, error) {
 	var raw json.RawMessage
 	err := c.do(ctx, http.MethodGet, "/state", nil, &raw)
 	return raw, err
 }
 
-// Drain orders a graceful shutdown.
+// Drain starts a graceful shutdown of the host. It does not wait for its end.
 func (c Client) Drain(ctx context.Context) error {
 	return c.do(ctx, http.MethodPost, "/drain", nil, nil)
 }
@@ -67,13 +69,17 @@
 	return out, err
 }
 
-// Submit submits a document on a base revision.
+// Submit submits a document on a base revision and returns the new revision
+// without its document. The error wraps ErrConflict if the base is not in force,
+// and ErrInvalidDocument if the document is invalid.
 func (c Client) Submit(ctx context.Context, in SubmitBody) (RevisionBody, error) {
 	var out RevisionBody
 	err := c.do(ctx, http.MethodPost, "/config", in, &out)
 	return out, err
 }
 
+// do makes a call with in as the JSON body, and decodes the JSON response into
+// out unless out is nil.
 func (c Client) do(ctx context.Context, method, path string, in, out any) error {
 	ctx, cancel := context.WithTimeout(ctx, clientTimeout)
 	defer cancel()
@@ -103,9 +109,10 @@
 	return errors.Wrapf(json.NewDecoder(resp.Body).Decode(out), "%s %s%s", method, c.Addr, path)
 }
 
-// maxErrorSize bounds how much of a refusal is read, in bytes.
+// maxErrorSize is how much of an error response is read, in bytes.
 const maxErrorSize = 64 << 10
 
+// responseError returns the error that an error response describes.
 func responseError(resp *http.Response) error {
 	text, _ := io.ReadAll(io.LimitReader(resp.Body, maxErrorSize))
 	message := strings.TrimSpace(string(text))
--- a/io/operator/console.go
+++ b/io/operator/console.go
@@ -18,7 +18,7 @@
 //go:embed templates/*.html
 var templateFiles embed.FS
 
-// templates holds one set for each page: the frame and the page's content.
+// templates holds the templates of each page: the frame and the page's content.
 var templates = map[string]*template.Template{}
 
 var pages = []string{"overview", "group", "route", "document", "preview", "conflict", "accepted", "history", "error"}
@@ -29,9 +29,10 @@
 	}
 }
 
-// console serves the operators' forms.
+// console serves the HTML pages with which operators change the configuration.
 type console struct{ config Configuration }
 
+// registerConsole registers the handlers of the console.
 func registerConsole(mux *http.ServeMux, c Configuration) {
 	s := &console{config: c}
 	mux.HandleFunc("GET /{$}", s.overview)
@@ -47,12 +48,13 @@
 	mux.HandleFunc("GET /history/{number}", s.previewHistory)
 }
 
-// page is what every page shows.
+// page is the data of the frame template.
 type page struct {
 	Title   string
 	Content any
 }
 
+// renderPage writes the named page with the given HTTP status.
 func renderPage(w http.ResponseWriter, status int, name, title string, content any) {
 	w.Header().Set("Content-Type", "text/html; charset=utf-8")
 	w.Header().Set("Content-Security-Policy", "default-src 'none'; style-src 'unsafe-inline'; form-action 'self'; base-uri 'none'; frame-ancestors 'none'")
@@ -64,8 +66,8 @@
 	renderPage(w, status, "error", "It did not work", strings.Split(err.Error(), "\n"))
 }
 
-// document returns the document in force and its revision. Without one it is
-// empty, so that the first can be made with the forms.
+// document returns the document in force and its revision. If there is none, the
+// document is empty, so that operators can create the first one with the forms.
 func (s *console) document() (*config.Document, config.Revision) {
 	r := s.config.InForce()
 	doc, err := config.Parse(r.Text)
@@ -86,13 +88,15 @@
 	renderPage(w, http.StatusOK, "overview", "Configuration", overviewContent{rev, doc, s.querySpread(r.Context(), rev.Number)})
 }
 
-// spreadContent says how many hosts have a revision in force.
+// spreadContent shows which hosts have a revision in force. Reached is the number
+// of hosts that have it or a later one.
 type spreadContent struct {
 	Revision uint64
 	Reached  int
 	Hosts    []HostRevision
 }
 
+// querySpread asks the hosts for the revisions that they have in force.
 func (s *console) querySpread(ctx context.Context, revision uint64) spreadContent {
 	out := spreadContent{Revision: revision, Hosts: s.config.HostRevisions(ctx)}
 	for _, h := range out.Hosts {
@@ -103,10 +107,11 @@
 	return out
 }
 
-// Complete reports whether all hosts have the revision in force.
+// Complete reports whether all hosts have the revision, or a later one, in force.
 func (c spreadContent) Complete() bool { return c.Reached == len(c.Hosts) }
 
-// previewContent is a change that waits to be submitted.
+// previewContent is a changed document that is not submitted yet. Mistakes is
+// empty if the document is valid.
 type previewContent struct {
 	Base     uint64
 	Document string
@@ -114,6 +119,8 @@
 	Mistakes []string
 }
 
+// renderPreview shows how text differs from the document in force, with the
+// mistakes of an invalid document.
 func (s *console) renderPreview(w http.ResponseWriter, base uint64, text []byte) {
 	rev := s.config.InForce()
 	content := previewContent{Base: base, Document: string(text), Diff: diff(string(rev.Text), string(text))}
@@ -137,7 +144,8 @@
 	}
 }
 
-// postedDocument reads the fields "base" and "document".
+// postedDocument reads the fields "base" and "document" of a form. If it returns
+// false, it has sent an error page.
 func postedDocument(w http.ResponseWriter, r *http.Request) (base uint64, text []byte, ok bool) {
 	r.Body = http.MaxBytesReader(w, r.Body, maxBodySize)
 	base, err := strconv.ParseUint(r.FormValue("base"), 10, 64)
@@ -145,11 +153,12 @@
 		renderError(w, http.StatusBadRequest, errors.New("the field base is not a revision number"))
 		return 0, nil, false
 	}
-	// Browsers send line ends as CR LF.
+	// Browsers end lines with CR LF.
 	return base, []byte(strings.ReplaceAll(r.FormValue("document"), "\r\n", "\n")), true
 }
 
-// conflictContent shows both changes of a conflict.
+// conflictContent shows both changes of a conflict, each as the difference from
+// the base revision.
 type conflictContent struct {
 	Base     uint64
 	Current  config.Revision
@@ -176,6 +185,8 @@
 	}
 }
 
+// newConflictContent returns the content of the conflict page. If the store no
+// longer keeps the base revision, both documents are shown as new.
 func (s *console) newConflictContent(ctx context.Context, base uint64, text []byte, c *etcd.Conflict) conflictContent {
 	out := conflictContent{Base: base, Current: c.Current, Document: string(text)}
 	before := ""
@@ -208,7 +219,8 @@
 	renderPage(w, http.StatusOK, "history", "History", list)
 }
 
-// previewHistory shows the way back to an earlier content, as a new revision.
+// previewHistory shows the change that returns to the document of an earlier
+// revision. Submitting it creates a new revision.
 func (s *console) previewHistory(w http.ResponseWriter, r *http.Request) {
 	list, err := s.config.History(r.Context())
 	if err != nil {
@@ -224,15 +236,17 @@
 	renderError(w, http.StatusNotFound, errors.Errorf("the store keeps no revision %s", r.PathValue("number")))
 }
 
-// diffLine is a line of a difference. Sign is '+', '-' or ' '.
+// diffLine is a line of a unified diff. Sign is its first character: "+", "-", " ",
+// or "@" for the header of a hunk.
 type diffLine struct {
 	Sign string
 	Text string
 }
 
-// diffContext is how many unchanged lines surround a change.
+// diffContext is the number of unchanged lines shown around a change.
 const diffContext = 3
 
+// diff returns the unified diff of two texts without the file headers.
 func diff(before, after string) []diffLine {
 	text, err := difflib.GetUnifiedDiffString(difflib.UnifiedDiff{
 		A: difflib.SplitLines(before), B: difflib.SplitLines(after), Context: diffContext,
--- a/io/operator/console_test.go
+++ b/io/operator/console_test.go
@@ -17,7 +17,7 @@
 	"pearlatch/io/etcd"
 )
 
-// memoryConfiguration is a Configuration in memoryConfiguration.
+// memoryConfiguration is a Configuration held in memory.
 type memoryConfiguration struct{ revisions []config.Revision }
 
 func (m *memoryConfiguration) InForce() config.Revision { return m.revisions[len(m.revisions)-1] }
@@ -62,7 +62,8 @@
 	return m, server
 }
 
-// sendRequest sends a request as the operator and returns status and body.
+// sendRequest sends a request with the operator's login and returns the status and
+// the body of the response. change, if not nil, modifies the request first.
 func sendRequest(t *testing.T, method, target string, form url.Values, change func(*http.Request)) (int, string) {
 	t.Helper()
 	req, err := http.NewRequestWithContext(t.Context(), method, target, strings.NewReader(form.Encode()))
@@ -126,7 +127,7 @@
 	}
 	status, body = sendRequest(t, "POST", server.URL+"/routes/new", routeFormValues("desk", "5s"), nil)
 	if status != http.StatusUnprocessableEntity || !strings.Contains(body, "is used twice") {
-		t.Errorf("a new route took an old one's place: status %d", status)
+		t.Errorf("a new route replaced an existing one: status %d", status)
 	}
 }
 
@@ -152,11 +153,11 @@
 			t.Errorf("%s: status %d", path, status)
 		}
 	}
-	fromElsewhere := func(r *http.Request) { r.Header.Set("Sec-Fetch-Site", "cross-site") }
-	if status, _ := sendRequest(t, "POST", server.URL+"/drain", nil, fromElsewhere); status != http.StatusForbidden {
-		t.Errorf("another site's page drained the host: status %d", status)
+	crossSite := func(r *http.Request) { r.Header.Set("Sec-Fetch-Site", "cross-site") }
+	if status, _ := sendRequest(t, "POST", server.URL+"/drain", nil, crossSite); status != http.StatusForbidden {
+		t.Errorf("cross-site request to drain: status %d", status)
 	}
 	if status, _ := sendRequest(t, "GET", server.URL+"/state", nil, func(r *http.Request) { r.Header.Del("Authorization") }); status != http.StatusOK {
-		t.Errorf("the dump: status %d", status)
+		t.Errorf("state without login: status %d", status)
 	}
 }
--- a/io/operator/doc.go
+++ b/io/operator/doc.go
@@ -1,3 +1,4 @@
-// Package operator speaks to operators over HTTP: the state dump, the metrics,
-// the order to drain, and the console's forms.
+// Package operator is the HTTP interface for operators: the state dump, the
+// metrics, the command to drain a host, and the console for the configuration,
+// with a JSON interface and HTML forms.
 package operator
--- a/io/operator/forms.go
+++ b/io/operator/forms.go
@@ -10,34 +10,37 @@
 	"pearlatch/core/config"
 )
 
-// newSectionPath is the name under which forms for new sections are reached.
+// newSectionPath is the last path element of the forms for new sections.
 const newSectionPath = "new"
 
-// formField is a field of a form.
+// formField is an input field of a form. Name is the path of the setting within
+// its section.
 type formField struct {
 	Name, Label, Help, Value string
-	// Options, if any, are the values to choose from.
+	// Options, if any, are the only values allowed.
 	Options []string
 }
 
-// formContent is a form for a section of the document.
+// formContent is the form for a section of the document. Base is the revision that
+// the form was filled from.
 type formContent struct {
 	Base    uint64
 	Name    string
 	Fields  []formField
 	Members []memberRow
-	// Groups are the groups that a route may lead to.
+	// Groups are the names of the groups that a route may refer to.
 	Groups []string
 }
 
-// memberRow is a member in a group's form. Empty rows are left out.
+// memberRow is a member in a group's form. Rows that are posted empty are
+// skipped.
 type memberRow struct {
 	Index               int
 	Name, Address, Zone string
 	Leaving             bool
 }
 
-// emptyMemberRows is how many empty rows a form offers for new members.
+// emptyMemberRows is the number of empty rows in a form, for new members.
 const emptyMemberRows = 2
 
 func (s *console) groupForm(w http.ResponseWriter, r *http.Request) {
@@ -74,6 +77,7 @@
 	}
 }
 
+// previewGroup shows the change that the form of a group makes to the document.
 func (s *console) previewGroup(w http.ResponseWriter, r *http.Request) {
 	doc, _ := s.document()
 	fields := postedFields(r, groupFields(&config.Group{}))
@@ -89,7 +93,8 @@
 
 func memberFieldName(i int, name string) string { return fmt.Sprintf("members[%d].%s", i, name) }
 
-// postedMember returns the fields of a member's row, or nil for an empty one.
+// postedMember returns the fields of row i of the members, or nil if the row is
+// empty.
 func postedMember(r *http.Request, i int) []config.Field {
 	value := func(name string) string { return r.PostForm.Get(memberFieldName(i, name)) }
 	if value("name") == "" && value("address") == "" {
@@ -126,7 +131,8 @@
 	renderPage(w, http.StatusOK, "route", "Route "+route.Name, content)
 }
 
-// defaultRoute returns a route with the defaults that a document gives it.
+// defaultRoute returns a route with the default settings, for the form of a new
+// route. There must be a group that it can refer to.
 func defaultRoute(doc *config.Document) (*config.Route, error) {
 	if len(doc.Groups) == 0 {
 		return nil, errors.New("there is no group yet that a route could lead to")
@@ -164,26 +170,28 @@
 	}
 }
 
+// previewRoute shows the change that the form of a route makes to the document.
 func (s *console) previewRoute(w http.ResponseWriter, r *http.Request) {
 	doc, _ := s.document()
 	fields := postedFields(r, routeFields(&config.Route{}))
 	s.previewEdit(w, r, doc, config.Edit{Route: sectionName(r), Fields: fields})
 }
 
-// sectionName returns the name of the section that a form edits.
+// sectionName returns the name of the section that a form edits, or noSectionName
+// for a new section.
 func sectionName(r *http.Request) string {
 	if name := r.PathValue("name"); name != newSectionPath {
 		return name
 	}
-	// A new section must not replace one that exists: its name may be taken, and
-	// then the document says so.
+	// A new section must not replace an existing one. If its name is already in
+	// use, validation of the document reports that.
 	return noSectionName
 }
 
 // noSectionName is a name that no section can have.
 const noSectionName = " "
 
-// postedFields returns the form's fields as they were entered.
+// postedFields returns the posted values of the known fields.
 func postedFields(r *http.Request, known []formField) []config.Field {
 	_ = r.ParseForm()
 	var out []config.Field
@@ -193,6 +201,8 @@
 	return out
 }
 
+// previewEdit applies an edit to doc and shows the change. A valid document is
+// shown in canonical form, an invalid one with its mistakes.
 func (s *console) previewEdit(w http.ResponseWriter, r *http.Request, doc *config.Document, edit config.Edit) {
 	base, err := strconv.ParseUint(r.PostForm.Get("base"), 10, 64)
 	if err != nil {
@@ -200,8 +210,8 @@
 		return
 	}
 	text := config.EncodeEdited(doc, edit)
-	if clean, err := config.Parse(text); err == nil {
-		text = config.Encode(clean)
+	if parsed, err := config.Parse(text); err == nil {
+		text = config.Encode(parsed)
 	}
 	s.renderPreview(w, base, text)
 }
--- a/io/operator/gateway.go
+++ b/io/operator/gateway.go
@@ -9,7 +9,8 @@
 	"pearlatch/internal/gateway"
 )
 
-// The dump of a gateway host. Ages are in milliseconds, and negative for never.
+// The JSON form of the state of a gateway host. Ages are in milliseconds; a
+// negative age means that there was no sample or reply yet.
 type (
 	gatewayDump struct {
 		Host          string      `json:"host"`
@@ -48,8 +49,9 @@
 	}
 )
 
-// GatewayHandler shows the metrics and the beliefs of a gateway host. refresh is
-// called before the metrics are written.
+// GatewayHandler serves the metrics of a gateway host, in the Prometheus text
+// format, and its state, as JSON. It calls refresh before it writes the metrics.
+// refresh and state are called from several goroutines.
 func GatewayHandler(r metrics.Registry, refresh func(), state func() gateway.HostState) http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /metrics", func(w http.ResponseWriter, _ *http.Request) {
@@ -85,6 +87,7 @@
 	return out
 }
 
+// ageMS returns an age in milliseconds, or -1 if it is negative.
 func ageMS(d time.Duration) int64 {
 	if d < 0 {
 		return -1
--- a/io/operator/prometheus.go
+++ b/io/operator/prometheus.go
@@ -10,14 +10,15 @@
 	"github.com/rcrowley/go-metrics"
 )
 
-// metricPrefix precedes the names of all metrics.
+// metricPrefix is the prefix of all metric names.
 const metricPrefix = "pearlatch_"
 
-// quantiles are those that a histogram is shown with.
+// quantiles are the quantiles written for a histogram.
 var quantiles = []float64{0.5, 0.9, 0.99}
 
-// WritePrometheus writes the metrics of a registry in the text format of Prometheus.
-// Names may carry labels in braces.
+// WritePrometheus writes the counters, gauges and histograms of a registry in the
+// Prometheus text format, sorted by line. The name of a metric may end with labels
+// in braces.
 func WritePrometheus(w io.Writer, r metrics.Registry) error {
 	var lines []string
 	r.Each(func(name string, metric any) {
@@ -47,12 +48,12 @@
 
 func histogramLines(name string, h metrics.Histogram) []string {
 	base, labels, _ := strings.Cut(strings.TrimSuffix(name, "}"), "{")
-	all := ""
+	countLabels := ""
 	if labels != "" {
-		all = "{" + labels + "}"
+		countLabels = "{" + labels + "}"
 		labels += ","
 	}
-	out := []string{fmt.Sprintf("%s%s_count%s %d\n", metricPrefix, base, all, h.Count())}
+	out := []string{fmt.Sprintf("%s%s_count%s %d\n", metricPrefix, base, countLabels, h.Count())}
 	for i, v := range h.Percentiles(quantiles) {
 		out = append(out, fmt.Sprintf("%s%s{%squantile=\"%g\"} %.0f\n", metricPrefix, base, labels, quantiles[i], v))
 	}
--- a/io/operator/server.go
+++ b/io/operator/server.go
@@ -11,37 +11,39 @@
 	"github.com/rcrowley/go-metrics"
 )
 
-// Process is the host as operators see it.
+// Process is the host that a server reports on. Its methods may be called from
+// several goroutines.
 type Process interface {
-	// State returns the dump.
+	// State returns the current state of the host.
 	State() State
-	// Drain begins a graceful shutdown.
+	// Drain starts a graceful shutdown and returns at once.
 	Drain()
 }
 
-// Options says what a server needs.
+// Options configures a Server.
 type Options struct {
 	Process Process
 	Metrics metrics.Registry
-	// Configuration is what the console and the command line change.
+	// Configuration is the configuration that the console and the command line
+	// show and change.
 	Configuration Configuration
-	// Login is who may change anything. Without one, nothing can be changed over
-	// this address.
+	// Login is required by all requests except /state, /metrics and /ready. If it
+	// has no user, those requests are refused.
 	Login Login
 }
 
-// Login is an operator's user and password.
+// Login is the user name and password of operators.
 type Login struct{ User, Password string }
 
-// Server answers operators. Use NewServer.
+// Server serves the operator interface over HTTP. Use NewServer.
 type Server struct {
 	http *http.Server
 }
 
-// headerTimeout bounds how long a client may take to send its headers.
+// headerTimeout is the time limit for a client to send the request headers.
 const headerTimeout = 5 * time.Second
 
-// NewServer returns a server. Serve makes it answer.
+// NewServer returns a server. Call Serve to accept requests.
 func NewServer(o Options) *Server {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /state", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, o.Process.State()) })
@@ -50,19 +52,20 @@
 		metrics.WriteJSONOnce(o.Metrics, w)
 	})
 	mux.HandleFunc("GET /ready", func(w http.ResponseWriter, _ *http.Request) { serveReady(w, o.Process.State()) })
-	inner := http.NewServeMux()
-	inner.HandleFunc("POST /drain", func(w http.ResponseWriter, _ *http.Request) {
+	protected := http.NewServeMux()
+	protected.HandleFunc("POST /drain", func(w http.ResponseWriter, _ *http.Request) {
 		o.Process.Drain()
 		w.WriteHeader(http.StatusAccepted)
 	})
-	registerAPI(inner, o.Configuration)
-	registerConsole(inner, o.Configuration)
-	mux.Handle("/", requireLogin(o.Login, inner))
+	registerAPI(protected, o.Configuration)
+	registerConsole(protected, o.Configuration)
+	mux.Handle("/", requireLogin(o.Login, protected))
 	return &Server{http: &http.Server{Handler: mux, ReadHeaderTimeout: headerTimeout}}
 }
 
-// requireLogin lets only the operator pass, and no request that another site's page
-// makes in the operator's browser.
+// requireLogin passes on only requests with the operator's login. It refuses
+// cross-origin requests that could change something, because a page of another
+// site can make them in the operator's browser.
 func requireLogin(login Login, next http.Handler) http.Handler {
 	next = http.NewCrossOriginProtection().Handler(next)
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -82,7 +85,7 @@
 	})
 }
 
-// Serve answers on l until Close.
+// Serve accepts requests from l until Close is called, and then returns nil.
 func (s *Server) Serve(l net.Listener) error {
 	err := s.http.Serve(l)
 	if errors.Is(err, http.ErrServerClosed) {
@@ -91,10 +94,11 @@
 	return errors.Wrap(err, "serve operators")
 }
 
-// Close ends the server at once.
+// Close stops the server at once, without waiting for open requests.
 func (s *Server) Close() { _ = s.http.Close() }
 
-// serveReady answers the platform's balancer: 200 when callers are welcome.
+// serveReady answers the health check of the platform's load balancer: with 200
+// if the host accepts callers, otherwise with 503 and the reason.
 func serveReady(w http.ResponseWriter, s State) {
 	if s.Ready && !s.Draining {
 		w.WriteHeader(http.StatusOK)
--- a/io/operator/state.go
+++ b/io/operator/state.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// State is the dump of a process. Its JSON form is stable: fields are added,
-// not renamed.
+// State is the state of a host. Its JSON form is stable: fields are added, not
+// renamed.
 type State struct {
 	Host           string         `json:"host"`
 	Zone           string         `json:"availability_zone"`
@@ -21,19 +21,20 @@
 	HeapBytes      uint64         `json:"heap_bytes"`
 }
 
-// ConfigState is the revision in force.
+// ConfigState describes the configuration in force.
 type ConfigState struct {
 	Revision uint64    `json:"revision"`
 	Author   string    `json:"author,omitempty"`
 	Applied  time.Time `json:"applied_at"`
 }
 
-// PlatformState is what is known of the platform's service.
+// PlatformState describes the use of the platform's service. Calls is the number of
+// calls made so far.
 type PlatformState struct {
 	Calls int64 `json:"calls"`
 }
 
-// HostState is what is believed of another host.
+// HostState is what the membership protocol knows of another host.
 type HostState struct {
 	Host        string `json:"host"`
 	Zone        string `json:"availability_zone"`
@@ -43,7 +44,9 @@
 	Incarnation uint64 `json:"incarnation"`
 }
 
-// GroupState is what the owner of a group knows.
+// GroupState is the state of a group as its owner knows it. ConfirmedAgeMS is the
+// time since a majority of the members last confirmed the term, or zero if none
+// did.
 type GroupState struct {
 	Group            string        `json:"group"`
 	Phase            string        `json:"phase"`
@@ -62,7 +65,8 @@
 	Members          []MemberState `json:"members"`
 }
 
-// MemberState is what the owner knows of a member.
+// MemberState is the state of a member as the group's owner knows it. MaxAgeMS
+// bounds the age of its data; it is -1 if unknown.
 type MemberState struct {
 	Member          string `json:"member"`
 	Address         string `json:"address"`
