--- a/io/caller/builder.go
+++ b/io/caller/builder.go
@@ -108,11 +108,11 @@
 		return true, b.addQuery(f)
 	case postgres.TypeSync:
 		b.data = append(b.data, f...)
-		b.unit.Expect = statement.ExpectReady
+		b.unit.ReplyEnd = statement.EndsWithReady
 		return true, nil
 	case postgres.TypeFlush:
 		b.data = append(b.data, f...)
-		b.unit.Expect = statement.ExpectReplies
+		b.unit.ReplyEnd = statement.EndsAfterReplies
 		return b.unit.Replies > 0, nil
 	case postgres.TypeParse:
 		return false, b.addParse(f)
@@ -137,12 +137,12 @@
 	switch f.Type() {
 	case postgres.TypeCopyData:
 		b.data = append(b.data, f...)
-		b.unit.Expect = statement.ExpectNothing
+		b.unit.ReplyEnd = statement.EndsWithoutReply
 		return true, nil
 	case postgres.TypeCopyDone, postgres.TypeCopyFail:
 		b.data = append(b.data, f...)
 		b.copying = false
-		b.unit.Expect = statement.ExpectReady
+		b.unit.ReplyEnd = statement.EndsWithReady
 		// In the extended query protocol, the reply to a COPY ends only after Sync.
 		return !b.extended, nil
 	case postgres.TypeFlush, postgres.TypeSync:
@@ -161,7 +161,7 @@
 	b.extended = false
 	b.applyTraits(statement.Classify(sql))
 	b.data = append(b.data, f...)
-	b.unit.Expect = statement.ExpectReady
+	b.unit.ReplyEnd = statement.EndsWithReady
 	return nil
 }
 
--- a/io/caller/session.go
+++ b/io/caller/session.go
@@ -261,8 +261,8 @@
 	}
 	// In the simple query protocol, a failed COPY ends at once; the caller's
 	// remaining data is discarded.
-	simpleCopy := u.Expect == statement.ExpectNothing && !s.builder.extended
-	if u.Expect == statement.ExpectReady || simpleCopy {
+	simpleCopy := u.ReplyEnd == statement.EndsWithoutReply && !s.builder.extended
+	if u.ReplyEnd == statement.EndsWithReady || simpleCopy {
 		out = postgres.AppendReady(out, s.txStatus)
 	}
 	return s.send(out)
@@ -271,7 +271,7 @@
 // refuseInLostTransaction replies to a unit after the transaction was lost. A
 // unit that ends the transaction is answered with ROLLBACK, others with an error.
 func (s *session) refuseInLostTransaction(u *statement.Unit) error {
-	if u.Expect != statement.ExpectReady {
+	if u.ReplyEnd != statement.EndsWithReady {
 		return nil
 	}
 	var out []byte
--- a/io/operator/forms.go
+++ b/io/operator/forms.go
@@ -87,7 +87,7 @@
 			members = append(members, row)
 		}
 	}
-	fields = append(fields, config.Field{Name: "members", Lists: members})
+	fields = append(fields, config.Field{Name: "members", Sections: members})
 	s.previewEdit(w, r, doc, config.Edit{Group: sectionName(r), Fields: fields})
 }
 
