--- a/io/caller/startup.go
+++ b/io/caller/startup.go
@@ -19,12 +19,12 @@
 // SessionOption is the startup parameter that carries a session key.
 const SessionOption = "pearlatch.session"
 
-// maxSessionKey bounds a session key, in bytes.
-const maxSessionKey = 200
+// maxSessionKeySize is the size limit of a session key, in bytes.
+const maxSessionKeySize = 200
 
-// reported are the parameters that callers are told at startup. Upstream
-// sessions are reset to the same values.
-var reported = []pgproto3.ParameterStatus{
+// reportedParameters are the parameters that callers receive at startup.
+// Upstream sessions are reset to the same values.
+var reportedParameters = []pgproto3.ParameterStatus{
 	{Name: "server_version", Value: "17.0"},
 	{Name: "server_encoding", Value: "UTF8"},
 	{Name: "client_encoding", Value: "UTF8"},
@@ -35,9 +35,9 @@
 	{Name: "standard_conforming_strings", Value: "on"},
 }
 
-// ignored are startup parameters that change nothing that pooled connections
-// share.
-var ignored = map[string]bool{
+// ignoredParameters are startup parameters that have no effect on the state of
+// pooled connections, so any value is accepted.
+var ignoredParameters = map[string]bool{
 	"user": true, "database": true, "application_name": true, "options": true,
 	SessionOption: true, "extra_float_digits": true, "fallback_application_name": true,
 }
@@ -50,16 +50,17 @@
 	return binary.BigEndian.Uint32(b[:])
 }
 
-// refusal is a reason to end a caller's startup.
+// refusal is the error of a startup that the host refuses. It is sent to the
+// caller as a FATAL error with the SQLSTATE code.
 type refusal struct{ code, message string }
 
 func (r *refusal) Error() string { return r.message }
 
-func refuse(code, format string, args ...any) error {
+func newRefusal(code, format string, args ...any) error {
 	return &refusal{code: code, message: fmt.Sprintf(format, args...)}
 }
 
-// serve takes one caller from its first byte to its last.
+// serve runs a caller's connection from startup until it closes.
 func (l *Listener) serve(conn net.Conn) {
 	s, err := l.start(conn)
 	if err != nil {
@@ -75,15 +76,16 @@
 		_ = conn.Close()
 		return
 	}
-	defer l.leave(s)
+	defer l.remove(s)
 	defer s.conn.Close()
 	s.loop()
 }
 
-// start runs startup and authentication. It returns nil after a cancel request.
+// start runs startup and authentication and adds the session to the listener.
+// It returns a nil session after a cancel request.
 func (l *Listener) start(conn net.Conn) (*session, error) {
 	_ = conn.SetDeadline(time.Now().Add(l.options.StartupTimeout))
-	conn, msg, err := l.startupMessage(conn)
+	conn, msg, err := l.receiveStartup(conn)
 	if err != nil || msg == nil {
 		return nil, err
 	}
@@ -93,22 +95,23 @@
 		return nil, err
 	}
 	if !l.admit(s) {
-		if l.stopped() {
-			return nil, refuse(postgres.CodeAdminShutdown, "the host is shutting down")
+		if l.isDraining() {
+			return nil, newRefusal(postgres.CodeAdminShutdown, "the host is shutting down")
 		}
-		return nil, refuse(postgres.CodeTooManyConnections, "route %q has reached its limit of %d callers", s.route.Name, s.route.MaxCallers)
+		return nil, newRefusal(postgres.CodeTooManyConnections, "route %q has reached its limit of %d callers", s.route.Name, s.route.MaxCallers)
 	}
-	if err := greet(backend, s.key); err != nil {
-		l.leave(s)
+	if err := finishStartup(backend, s.cancelKey); err != nil {
+		l.remove(s)
 		return nil, err
 	}
 	_ = conn.SetDeadline(time.Time{})
 	return s, nil
 }
 
-// startupMessage negotiates encryption and reads the startup message. It
-// returns none after a cancel request.
-func (l *Listener) startupMessage(conn net.Conn) (net.Conn, *pgproto3.StartupMessage, error) {
+// receiveStartup negotiates encryption and reads the startup message. It
+// returns the connection to use from then on, and a nil message after a cancel
+// request.
+func (l *Listener) receiveStartup(conn net.Conn) (net.Conn, *pgproto3.StartupMessage, error) {
 	for {
 		msg, err := pgproto3.NewBackend(conn, conn).ReceiveStartupMessage()
 		if err != nil {
@@ -118,10 +121,10 @@
 		case *pgproto3.StartupMessage:
 			return conn, msg, nil
 		case *pgproto3.CancelRequest:
-			l.options.Router.Cancel(keyOf(msg))
+			l.options.Router.Cancel(cancelKeyOf(msg))
 			return conn, nil, nil
 		case *pgproto3.SSLRequest:
-			if conn, err = l.secure(conn); err != nil {
+			if conn, err = l.startTLS(conn); err != nil {
 				return conn, nil, err
 			}
 		default:
@@ -132,7 +135,9 @@
 	}
 }
 
-func (l *Listener) secure(conn net.Conn) (net.Conn, error) {
+// startTLS answers an SSLRequest and returns the connection to use afterwards:
+// a TLS connection, or conn if the listener has no TLS configuration.
+func (l *Listener) startTLS(conn net.Conn) (net.Conn, error) {
 	if l.options.TLS == nil {
 		_, err := conn.Write([]byte{'N'})
 		return conn, err
@@ -143,7 +148,7 @@
 	return tls.Server(conn, l.options.TLS), nil
 }
 
-func keyOf(msg *pgproto3.CancelRequest) statement.CancelKey {
+func cancelKeyOf(msg *pgproto3.CancelRequest) statement.CancelKey {
 	key := statement.CancelKey{Process: msg.ProcessID}
 	if len(msg.SecretKey) == 4 {
 		key.Secret = binary.BigEndian.Uint32(msg.SecretKey)
@@ -153,22 +158,22 @@
 
 func (l *Listener) authenticate(conn net.Conn, backend *pgproto3.Backend, params map[string]string) (*session, error) {
 	if reason := l.options.Routes.Ready(); reason != "" {
-		return nil, refuse(postgres.CodeCannotConnectNow, "the host is not ready: %s", reason)
+		return nil, newRefusal(postgres.CodeCannotConnectNow, "the host is not ready: %s", reason)
 	}
 	name := params["database"]
 	if name == "" {
 		name = params["user"]
 	}
 	route, known := l.options.Routes.Route(name)
-	// The password is asked for before an unknown route is refused, so that
-	// routes cannot be probed without one; the refusal then names the route.
+	// An unknown route is refused only after the password exchange, so that
+	// routes cannot be probed without a password. The refusal names the route.
 	var verifier *postgres.Verifier
 	if known {
 		verifier = l.options.Routes.Verifier(route.Credential, params["user"])
 	}
 	if err := postgres.Authenticate(backend, verifier); err != nil {
-		if errors.Is(err, postgres.ErrPassword) {
-			return nil, refuse(postgres.CodeInvalidPassword, "password authentication failed for user %q on route %q", params["user"], name)
+		if errors.Is(err, postgres.ErrInvalidPassword) {
+			return nil, newRefusal(postgres.CodeInvalidPassword, "password authentication failed for user %q on route %q", params["user"], name)
 		}
 		return nil, err
 	}
@@ -192,29 +197,31 @@
 			key, _, _ = strings.Cut(rest, " ")
 		}
 	}
-	if len(key) > maxSessionKey {
-		return "", refuse(postgres.CodeProtocolViolation, "%s: the key is longer than %d bytes", SessionOption, maxSessionKey)
+	if len(key) > maxSessionKeySize {
+		return "", newRefusal(postgres.CodeProtocolViolation, "%s: the key is longer than %d bytes", SessionOption, maxSessionKeySize)
 	}
 	return key, nil
 }
 
-// checkParameters refuses startup parameters that would need a session of their
-// own on the upstream.
+// checkParameters refuses startup parameters that would need an upstream session
+// of the caller's own.
 func checkParameters(params map[string]string) error {
 	for name, value := range params {
-		if ignored[name] || strings.HasPrefix(name, "_pq_.") {
+		if ignoredParameters[name] || strings.HasPrefix(name, "_pq_.") {
 			continue
 		}
-		if !sameAsReported(name, value) {
-			return refuse(postgres.CodeFeatureNotSupported,
+		if !matchesReported(name, value) {
+			return newRefusal(postgres.CodeFeatureNotSupported,
 				"startup parameter %s=%q is not supported: upstream connections are shared; use SET after connecting", name, value)
 		}
 	}
 	return nil
 }
 
-func sameAsReported(name, value string) bool {
-	for _, p := range reported {
+// matchesReported reports whether value equals the reported value of the
+// parameter. Letter case and hyphens in values are ignored.
+func matchesReported(name, value string) bool {
+	for _, p := range reportedParameters {
 		if strings.EqualFold(p.Name, name) {
 			a := strings.ReplaceAll(strings.ToUpper(p.Value), "-", "")
 			b := strings.ReplaceAll(strings.ToUpper(value), "-", "")
@@ -224,10 +231,12 @@
 	return false
 }
 
-func greet(backend *pgproto3.Backend, key statement.CancelKey) error {
+// finishStartup sends the messages that end startup, from AuthenticationOk to
+// ReadyForQuery.
+func finishStartup(backend *pgproto3.Backend, key statement.CancelKey) error {
 	backend.Send(&pgproto3.AuthenticationOk{})
-	for i := range reported {
-		backend.Send(&reported[i])
+	for i := range reportedParameters {
+		backend.Send(&reportedParameters[i])
 	}
 	secret := binary.BigEndian.AppendUint32(nil, key.Secret)
 	backend.Send(&pgproto3.BackendKeyData{ProcessID: key.Process, SecretKey: secret})
--- a/io/etcd/submit_test.go
+++ b/io/etcd/submit_test.go
@@ -17,12 +17,14 @@
 	"pearlatch/io/etcd"
 )
 
-var nets atomic.Uint32
+// lastNet is the last octet of the address that was last used by a test.
+var lastNet atomic.Uint32
 
-// start runs a platform until the test ends.
-func start(t *testing.T) (*standin.Platform, *etcd.Etcd) {
+// startPlatform starts a platform that runs until the test ends, and returns it
+// with a store that uses it.
+func startPlatform(t *testing.T) (*standin.Platform, *etcd.Etcd) {
 	t.Helper()
-	addr := netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 4, byte(os.Getpid()), byte(nets.Add(1))}), 2379)
+	addr := netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 4, byte(os.Getpid()), byte(lastNet.Add(1))}), 2379)
 	p := standin.NewPlatform(0)
 	if err := p.Start(addr); err != nil {
 		t.Fatal(err)
@@ -38,10 +40,10 @@
 	return ctx
 }
 
-// Two operators fill their forms from the same revision and submit at the same
-// moment. Exactly one is accepted; the other is shown what the first one did.
-func TestOneOfTwoOperatorsIsAccepted(t *testing.T) {
-	_, store := start(t)
+// Of several concurrent submissions on the same base, exactly one is accepted.
+// The others fail with a conflict that holds the accepted revision.
+func TestConcurrentSubmissionsAcceptOne(t *testing.T) {
+	_, store := startPlatform(t)
 	ctx := testContext(t)
 	var wg sync.WaitGroup
 	errs := make([]error, 8)
@@ -71,16 +73,16 @@
 	}
 }
 
-// The store writes every submission and loses most of the answers. The operator
-// is told of an acceptance that did happen, and nothing is submitted twice.
-func TestLostAnswersAreSettled(t *testing.T) {
-	p, store := start(t)
+// The store writes every submission but most of its replies are lost. Submit must
+// still report the acceptance, and no document may be written twice.
+func TestSubmitWithLostReplies(t *testing.T) {
+	p, store := startPlatform(t)
 	ctx := testContext(t)
 	p.SetLoss(0.8)
 	for base := range uint64(20) {
 		r, err := etcd.Submit(ctx, store, base, "operator", []byte{byte(base)})
 		if err != nil || r.Number != base+1 {
-			t.Fatalf("on revision %d: revision %d, %v", base, r.Number, err)
+			t.Fatalf("submission on base %d: revision %d, %v", base, r.Number, err)
 		}
 	}
 	list, err := etcd.History(ctx, store)
@@ -94,17 +96,17 @@
 	}
 }
 
-// An answer is lost after its effect, and another operator builds on the
-// revision before the first one looks. The first submission was accepted and
-// must be called so, although it is no longer in force.
-func TestAcceptedSubmissionIsFoundInHistory(t *testing.T) {
-	p, store := start(t)
+// A reply is lost after the write took effect, and another operator submits on
+// top of that revision. The first submission was accepted and must stay in the
+// history, although it is no longer in force.
+func TestAcceptedSubmissionFoundInHistory(t *testing.T) {
+	p, store := startPlatform(t)
 	ctx := testContext(t)
 	p.SetLoss(1)
 	first, cancel := context.WithTimeout(ctx, 50*time.Millisecond)
 	defer cancel()
 	_, err := etcd.Submit(first, store, 0, "first", []byte("one"))
-	if !errors.Is(err, etcd.ErrUnsettled) && err != nil {
+	if !errors.Is(err, etcd.ErrOutcomeUnknown) && err != nil {
 		t.Fatalf("got %v", err)
 	}
 	p.SetLoss(0)
@@ -117,12 +119,12 @@
 	}
 }
 
-func TestNothingIsAcceptedWhileTheStoreIsDown(t *testing.T) {
-	p, store := start(t)
+func TestSubmitWhileStoreIsDown(t *testing.T) {
+	p, store := startPlatform(t)
 	p.SetDown(true)
 	ctx, cancel := context.WithTimeout(testContext(t), 250*time.Millisecond)
 	defer cancel()
-	if _, err := etcd.Submit(ctx, store, 0, "operator", nil); !errors.Is(err, etcd.ErrUnsettled) {
+	if _, err := etcd.Submit(ctx, store, 0, "operator", nil); !errors.Is(err, etcd.ErrOutcomeUnknown) {
 		t.Fatalf("got %v", err)
 	}
 	p.SetDown(false)
@@ -131,10 +133,10 @@
 	}
 }
 
-// A holder is paused while its lease lapses. When it wakes it must learn that,
-// rather than go on.
-func TestLapsedLeaseIsNoticed(t *testing.T) {
-	p, store := start(t)
+// A lease holder that was paused while its lease expired must get an error from
+// KeepAlive, and the leased key must be gone.
+func TestKeepAliveOfLapsedLease(t *testing.T) {
+	p, store := startPlatform(t)
 	ctx := testContext(t)
 	lease, err := store.Grant(ctx, 10)
 	if err != nil {
@@ -148,15 +150,15 @@
 	}
 	p.LapseLeases()
 	if err := store.KeepAlive(ctx, lease); err == nil {
-		t.Error("a lapsed lease was renewed")
+		t.Error("an expired lease was renewed")
 	}
 	if entry, err := store.Get(ctx, "/leased"); err != nil || entry.Revision != 0 {
-		t.Errorf("the key outlived its lease: %v, %v", entry, err)
+		t.Errorf("the key exists after its lease expired: %v, %v", entry, err)
 	}
 }
 
-func TestWatchStartsAfterARevision(t *testing.T) {
-	p, store := start(t)
+func TestWatchStartsAfterRevision(t *testing.T) {
+	p, store := startPlatform(t)
 	ctx, cancel := context.WithCancel(testContext(t))
 	defer cancel()
 	p.Set("/k", []byte("one"))
@@ -190,7 +192,7 @@
 		t.Fatal(err)
 	}
 	if len(delta) > 1<<10 {
-		t.Errorf("a changed word takes %d bytes", len(delta))
+		t.Errorf("the delta of one added line takes %d bytes", len(delta))
 	}
 	got, err := etcd.DecodeDelta(base, delta)
 	if err != nil || string(got.Text) != string(next.Text) || got.Number != 2 {
--- a/io/operator/api.go
+++ b/io/operator/api.go
@@ -13,28 +13,30 @@
 	"pearlatch/io/etcd"
 )
 
-// Configuration is the configuration as operators change it.
+// Configuration gives operators access to the configuration. Its methods may be
+// called from several goroutines.
 type Configuration interface {
 	// InForce returns the revision in force on this host.
 	InForce() config.Revision
-	// Submit makes a document the next revision. The error is a
-	// yamlmap.Mistakes, a *etcd.Conflict or one that says what failed.
+	// Submit makes a document the next revision if base is in force. The error
+	// is a yamlmap.Mistakes if the document is invalid, a *etcd.Conflict if base
+	// is not in force, or another error if the submission failed.
 	Submit(ctx context.Context, base uint64, author string, text []byte) (config.Revision, error)
 	// History returns the revisions that the store keeps, newest first.
 	History(ctx context.Context) ([]config.Revision, error)
-	// Spread asks all live hosts which revision they have in force.
-	Spread(ctx context.Context) []HostRevision
+	// HostRevisions asks all live hosts which revision they have in force.
+	HostRevisions(ctx context.Context) []HostRevision
 }
 
 // HostRevision is the revision that a host has in force.
 type HostRevision struct {
 	Host     string
 	Revision uint64
-	// Answered is false for a host that did not say.
+	// Answered is false if the host did not answer.
 	Answered bool
 }
 
-// RevisionBody is a revision in the JSON interface.
+// RevisionBody is the JSON form of a revision. The document may be left out.
 type RevisionBody struct {
 	Revision uint64    `json:"revision"`
 	Author   string    `json:"author"`
@@ -42,14 +44,14 @@
 	Document string    `json:"document,omitempty"`
 }
 
-// SubmitBody is a submission in the JSON interface.
+// SubmitBody is the JSON form of a submission.
 type SubmitBody struct {
 	Base     uint64 `json:"base"`
 	Author   string `json:"author"`
 	Document string `json:"document"`
 }
 
-func revisionBody(r config.Revision, document bool) RevisionBody {
+func newRevisionBody(r config.Revision, document bool) RevisionBody {
 	out := RevisionBody{Revision: r.Number, Author: r.Author, At: r.At}
 	if document {
 		out.Document = string(r.Text)
@@ -57,13 +59,14 @@
 	return out
 }
 
-// maxBody bounds what a client may send, in bytes.
-const maxBody = 16 << 20
+// maxBodySize is the size limit of a request body with a document, in bytes.
+const maxBodySize = 16 << 20
 
-// addAPI adds the JSON interface that the command line uses.
-func addAPI(mux *http.ServeMux, c Configuration) {
+// registerAPI registers the handlers of the JSON interface, which the command line
+// uses.
+func registerAPI(mux *http.ServeMux, c Configuration) {
 	mux.HandleFunc("GET /config", func(w http.ResponseWriter, _ *http.Request) {
-		writeJSON(w, revisionBody(c.InForce(), true))
+		writeJSON(w, newRevisionBody(c.InForce(), true))
 	})
 	mux.HandleFunc("GET /config/history", func(w http.ResponseWriter, r *http.Request) {
 		list, err := c.History(r.Context())
@@ -73,27 +76,27 @@
 		}
 		out := make([]RevisionBody, len(list))
 		for i, each := range list {
-			out[i] = revisionBody(each, false)
+			out[i] = newRevisionBody(each, false)
 		}
 		writeJSON(w, out)
 	})
 	mux.HandleFunc("POST /config", func(w http.ResponseWriter, r *http.Request) {
 		var in SubmitBody
-		if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBody)).Decode(&in); err != nil {
+		if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBodySize)).Decode(&in); err != nil {
 			http.Error(w, "the submission is not a JSON object: "+err.Error(), http.StatusBadRequest)
 			return
 		}
 		accepted, err := c.Submit(r.Context(), in.Base, in.Author, []byte(in.Document))
 		if err != nil {
-			http.Error(w, err.Error(), statusOf(err))
+			http.Error(w, err.Error(), submitStatus(err))
 			return
 		}
-		writeJSON(w, revisionBody(accepted, false))
+		writeJSON(w, newRevisionBody(accepted, false))
 	})
 }
 
-// statusOf returns the HTTP status of a failed submission.
-func statusOf(err error) int {
+// submitStatus returns the HTTP status of a failed submission.
+func submitStatus(err error) int {
 	var conflict *etcd.Conflict
 	var mistakes yamlmap.Mistakes
 	switch {
--- a/io/operator/gateway.go
+++ b/io/operator/gateway.go
@@ -9,7 +9,8 @@
 	"pearlatch/internal/gateway"
 )
 
-// The dump of a gateway host. Ages are in milliseconds, and negative for never.
+// The JSON form of the state of a gateway host. Ages are in milliseconds; a
+// negative age means that there was no sample or reply yet.
 type (
 	gatewayDump struct {
 		Host          string      `json:"host"`
@@ -32,24 +33,25 @@
 		Members     []memberDump `json:"members"`
 	}
 	memberDump struct {
-		ID          string `json:"member"`
-		Zone        string `json:"availability_zone"`
-		Leaving     bool   `json:"leaving"`
-		Missing     bool   `json:"missing"`
-		Suspect     bool   `json:"suspect"`
-		Held        string `json:"held"`
-		HeardAgeMS  int64  `json:"heard_age_ms"`
-		Connections int    `json:"connections"`
-		InUse       int    `json:"in_use"`
-		Running     int    `json:"running"`
-		Idle        int    `json:"idle"`
-		Window      int    `json:"window"`
-		LatencyMS   int64  `json:"latency_ms"`
+		ID             string `json:"member"`
+		Zone           string `json:"availability_zone"`
+		Leaving        bool   `json:"leaving"`
+		Missing        bool   `json:"missing"`
+		Suspect        bool   `json:"suspect"`
+		Applied        string `json:"held"`
+		LastReplyAgeMS int64  `json:"heard_age_ms"`
+		Connections    int    `json:"connections"`
+		InUse          int    `json:"in_use"`
+		Running        int    `json:"running"`
+		Idle           int    `json:"idle"`
+		Window         int    `json:"window"`
+		LatencyMS      int64  `json:"latency_ms"`
 	}
 )
 
-// GatewayHandler shows the metrics and the beliefs of a gateway host. refresh is
-// called before the metrics are written.
+// GatewayHandler serves the metrics of a gateway host, in the Prometheus text
+// format, and its state, as JSON. It calls refresh before it writes the metrics.
+// refresh and state are called from several goroutines.
 func GatewayHandler(r metrics.Registry, refresh func(), state func() gateway.HostState) http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /metrics", func(w http.ResponseWriter, _ *http.Request) {
@@ -59,11 +61,11 @@
 			http.Error(w, err.Error(), http.StatusInternalServerError)
 		}
 	})
-	mux.HandleFunc("GET /state", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, dumpGateway(state())) })
+	mux.HandleFunc("GET /state", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, newGatewayDump(state())) })
 	return mux
 }
 
-func dumpGateway(s gateway.HostState) gatewayDump {
+func newGatewayDump(s gateway.HostState) gatewayDump {
 	out := gatewayDump{
 		Host: s.Host, Zone: s.Zone, Ready: s.Ready, Stopping: s.Stopping, Sessions: s.Sessions,
 		ConfigVersion: s.ConfigVersion, StoreRevision: s.StoreRevision.Number(), StoreEpoch: int64(s.StoreRevision.Epoch()),
@@ -76,7 +78,7 @@
 		for _, m := range g.Members {
 			d.Members = append(d.Members, memberDump{
 				ID: m.ID, Zone: m.Zone, Leaving: m.Leaving, Missing: m.Missing, Suspect: m.Suspect,
-				Held: m.Applied.String(), HeardAgeMS: ageMS(m.LastReplyAge), Connections: m.Connections, InUse: m.InUse,
+				Applied: m.Applied.String(), LastReplyAgeMS: ageMS(m.LastReplyAge), Connections: m.Connections, InUse: m.InUse,
 				Running: m.Running, Idle: m.Idle, Window: m.Window, LatencyMS: m.Latency.Milliseconds(),
 			})
 		}
@@ -85,6 +87,7 @@
 	return out
 }
 
+// ageMS returns an age in milliseconds, or -1 if it is negative.
 func ageMS(d time.Duration) int64 {
 	if d < 0 {
 		return -1
--- a/io/peer/server.go
+++ b/io/peer/server.go
@@ -40,7 +40,7 @@
 
 // maxMessageSize bounds a message of the inner protocol, in bytes. Since a unit is sent as one message, the bound is somewhat
 // above the size of the largest message of a caller.
-const maxMessageSize = postgres.MaxFrame + 1<<20
+const maxMessageSize = postgres.MaxFrameSize + 1<<20
 
 // streamOptions returns the drpc options for both sides of a connection.
 func streamOptions() drpcmanager.Options {
--- a/io/postgres/sqlstate.go
+++ b/io/postgres/sqlstate.go
@@ -2,32 +2,32 @@
 
 import "github.com/jackc/pgx/v5/pgproto3"
 
-// SQLSTATE codes that pearlatch sends or acts on, from PostgreSQL's
-// documentation, appendix "PostgreSQL Error Codes".
+// SQLSTATE codes that pearlatch sends or handles, as defined in the appendix
+// "PostgreSQL Error Codes" of the PostgreSQL documentation.
 const (
-	CodeConnectionFailure   = "08006"
-	CodeRejected            = "08004"
-	CodeTransactionUnknown  = "08007"
-	CodeProtocolViolation   = "08P01"
-	CodeReadOnly            = "25006"
-	CodeIdleInTransaction   = "25P03"
-	CodeInvalidPassword     = "28P01"
-	CodeUniqueViolation     = "23505"
-	CodeInvalidCatalog      = "3D000"
-	CodeTooManyConnections  = "53300"
-	CodeConfigurationLimit  = "53400"
-	CodeNotAvailable        = "55000"
-	CodeQueryCanceled       = "57014"
-	CodeAdminShutdown       = "57P01"
-	CodeCannotConnectNow    = "57P03"
-	CodeSystemError         = "58000"
-	CodeFeatureNotSupported = "0A000"
-	CodeUndefinedObject     = "42704"
-	CodeSyntaxError         = "42601"
-	CodeInFailedTransaction = "25P02"
+	CodeConnectionFailure      = "08006"
+	CodeConnectionRejected     = "08004"
+	CodeTransactionUnknown     = "08007"
+	CodeProtocolViolation      = "08P01"
+	CodeReadOnly               = "25006"
+	CodeIdleInTransaction      = "25P03"
+	CodeInvalidPassword        = "28P01"
+	CodeUniqueViolation        = "23505"
+	CodeInvalidCatalog         = "3D000"
+	CodeTooManyConnections     = "53300"
+	CodeConfigurationLimit     = "53400"
+	CodeNotInPrerequisiteState = "55000"
+	CodeQueryCanceled          = "57014"
+	CodeAdminShutdown          = "57P01"
+	CodeCannotConnectNow       = "57P03"
+	CodeSystemError            = "58000"
+	CodeFeatureNotSupported    = "0A000"
+	CodeUndefinedObject        = "42704"
+	CodeSyntaxError            = "42601"
+	CodeInFailedTransaction    = "25P02"
 )
 
-// NotRun reports whether a member that refuses a statement with the given code
+// NotRun reports whether a member that answers a statement with the given code
 // has certainly not run it.
 func NotRun(code string) bool {
 	switch code {
@@ -58,7 +58,7 @@
 	}
 	out, err := m.Encode(buf)
 	if err != nil {
-		// Only a message over 1 GB fails to encode, and ours are short.
+		// Encode fails only for messages over 1 GB, and these are short.
 		return buf
 	}
 	return out
