--- a/cmd/pearlatch-lab/bench.go
+++ b/cmd/pearlatch-lab/bench.go
@@ -11,12 +11,13 @@
 	"pearlatch/internal/lab"
 )
 
-// outputOptions is where a bench's result goes.
+// outputOptions says where a command writes its result and the logs of the hosts.
 type outputOptions struct {
 	JSON    string `long:"json" description:"file for the result, as one JSON object"`
 	Verbose bool   `long:"verbose" description:"write the hosts' logs to standard error"`
 }
 
+// logger returns the logger of the hosts.
 func (o outputOptions) logger() log.Logger {
 	if !o.Verbose {
 		return log.NewNopLogger()
@@ -24,6 +25,7 @@
 	return log.With(log.NewJSONLogger(log.NewSyncWriter(os.Stderr)), "ts", log.DefaultTimestampUTC)
 }
 
+// writeResult writes v to the result file, if one is named.
 func (o outputOptions) writeResult(v any) error {
 	if o.JSON == "" {
 		return nil
@@ -31,7 +33,7 @@
 	return lab.WriteJSON(o.JSON, v)
 }
 
-// benchCommand groups the benches.
+// benchCommand groups the benchmarks.
 type benchCommand struct {
 	Slopes     slopesCommand      `command:"slopes" description:"What the capacity table is worked out from"`
 	Config     configBenchCommand `command:"config" description:"How long an accepted document takes to be in force everywhere"`
@@ -42,7 +44,8 @@
 	Failover   failoverCommand    `command:"failover" description:"Gap of a failover as callers see it, against a baseline"`
 }
 
-// configBenchCommand measures the spread of configurations.
+// configBenchCommand measures how long a document takes to be in force on every
+// host.
 type configBenchCommand struct {
 	outputOptions
 	Fleets  []int  `long:"fleet" default:"8" default:"128" description:"number of hosts"`
@@ -62,7 +65,7 @@
 	return c.writeResult(res)
 }
 
-// overloadCommand measures overload.
+// overloadCommand measures the goodput under overload.
 type overloadCommand struct {
 	outputOptions
 	Duration time.Duration `long:"duration" default:"8s" description:"how long each load is measured"`
@@ -78,7 +81,7 @@
 	return c.writeResult(res)
 }
 
-// membershipCommand measures membership.
+// membershipCommand measures what membership costs a host, by the number of hosts.
 type membershipCommand struct {
 	outputOptions
 	Fleets   []int         `long:"fleet" default:"8" default:"32" default:"128" default:"512" description:"number of hosts"`
@@ -97,7 +100,8 @@
 	return c.writeResult(res)
 }
 
-// overheadCommand measures overhead.
+// overheadCommand measures what the proxy adds to a statement, and what an idle
+// caller costs.
 type overheadCommand struct {
 	outputOptions
 	Duration time.Duration `long:"duration" default:"5s" description:"how long each path is measured"`
@@ -122,7 +126,8 @@
 	return c.writeResult(res)
 }
 
-// startProfile starts a CPU startProfile, if a file is named, and returns what ends it.
+// startProfile starts a CPU profile if path is not empty. The returned function
+// ends it.
 func startProfile(path string) (stop func(), err error) {
 	if path == "" {
 		return func() {}, nil
@@ -141,7 +146,7 @@
 	}, nil
 }
 
-// readsCommand measures reads.
+// readsCommand measures the share of reads that replicas serve.
 type readsCommand struct {
 	outputOptions
 	Duration time.Duration `long:"duration" default:"20s" description:"how long each variant is measured"`
@@ -161,7 +166,7 @@
 	return c.writeResult(res)
 }
 
-// failoverCommand measures failovers.
+// failoverCommand measures how long failovers interrupt callers.
 type failoverCommand struct {
 	outputOptions
 	Only    string `long:"only" description:"the one fault to measure: crash, partition, planned or owner_loss"`
--- a/cmd/pearlatch-lab/capacity.go
+++ b/cmd/pearlatch-lab/capacity.go
@@ -11,7 +11,7 @@
 	"pearlatch/internal/lab"
 )
 
-// slopesCommand measures slopes.
+// slopesCommand measures the slopes from which the capacity table is computed.
 type slopesCommand struct{ outputOptions }
 
 // Execute implements flags.Commander.
@@ -23,7 +23,7 @@
 	return c.writeResult(slopes)
 }
 
-// capacityCommand works the capacity table out.
+// capacityCommand computes the capacity table from measured slopes.
 type capacityCommand struct {
 	Args struct {
 		File string `positional-arg-name:"FILE" required:"true" description:"result of bench slopes --json"`
--- a/cmd/pearlatch-lab/demo.go
+++ b/cmd/pearlatch-lab/demo.go
@@ -10,7 +10,7 @@
 	"pearlatch/internal/lab"
 )
 
-// demoCommand runs the demo.
+// demoCommand runs a site, kills a primary and reports what callers saw.
 type demoCommand struct {
 	outputOptions
 	Duration time.Duration `long:"duration" default:"10s" description:"how long the load runs"`
--- a/cmd/pearlatch-lab/main.go
+++ b/cmd/pearlatch-lab/main.go
@@ -1,5 +1,5 @@
-// Command pearlatch-lab runs pearlatch hosts and stand-ins for the systems
-// around them in one process: to try, to measure, and to cause faults.
+// Command pearlatch-lab runs pearlatch hosts together with stand-ins for the systems
+// around them, for demonstrations, benchmarks and fault injection.
 package main
 
 import (
@@ -12,8 +12,8 @@
 
 // Exit codes.
 const (
-	exitFailed = 1 // the run failed, or an invariant broke
-	exitUsage  = 2 // the command line is wrong
+	exitFailed = 1 // the run failed, or an invariant was violated
+	exitUsage  = 2 // the command line is invalid
 )
 
 func main() {
@@ -41,7 +41,8 @@
 	}
 }
 
-// addCommand adds a command. The parser refuses only a name that is used twice.
+// addCommand adds a command to p. AddCommand fails only for a duplicate name, which
+// is a programming error.
 func addCommand(p *flags.Parser, name, short string, command any) {
 	if _, err := p.AddCommand(name, short, short+".", command); err != nil {
 		panic(err)
--- a/cmd/pearlatch-lab/soak.go
+++ b/cmd/pearlatch-lab/soak.go
@@ -17,7 +17,7 @@
 	"pearlatch/platform"
 )
 
-// hostCommand runs a host as a process of its own, for the soak.
+// hostCommand runs a host as a separate process, for the soak.
 type hostCommand struct {
 	Settings string `long:"settings" env:"PEARLATCH_SETTINGS" required:"true" description:"settings file (YAML)"`
 }
@@ -31,12 +31,13 @@
 	return process.Run(s, c.Settings, os.Stdout)
 }
 
-// siteOptions say which site to run.
+// siteOptions selects the site to run.
 type siteOptions struct {
 	File string `long:"file" description:"site file (YAML); without it a small site"`
 }
 
-// loadPlan returns the site to run, with this program to run its hosts.
+// loadPlan returns the plan of the site, whose hosts run as processes of this
+// program.
 func (o siteOptions) loadPlan() (*soak.Plan, error) {
 	p := &soak.Plan{Options: soak.DefaultOptions(), Seed: 1}
 	if o.File != "" {
@@ -50,7 +51,7 @@
 	return p, errors.Wrap(err, "find this program")
 }
 
-// siteCommand runs a site until it is interrupted.
+// siteCommand runs a site with hosts as processes until it is interrupted.
 type siteCommand struct{ siteOptions }
 
 // Execute implements flags.Commander.
@@ -80,7 +81,8 @@
 	return err
 }
 
-// soakCommand plays faults against hosts that run as processes.
+// soakCommand injects faults into sites whose hosts run as processes, and checks
+// the guarantees to callers.
 type soakCommand struct {
 	siteOptions
 	Seeds  int           `long:"seeds" default:"10" description:"how many seeds to play; with faults in the file, how often to play these"`
@@ -121,7 +123,8 @@
 	return ctx.Err()
 }
 
-// runSeed plays one seed, and keeps its logs if it breaks a promise.
+// runSeed runs the schedule of one seed and reports whether it had no findings. It
+// keeps the logs only if there are findings.
 func (c *soakCommand) runSeed(ctx context.Context, o soak.Options, seed uint64, faults []soak.Fault) (ok bool, err error) {
 	o.Folder = filepath.Join(c.Folder, fmt.Sprint("seed-", seed))
 	r, err := runSchedule(ctx, o, seed, faults)
@@ -143,6 +146,8 @@
 	return false, nil
 }
 
+// shrink drops faults from a failing schedule for as long as it still fails, and
+// prints what is left as a plan.
 func (c *soakCommand) shrink(ctx context.Context, o soak.Options, seed uint64, faults []soak.Fault) {
 	o.Folder += "-shrunk"
 	left := soak.Shrink(faults, func(faults []soak.Fault) bool {
@@ -152,7 +157,8 @@
 	fmt.Printf("  shrunk to %d faults:\n%s", len(left), (&soak.Plan{Options: o, Seed: seed, Faults: left}).Format())
 }
 
-// runSchedule plays a schedule in a fresh folder, and leaves a report there.
+// runSchedule runs a schedule in a new folder, o.Folder, which replaces an earlier
+// one, and saves the report there.
 func runSchedule(ctx context.Context, o soak.Options, seed uint64, faults []soak.Fault) (*soak.Report, error) {
 	if err := os.RemoveAll(o.Folder); err != nil {
 		return nil, errors.Wrap(err, "drop earlier logs")
--- a/cmd/pearlatch-lab/up.go
+++ b/cmd/pearlatch-lab/up.go
@@ -9,7 +9,7 @@
 	"pearlatch/internal/lab"
 )
 
-// upCommand runs a site until it is interrupted.
+// upCommand runs a site, with faults on request, until it is interrupted.
 type upCommand struct {
 	outputOptions
 }
--- a/cmd/pearlatch/check.go
+++ b/cmd/pearlatch/check.go
@@ -12,7 +12,7 @@
 	"pearlatch/platform"
 )
 
-// checkCommand checks a file.
+// checkCommand checks a settings file or a configuration document.
 type checkCommand struct {
 	Args struct {
 		File string `positional-arg-name:"FILE" required:"true"`
@@ -43,13 +43,15 @@
 	return nil
 }
 
-// isGatewaySettings tells a gateway's settings, which name a promotion service.
+// isGatewaySettings reports whether text holds the settings of a gateway, which
+// name a promotion service.
 func isGatewaySettings(text []byte) bool {
 	var ignored yamlmap.Mistakes
 	return yamlmap.Parse(text, &ignored).Has("promotions")
 }
 
-// isHostSettings tells settings from a configuration document, which has a version.
+// isHostSettings reports whether text holds the settings of a host rather than a
+// configuration document, which has a version.
 func isHostSettings(text []byte) bool {
 	var ignored yamlmap.Mistakes
 	m := yamlmap.Parse(text, &ignored)
--- a/cmd/pearlatch/config.go
+++ b/cmd/pearlatch/config.go
@@ -19,18 +19,19 @@
 	"pearlatch/io/operator"
 )
 
-// loginOptions is how commands that change something identify themselves.
+// loginOptions holds the options with which a command authenticates to a host.
 type loginOptions struct {
 	User         string `long:"user" env:"PEARLATCH_OPERATOR" description:"operator's user"`
 	PasswordFile string `long:"password-file" env:"PEARLATCH_PASSWORD_FILE" description:"file with the operator's password"`
 	tlsOptions
 }
 
-// tlsOptions says how commands reach a host's operator address.
+// tlsOptions holds the TLS options of a connection to a host's operator address.
 type tlsOptions struct {
 	Authority string `long:"authority" env:"PEARLATCH_AUTHORITY" description:"PEM file with the authority of the host's certificate; plain HTTP without it"`
 }
 
+// tlsConfig returns the TLS configuration of the connection, or nil for plain HTTP.
 func (s tlsOptions) tlsConfig() (*tls.Config, error) {
 	if s.Authority == "" {
 		return nil, nil
@@ -46,6 +47,7 @@
 	return &tls.Config{RootCAs: pool, MinVersion: tls.VersionTLS12}, nil
 }
 
+// client returns a client of the host with the given operator address.
 func (l loginOptions) client(addr string) (operator.Client, error) {
 	secured, err := l.tlsConfig()
 	if err != nil {
@@ -62,11 +64,11 @@
 	return out, nil
 }
 
-// addConfigCommands adds the command config with its subcommands.
+// addConfigCommands adds the command config and its subcommands to p.
 func addConfigCommands(p *flags.Parser) {
 	c, err := p.AddCommand("config", "Read and change the configuration", "Reads and changes the configuration by way of a running host.", &struct{}{})
 	if err != nil {
-		panic(err) // only a name used twice
+		panic(err) // a duplicate name
 	}
 	for _, each := range []struct {
 		name, short, long string
@@ -100,6 +102,7 @@
 	return nil
 }
 
+// currentRevision returns the revision in force on a host.
 func (l loginOptions) currentRevision(addr string) (operator.RevisionBody, error) {
 	client, err := l.client(addr)
 	if err != nil {
@@ -108,13 +111,13 @@
 	return client.Get(context.Background())
 }
 
-// fileArgs are a host and a document.
+// fileArgs holds the operator address of a host and the path of a document.
 type fileArgs struct {
 	Addr string `positional-arg-name:"HOST:PORT" required:"true"`
 	File string `positional-arg-name:"FILE" required:"true"`
 }
 
-// diffCommand compares a document with the one in force.
+// diffCommand prints the difference between a document and the one in force.
 type diffCommand struct {
 	loginOptions
 	Args fileArgs `positional-args:"true"`
@@ -145,7 +148,7 @@
 	return &exitError{exitFailed, errors.New("the documents differ")}
 }
 
-// submitCommand submits a document.
+// submitCommand submits a document as the next revision.
 type submitCommand struct {
 	loginOptions
 	Base   uint64   `long:"base" required:"true" description:"revision that the document is based on, as printed by get"`
@@ -180,7 +183,7 @@
 	return nil
 }
 
-// historyCommand lists revisions.
+// historyCommand lists the revisions in the store, newest first.
 type historyCommand struct {
 	loginOptions
 	Args addrArgs `positional-args:"true"`
--- a/cmd/pearlatch/gateway.go
+++ b/cmd/pearlatch/gateway.go
@@ -7,7 +7,8 @@
 	"pearlatch/platform"
 )
 
-// gatewayCommand runs a host on the users' platform.
+// gatewayCommand runs a host on the users' platform, whose members acknowledge
+// writes themselves.
 type gatewayCommand struct {
 	Settings string `long:"settings" env:"PEARLATCH_SETTINGS" required:"true" description:"settings file (YAML)"`
 }
--- a/cmd/pearlatch/main.go
+++ b/cmd/pearlatch/main.go
@@ -9,15 +9,14 @@
 	"github.com/jessevdk/go-flags"
 )
 
-// Exit codes. They are part of the command line's contract.
+// Exit codes. They are part of the command-line interface.
 const (
 	exitFailed   = 1 // the command failed
-	exitUsage    = 2 // the command line, settings or a document is wrong
+	exitUsage    = 2 // the command line, settings or a document is invalid
 	exitConflict = 3 // the configuration has changed meanwhile
-
 )
 
-// exitError is an error with an exit code of its own.
+// exitError is an error that sets the exit code.
 type exitError struct {
 	code int
 	err  error
@@ -42,7 +41,7 @@
 	os.Exit(reportError(err))
 }
 
-// reportError prints an error where it belongs and returns the exit code.
+// reportError prints err, or a requested help text, and returns the exit code.
 func reportError(err error) int {
 	var flagsErr *flags.Error
 	var exit *exitError
@@ -63,7 +62,8 @@
 	return exitFailed
 }
 
-// addCommand adds a command. The parser refuses only a name that is used twice.
+// addCommand adds a command to p. AddCommand fails only for a duplicate name, which
+// is a programming error.
 func addCommand(p *flags.Parser, name, short, long string, command any) {
 	if _, err := p.AddCommand(name, short, long, command); err != nil {
 		panic(err)
--- a/cmd/pearlatch/remote.go
+++ b/cmd/pearlatch/remote.go
@@ -15,12 +15,12 @@
 	"pearlatch/io/peer"
 )
 
-// addrArgs is the operator address of a running host.
+// addrArgs holds the operator address of a running host.
 type addrArgs struct {
 	Addr string `positional-arg-name:"HOST:PORT" required:"true"`
 }
 
-// dumpCommand prints a host's state.
+// dumpCommand prints the state of a host as JSON.
 type dumpCommand struct {
 	tlsOptions
 	Args addrArgs `positional-args:"true"`
@@ -45,7 +45,7 @@
 	return err
 }
 
-// drainCommand drains a host.
+// drainCommand requests a graceful shutdown of a host.
 type drainCommand struct {
 	loginOptions
 	Args addrArgs `positional-args:"true"`
@@ -60,7 +60,8 @@
 	return client.Drain(context.Background())
 }
 
-// versionCommand prints versions.
+// versionCommand prints the versions of the program, the protocol between hosts
+// and the configuration schema.
 type versionCommand struct{}
 
 // Execute implements flags.Commander.
--- a/cmd/pearlatch/serve.go
+++ b/cmd/pearlatch/serve.go
@@ -13,7 +13,7 @@
 	"pearlatch/internal/host"
 )
 
-// serveCommand runs a host.
+// serveCommand runs a host until a signal or an operator requests its shutdown.
 type serveCommand struct {
 	Settings string `long:"settings" required:"true" description:"settings file (YAML)"`
 	Debug    bool   `long:"debug" description:"log more"`
--- a/internal/host/configure.go
+++ b/internal/host/configure.go
@@ -15,52 +15,58 @@
 )
 
 const (
-	// maxStoreReaders is how many hosts watch the platform. The others learn from peers.
+	// maxStoreReaders is how many hosts watch the platform's store. The others
+	// learn of changes from other hosts.
 	maxStoreReaders = 2
-	// storeReadersKey is the name under which hosts are ranked for that.
+	// storeReadersKey is the key by which hosts are ranked to choose the store
+	// readers.
 	storeReadersKey = "/readers"
-	// hostListInterval is how often a reader fetches the platform's host list.
+	// hostListInterval is how often a store reader fetches the platform's host list.
 	hostListInterval = time.Second
-	// configCheckInterval is how often every other host looks at the revision of the
-	// configuration itself, in case the readers are cut off from the platform.
+	// configCheckInterval is how often every other host checks the store's
+	// revision of the configuration, in case the store readers are cut off from
+	// the platform.
 	configCheckInterval = 10 * time.Second
-	// pushFanout is how many hosts a host tells of a new revision at once.
+	// pushFanout is how many hosts a host probes at once to spread a new revision
+	// or a membership change.
 	pushFanout = 3
-	// maxDeltaBases is how many earlier revisions a host keeps to make deltas from.
+	// maxDeltaBases is how many earlier revisions a host keeps to encode deltas
+	// against.
 	maxDeltaBases = 4
 	// storeRetryInterval is how often a host without a configuration, or without
 	// peers, asks the platform itself.
 	storeRetryInterval = 500 * time.Millisecond
-	// pullTimeout bounds a call for the configuration.
+	// pullTimeout bounds a call to another host for the configuration.
 	pullTimeout = 2 * time.Second
 )
 
-// configuration holds the newest revision that was received, and the one in
-// force. The zero value has none.
+// configuration holds the newest revision received and the one in force. The
+// zero value has neither. It may be used from several goroutines.
 type configuration struct {
 	mu sync.Mutex
-	// newest is what is passed on. Its number only rises, and is never below
-	// that of the revision in force.
+	// newest is the revision sent to other hosts. Its number only rises and is
+	// never below the number of the revision in force.
 	newest config.Revision
-	// current is in force, with its document. Its number only rises.
+	// current is the revision in force and doc its document. Its number only
+	// rises.
 	current   config.Revision
 	doc       *config.Document
 	appliedAt time.Time
 	pulling   bool
-	// earlier holds revisions that were received before, newest first.
+	// earlier holds the revisions received before newest, newest first.
 	earlier []config.Revision
-	// deltas holds encoded deltas to the newest revision, by their base.
+	// deltas holds encoded deltas to newest by the number of their base.
 	deltas map[uint64][]byte
 }
 
-// newestRevision returns the newest revision that was received.
+// newestRevision returns the newest revision received.
 func (c *configuration) newestRevision() config.Revision {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.newest
 }
 
-// newestNumber returns the number of the newest revision that was newestNumber.
+// newestNumber returns the number of the newest revision received.
 func (c *configuration) newestNumber() uint64 { return c.newestRevision().Number }
 
 // inForce returns the revision in force.
@@ -78,8 +84,8 @@
 
 func (c *configuration) inForceNumber() uint64 { return c.inForce().Number }
 
-// receive keeps a revision if it is newer than all before, and reports whether
-// it is.
+// receive stores r if it is newer than every revision received before, and
+// reports whether it is.
 func (c *configuration) receive(r config.Revision) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -93,7 +99,8 @@
 	return true
 }
 
-// apply puts a revision in force if it is higher than the present one.
+// apply puts r in force if its number is higher than the current one, and
+// reports whether it did. The error says that the document is invalid.
 func (c *configuration) apply(r config.Revision) (bool, error) {
 	if r.Number <= c.inForceNumber() {
 		return false, nil
@@ -111,7 +118,8 @@
 	return true, nil
 }
 
-// pullResponse returns what a host that has the given revision lacks.
+// pullResponse returns what a host needs that has revision have. It is empty if
+// the host needs nothing.
 func (c *configuration) pullResponse(have uint64) *peer.Pulled {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -125,8 +133,9 @@
 	return &peer.Pulled{Revision: c.newest.Number, Base: base, Delta: delta}
 }
 
-// delta returns the difference to the revision that a host has, or the whole
-// document with base zero when that revision is not kept. c.mu is held.
+// delta returns the encoded difference between revision have and the newest one,
+// or the whole document with base zero if revision have is not kept. c.mu must be
+// held.
 func (c *configuration) delta(have uint64) (base uint64, delta []byte, err error) {
 	if kept, ok := c.deltas[have]; ok {
 		return have, kept, nil
@@ -142,9 +151,10 @@
 	return 0, delta, err
 }
 
-// adoptRevision passes a revision on, puts it in force, and tells the owners. It is passed
-// on first: it was checked when it was accepted, and to parse a document of a
-// megabyte at every step would adoptRevision most of the time that it needs to spread.
+// adoptRevision sends a revision to other hosts, puts it in force and updates the
+// owners. It sends the revision before parsing it: the document was checked when
+// it was accepted, and parsing a megabyte at every hop would take most of the time
+// that a revision needs to spread.
 func (h *Host) adoptRevision(r config.Revision, from string) {
 	if h.conf.receive(r) {
 		for _, other := range h.randomNeighbours(pushFanout) {
@@ -162,7 +172,8 @@
 	}
 }
 
-// configureLoop keeps the configuration and the host list fresh.
+// configureLoop keeps the configuration and the host list up to date until ctx
+// ends.
 func (h *Host) configureLoop(ctx context.Context) {
 	checked := time.Now()
 	for ctx.Err() == nil {
@@ -190,8 +201,8 @@
 	}
 }
 
-// checkConfig fetches the configuration if the store has another one than it had
-// when this host last looked.
+// checkConfig fetches the configuration if its revision in the store has changed
+// since the last check.
 func (h *Host) checkConfig(ctx context.Context) {
 	revision, err := h.store.Revision(ctx, etcd.ConfigKey)
 	if err != nil || revision == h.lastStoreRevision.Swap(revision) {
@@ -200,8 +211,8 @@
 	h.fetchConfig(ctx)
 }
 
-// probeSeeds probes the hosts that the settings name. Their answers tell of all
-// others and of the configuration in force.
+// probeSeeds probes the seeds of the settings until one answers. The answer lists
+// the other hosts and the revision in force.
 func (h *Host) probeSeeds(ctx context.Context) {
 	for _, seed := range h.settings.Seeds {
 		if seed == h.settings.Peers {
@@ -224,7 +235,8 @@
 	}
 }
 
-// isStoreReader reports whether this host is one of those that watch the platform.
+// isStoreReader reports whether this host is one of the hosts that watch the
+// platform's store.
 func (h *Host) isStoreReader() bool {
 	if h.allStoreReaders {
 		return true
@@ -263,14 +275,16 @@
 	h.syncEntry(ctx, entry)
 }
 
-// syncEntry takes an entry over, or writes back what the store has lost of it.
+// syncEntry adopts the revision of a store entry, or writes the newest one back if
+// the store holds an older one.
 func (h *Host) syncEntry(ctx context.Context, entry etcd.Entry) {
 	if stored, ok := h.adoptEntry(entry); ok {
 		h.writeBack(ctx, entry, stored)
 	}
 }
 
-// adoptEntry takes over the revision that an entry holds. It returns false if there is none that can be read.
+// adoptEntry adopts the revision of a store entry. It returns false if the entry
+// holds no readable revision.
 func (h *Host) adoptEntry(entry etcd.Entry) (config.Revision, bool) {
 	if entry.Revision == 0 {
 		return config.Revision{}, false
@@ -284,8 +298,9 @@
 	return r, true
 }
 
-// writeBack writes the newest revision that was received into the store, if that holds an older one: it has come back
-// from a copy, and would refuse whatever operators submit on top of what is in force.
+// writeBack writes the newest revision received into the store if the store holds
+// an older one. Such a store was restored from a backup, and would refuse
+// documents that operators submit on top of the revision in force.
 func (h *Host) writeBack(ctx context.Context, entry etcd.Entry, stored config.Revision) {
 	newest := h.conf.newestRevision()
 	if stored.Number >= newest.Number {
@@ -295,7 +310,7 @@
 	_ = level.Warn(h.logger).Log("step", "write_configuration_back", "peer", "platform", "stored", stored.Number, "revision", newest.Number, "err", err)
 }
 
-// watchConfig watches the configuration for a while.
+// watchConfig watches the configuration in the store for the given time.
 func (h *Host) watchConfig(ctx context.Context, wait time.Duration) {
 	ctx, cancel := context.WithTimeout(ctx, wait)
 	defer cancel()
@@ -309,7 +324,8 @@
 	}
 }
 
-// startPull asks a host for its configuration, in the background.
+// startPull requests the configuration of another host in the background, unless
+// such a request is running.
 func (h *Host) startPull(other membership.Host) {
 	h.conf.mu.Lock()
 	running := h.conf.pulling
@@ -341,6 +357,8 @@
 	h.adoptRevision(r, other.ID)
 }
 
+// decodePulled decodes a pulled revision. A delta must be based on the newest
+// revision received.
 func (h *Host) decodePulled(got *peer.Pulled) (config.Revision, error) {
 	if got.Base == 0 {
 		return etcd.DecodeRevision(got.Delta)
--- a/internal/host/doc.go
+++ b/internal/host/doc.go
@@ -1,3 +1,3 @@
-// Package host puts a pearlatch host together out of its roles: entry, owner,
-// reader and console.
+// Package host runs a pearlatch host: it serves callers, owns groups, reads the
+// configuration from the platform's store and answers operators.
 package host
--- a/internal/host/host.go
+++ b/internal/host/host.go
@@ -25,25 +25,27 @@
 	"pearlatch/io/upstream"
 )
 
-// Options are what a host needs besides its settings.
+// Options configure Start.
 type Options struct {
 	Settings Settings
 	Logger   log.Logger
-	// ListenPeers opens the listener for other hosts. Nil stands for net.Listen
-	// over TCP.
+	// ListenPeers opens the listener for other hosts. If nil, net.Listen over TCP
+	// is used.
 	ListenPeers func(netip.AddrPort) (net.Listener, error)
-	// Membership is the timing of probes between hosts. The zero value stands
-	// for the default.
+	// Membership is the timing of probes between hosts. The zero value means
+	// membership.DefaultTiming.
 	Membership membership.Timing
-	// AllStoreReaders makes every host watch the platform, as a baseline.
+	// AllStoreReaders makes every host watch the platform's store, as a baseline
+	// for measurements.
 	AllStoreReaders bool
-	// Binding says when a read is bound to a member, for measurements.
+	// Binding says when a read is assigned to a member. It is set for
+	// measurements.
 	Binding upstream.Binding
-	// Unsafe switches safeguards off, for tests and baselines.
+	// Unsafe turns safeguards off, for tests and baselines.
 	Unsafe upstream.Unsafe
 }
 
-// Host is a running host.
+// Host is a running host. Start returns one.
 type Host struct {
 	settings        Settings
 	logger          log.Logger
@@ -64,29 +66,31 @@
 	stop            context.CancelFunc
 	background      sync.WaitGroup
 
-	reconcileWake chan struct{} // wakes the reconciling of owners
-	gossipWake    chan struct{} // wakes the passing on of claims
+	reconcileWake chan struct{} // wakes reconcileLoop
+	gossipWake    chan struct{} // wakes gossipLoop
 	conf          configuration
 	verifiers     verifierCache
 	stopping      atomic.Bool
-	// lastStoreRevision is the store's revision of the configuration at the last look.
+	// lastStoreRevision is the store's revision of the configuration at the last
+	// check.
 	lastStoreRevision atomic.Int64
 	// membershipKnown is true once the host has asked the hosts that the platform
-	// lists. Until then it does not know what others own, and owns nothing.
+	// lists. Until then it does not know which groups other hosts own, and owns
+	// none.
 	membershipKnown atomic.Bool
 
 	ownerSerial  atomic.Uint64
-	controlBytes atomic.Int64 // on control connections to members
+	controlBytes atomic.Int64 // bytes carried by control connections to members
 
 	ownersMu sync.Mutex
 	owners   map[string]*upstream.Owner
-	probing  map[string]bool // hosts that are being probed on a doubt
+	probing  map[string]bool // IDs of hosts with a probe of probeNow in flight
 
 	exchanges      exchanges
 	ownerOverrides ownerOverrides
 }
 
-// Start starts a host. It serves callers once it has a configuration.
+// Start starts a host. The host serves callers once it has a configuration.
 func Start(o Options) (*Host, error) {
 	if o.ListenPeers == nil {
 		o.ListenPeers = listenTCP
@@ -148,9 +152,10 @@
 	return h, nil
 }
 
-// listeners are what a host listens on.
+// listeners holds the listeners of a host.
 type listeners struct{ peers, callers, operators net.Listener }
 
+// listen opens all listeners of a host, or none.
 func listen(s Settings, listenPeers func(netip.AddrPort) (net.Listener, error)) (l listeners, err error) {
 	if l.peers, err = listenPeers(s.Peers); err != nil {
 		return l, errors.Wrap(err, "listen for peers")
@@ -167,7 +172,7 @@
 	return l, nil
 }
 
-// run starts the host's loops.
+// run starts the servers and loops of the host.
 func (h *Host) run(l listeners, peerTLS *tls.Config) {
 	ctx, stop := context.WithCancel(context.Background())
 	h.stop = stop
@@ -182,12 +187,12 @@
 
 func listenTCP(a netip.AddrPort) (net.Listener, error) { return net.Listen("tcp", a.String()) }
 
-// hostNumber returns the upper half of the process numbers that a host gives to
-// its callers, by which other hosts find it.
+// hostNumber returns the upper 16 bits of the process IDs that a host gives to its
+// callers. Other hosts find the host of a cancel request by them.
 func hostNumber(id string) uint16 { return uint16(xxhash.Sum64String(id)) }
 
-// Shutdown ends the host gracefully: no request in flight is cut unless ctx
-// ends first.
+// Shutdown stops the host gracefully: it interrupts no request in flight unless
+// ctx ends first.
 func (h *Host) Shutdown(ctx context.Context) {
 	h.stopping.Store(true)
 	h.table.Leave()
@@ -198,7 +203,7 @@
 	h.stopBackground()
 }
 
-// Kill ends the host at once, as a crash does.
+// Kill stops the host at once, as a crash does.
 func (h *Host) Kill() {
 	h.stopping.Store(true)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -212,6 +217,7 @@
 	h.background.Wait()
 }
 
+// stopBackground ends the loops and the connections to other hosts and operators.
 func (h *Host) stopBackground() {
 	h.operator.Close()
 	h.stop()
@@ -233,7 +239,8 @@
 	return *r, true
 }
 
-// Ready implements caller.Routes.
+// Ready implements caller.Routes. It returns why the host is not ready, or the
+// empty string.
 func (h *Host) Ready() string {
 	if h.conf.document() == nil {
 		return "it has no configuration: neither the platform's store nor another host answered with one"
@@ -250,8 +257,8 @@
 	return h.verifiers.get(credential, c.Password)
 }
 
-// verifierCache keeps the verifierCache of credentials, whose derivation is slow on
-// purpose.
+// verifierCache caches the verifiers of credentials, because deriving one is slow
+// by design. The zero value is ready for use.
 type verifierCache struct {
 	mu           sync.Mutex
 	byCredential map[string]*postgres.Verifier
--- a/internal/host/owners.go
+++ b/internal/host/owners.go
@@ -14,10 +14,12 @@
 	"pearlatch/io/upstream"
 )
 
-// handOverTimeout bounds how long open transactions may delay a hand-over.
+// handOverTimeout bounds how long open transactions may delay handing a group
+// over.
 const handOverTimeout = 10 * time.Second
 
-// membersChanged is called when the set of live hosts has changed.
+// membersChanged is called by the membership table when the set of live hosts has
+// changed.
 func (h *Host) membersChanged() {
 	for _, c := range h.table.Statuses() {
 		if c.State == membership.Dead {
@@ -38,8 +40,8 @@
 	}
 }
 
-// reconcileLoop starts and closes owners as the live hosts and the
-// configuration change.
+// reconcileLoop starts and closes owners when the live hosts or the configuration
+// have changed. It returns when ctx ends.
 func (h *Host) reconcileLoop(ctx context.Context) {
 	for {
 		select {
@@ -51,6 +53,8 @@
 	}
 }
 
+// reconcile starts, updates and closes owners so that this host owns exactly the
+// groups for which it ranks first.
 func (h *Host) reconcile() {
 	doc := h.conf.document()
 	if doc == nil || h.stopping.Load() || !h.membershipKnown.Load() {
@@ -78,7 +82,7 @@
 	}
 }
 
-// startOwner begins to own a group. h.ownersMu is held.
+// startOwner starts the owner of a group. h.ownersMu must be held.
 func (h *Host) startOwner(g config.Group) {
 	c := h.settings.Credentials[g.Credential]
 	_ = level.Info(h.logger).Log("step", "own", "group", g.Name)
@@ -98,8 +102,8 @@
 	})
 }
 
-// handOver closes an owner in the background, so that its open transactions
-// end. h.ownersMu is held.
+// handOver closes an owner in the background, which lets its open transactions
+// end. h.ownersMu must be held.
 func (h *Host) handOver(owner *upstream.Owner) {
 	name := owner.Group().Name
 	delete(h.owners, name)
@@ -112,8 +116,9 @@
 	h.wakeReconcile()
 }
 
-// reconfigure brings a new revision to an owner. A change of what connections
-// are made of takes a new owner. h.ownersMu is held.
+// reconfigure applies a new revision to an owner. If the revision changes how
+// connections are opened, the owner is closed, and reconcile starts a new one.
+// h.ownersMu must be held.
 func (h *Host) reconfigure(owner *upstream.Owner, g *config.Group) {
 	if !owner.Group().SameUpstreams(g) {
 		h.handOver(owner)
@@ -125,6 +130,7 @@
 	})
 }
 
+// owner returns the owner of the group if this host owns it, or nil.
 func (h *Host) owner(group string) *upstream.Owner {
 	h.ownersMu.Lock()
 	defer h.ownersMu.Unlock()
@@ -134,7 +140,7 @@
 // Owns reports whether this host owns the group.
 func (h *Host) Owns(group string) bool { return h.owner(group) != nil }
 
-// closeOwners hands all groups over.
+// closeOwners hands all groups over and waits until their owners are closed.
 func (h *Host) closeOwners(ctx context.Context) {
 	h.ownersMu.Lock()
 	all := h.owners
@@ -147,14 +153,14 @@
 	wg.Wait()
 }
 
-// isGone reports whether a host is known to be isGone. A host never heard of counts
-// as isGone only once the platform's list was seen.
+// isGone reports whether a host is known not to be live. An unknown host counts as
+// gone only once the platform's host list was received.
 func (h *Host) isGone(id string) bool {
 	_, live := h.table.Lookup(id)
 	return !live && h.membershipKnown.Load()
 }
 
-// successor reaches the next owner of a group.
+// successor calls the next owner of a group, on this host or another one.
 type successor struct {
 	host  *Host
 	group string
@@ -162,11 +168,12 @@
 
 var _ upstream.Successor = successor{}
 
-// successorRetryInterval is the pause before the next owner is asked again.
+// successorRetryInterval is the delay between attempts to confirm with the next
+// owner.
 const successorRetryInterval = 5 * time.Millisecond
 
-// Confirm implements upstream.Successor. It asks until the next owner, which may
-// still have to start, has answered.
+// Confirm implements upstream.Successor. It retries until the next owner confirms
+// or ctx ends, because that owner may not have started yet.
 func (s successor) Confirm(ctx context.Context, term group.Term, session string) error {
 	for {
 		err := s.confirmOnce(ctx, term, session)
--- a/internal/host/peers.go
+++ b/internal/host/peers.go
@@ -15,13 +15,14 @@
 	"pearlatch/io/upstream"
 )
 
-// maxWitnesses is how many other hosts are asked whether a member is reachable.
+// maxWitnesses bounds how many other hosts are asked whether they reach a member.
 const maxWitnesses = 2
 
-// maxRelays is how many other hosts are asked to probe a silent one.
+// maxRelays bounds how many other hosts are asked to probe a host that does not
+// answer.
 const maxRelays = 2
 
-// peerHandler answers other hosts.
+// peerHandler handles the requests of other hosts.
 type peerHandler struct{ *Host }
 
 var _ peer.Handler = peerHandler{}
@@ -30,7 +31,7 @@
 func (h peerHandler) Begin(r *statement.Request) (peer.Exchange, error) {
 	owner := h.owner(r.Group)
 	if owner == nil {
-		// The sender believes that the hosts ranked before this one are gone.
+		// The sender considers the hosts that rank before this one gone.
 		if first := h.ranked(r.Group)[0]; first.ID != h.settings.Host {
 			h.probeNow(first)
 		}
@@ -73,7 +74,7 @@
 	return &peer.Verdict{Yes: err == nil}, nil
 }
 
-// Reach implements peer.Handler.
+// Reach implements peer.Handler. It answers yes if this host reaches the member.
 func (h peerHandler) Reach(ctx context.Context, m *peer.Reach) (*peer.Verdict, error) {
 	doc := h.conf.document()
 	if doc == nil {
@@ -89,7 +90,8 @@
 	return &peer.Verdict{Yes: ok && upstream.Reach(ctx, o, member)}, nil
 }
 
-// Cancel implements peer.Handler.
+// Cancel implements peer.Handler. If m.Owner is set, it cancels an exchange that
+// runs on this host, otherwise the operation of a caller connected to it.
 func (h peerHandler) Cancel(ctx context.Context, m *peer.Cancel) (*peer.Verdict, error) {
 	if !m.Owner {
 		return &peer.Verdict{Yes: h.callers.CancelLocal(ctx, m.Key)}, nil
@@ -111,7 +113,8 @@
 	return &peer.Probe{From: h.settings.Host, Claims: h.table.Gossip(), Revision: h.conf.inForceNumber(), Received: h.conf.newestNumber()}
 }
 
-// mergeProbe takes in another host's probe.
+// mergeProbe merges the claims of another host's probe into the membership table,
+// and pulls the configuration if that host has a newer one.
 func (h *Host) mergeProbe(m *peer.Probe) {
 	now := time.Now()
 	for _, c := range m.Claims {
@@ -125,7 +128,8 @@
 	h.table.Merge(m.Claims, now)
 }
 
-// probeLoop probes one host a period, and refreshes the platform's list.
+// probeLoop probes one host per probe interval, and refreshes the platform's host
+// list.
 func (h *Host) probeLoop(ctx context.Context) {
 	t := time.NewTicker(h.timing.ProbeInterval)
 	defer t.Stop()
@@ -142,17 +146,19 @@
 	}
 }
 
-// minGossipInterval is the least time between two rounds of news, so that many changes
-// at once share their messages. It doubles up to maxGossipInterval while changes keep
-// coming, as at the start of a fleet: the messages would otherwise take so much
-// time that probes go unanswered, and that is news again.
+// minGossipInterval is the minimum time between two gossip rounds, so that
+// simultaneous membership changes share their messages. The interval doubles up to
+// maxGossipInterval while changes keep coming, as when many hosts start at once.
+// Otherwise the messages take so much time that probes go unanswered, which causes
+// further membership changes.
 const (
 	minGossipInterval = 50 * time.Millisecond
 	maxGossipInterval = 2 * time.Second
 )
 
-// gossipLoop passes a change of the live hosts on at once, rather than with the
-// next probes: what a death costs callers is the time until the next owner knows.
+// gossipLoop sends a change of the live hosts to neighbours at once rather than
+// with the next regular probes, because callers of a dead host's groups wait until
+// the next owner learns of its death. It returns when ctx ends.
 func (h *Host) gossipLoop(ctx context.Context) {
 	pause := minGossipInterval
 	var last time.Time
@@ -175,7 +181,8 @@
 	}
 }
 
-// probe asks a host whether it is alive, by way of others if it is silent.
+// probe probes a host, and through other hosts if it does not answer. It marks the
+// host dead if it refuses the connection, and suspect if nobody reaches it.
 func (h *Host) probe(ctx context.Context, target membership.Host) {
 	err := h.probeOnce(ctx, target)
 	switch {
@@ -188,6 +195,7 @@
 	}
 }
 
+// probeOnce exchanges claims with a host, once.
 func (h *Host) probeOnce(ctx context.Context, target membership.Host) error {
 	ctx, cancel := context.WithTimeout(ctx, h.timing.ProbeTimeout)
 	defer cancel()
@@ -209,7 +217,7 @@
 	}).Reached > 0
 }
 
-// randomHosts returns up to n random live hosts besides this one and the excluded.
+// randomHosts returns up to n random live hosts other than this one and except.
 func (h *Host) randomHosts(n int, except string) []membership.Host {
 	live := h.table.Live()
 	var out []membership.Host
@@ -221,7 +229,7 @@
 	return out
 }
 
-// randomNeighbours returns up to n random neighbours.
+// randomNeighbours returns up to n random neighbours of the membership table.
 func (h *Host) randomNeighbours(n int) []membership.Host {
 	near := h.table.Neighbours()
 	var out []membership.Host
@@ -233,7 +241,8 @@
 	return out
 }
 
-// askAny asks hosts in parallel and returns as soon as one said yes.
+// askAny calls ask for all hosts in parallel and returns once one call has
+// returned true, or all false.
 func (h *Host) askAny(hosts []membership.Host, ask func(membership.Host) bool) upstream.Testimony {
 	answers := make(chan string, len(hosts))
 	for _, other := range hosts {
@@ -269,7 +278,8 @@
 	})
 }
 
-// probeNow probes a host at once, because a request to it has failed.
+// probeNow probes a host in the background after a request to it has failed or is
+// slow. It does nothing if such a probe is in flight.
 func (h *Host) probeNow(target membership.Host) {
 	if target.ID == h.settings.Host {
 		return
@@ -289,8 +299,8 @@
 	})
 }
 
-// probeIfSlow doubts the target if the caller does not call the returned function
-// soon.
+// probeIfSlow probes the target unless the returned function is called within
+// slowOwnerTimeout.
 func (h *Host) probeIfSlow(target membership.Host) (stop func()) {
 	if target.ID == h.settings.Host {
 		return func() {}
@@ -299,7 +309,7 @@
 	return func() { t.Stop() }
 }
 
-// announce tells all hosts at once that this one is leaving.
+// announce tells all other hosts at once that this one is leaving.
 func (h *Host) announce(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, announceTimeout)
 	defer cancel()
@@ -312,9 +322,10 @@
 }
 
 const (
+	// announceTimeout bounds an announcement.
 	announceTimeout = 200 * time.Millisecond
-	// maxAnnounced bounds how many hosts a leaving one tells itself. Claims carry
-	// the news on.
+	// maxAnnounced bounds how many hosts a leaving host tells directly. The others
+	// learn of it by gossip.
 	maxAnnounced = 16
 )
 
--- a/internal/host/route.go
+++ b/internal/host/route.go
@@ -17,16 +17,16 @@
 	"pearlatch/io/postgres"
 )
 
-// ownerRetryInterval is the pause before a unit is offered to the owner again while the
-// ownership of its group changes hands.
+// ownerRetryInterval is the delay before a unit is retried while the owner of its
+// group changes.
 const ownerRetryInterval = 5 * time.Millisecond
 
-// slowOwnerTimeout is how long an owner may take for a unit before the entry asks
-// whether its host is alive at all.
+// slowOwnerTimeout is how long an owner may take for a unit before the host of the
+// caller probes the host of the owner.
 const slowOwnerTimeout = 100 * time.Millisecond
 
-// exchanges holds the exchanges that run here for other hosts' callers, for
-// cancel requests.
+// exchanges holds the exchanges that run on this host for callers of other hosts,
+// by cancel key. The zero value is ready for use.
 type exchanges struct {
 	mu    sync.Mutex
 	byKey map[statement.CancelKey]peer.Exchange
@@ -55,14 +55,14 @@
 	return e.byKey[key]
 }
 
-// routedExchange is an exchange with whichever host owns the group when its first unit
-// is sent.
+// routedExchange is an exchange with the host that owns the group when its first
+// unit is sent.
 type routedExchange struct {
 	host            *Host
 	request         *statement.Request
-	responseStarted bool
+	responseStarted bool // part of the response has reached the caller
 
-	mu    sync.Mutex // guards inner against Cancel, which comes from elsewhere
+	mu    sync.Mutex // guards inner, since Cancel is called from another goroutine
 	inner caller.Exchange
 }
 
@@ -73,13 +73,13 @@
 	return &routedExchange{host: h, request: r}
 }
 
-// Do implements caller.Exchange.
+// Do implements caller.Exchange. It retries the first unit as prepareRetry allows.
 func (x *routedExchange) Do(ctx context.Context, u *statement.Unit, sink func([]byte) error) (statement.Outcome, error) {
 	if x.inner != nil {
 		out, err := x.inner.Do(ctx, u, sink)
 		return out, x.callerError(u, err)
 	}
-	counted := func(b []byte) error {
+	forward := func(b []byte) error {
 		x.responseStarted = true
 		return sink(b)
 	}
@@ -87,7 +87,7 @@
 		target := x.host.ranked(x.request.Group)[0]
 		x.open(target)
 		stop := x.host.probeIfSlow(target)
-		out, err := x.inner.Do(ctx, u, counted)
+		out, err := x.inner.Do(ctx, u, forward)
 		stop()
 		if err == nil {
 			return out, nil
@@ -99,13 +99,15 @@
 	}
 }
 
-// open prepares the exchange with the host that owns the group.
+// open begins the exchange with the host that owns the group.
 func (x *routedExchange) open(target membership.Host) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	x.inner = x.host.exchangeWith(target, x.request)
 }
 
+// exchangeWith begins an exchange with the owner on the target, which may be this
+// host.
 func (h *Host) exchangeWith(target membership.Host, r *statement.Request) caller.Exchange {
 	if target.ID != h.settings.Host {
 		return h.client.Begin(target.Peer, r)
@@ -116,7 +118,8 @@
 	return noOwnerExchange{}
 }
 
-// noOwnerExchange stands for the exchange of a host that is about to own the group.
+// noOwnerExchange is the exchange of a host that ranks first for a group and has
+// not started its owner yet. Every unit fails with errNoOwner.
 type noOwnerExchange struct{}
 
 var errNoOwner = &statement.Refusal{Code: postgres.CodeCannotConnectNow, Reason: "the group has no owner yet", NotRun: true, RetryElsewhere: true}
@@ -127,8 +130,10 @@
 func (noOwnerExchange) Cancel(context.Context) error { return nil }
 func (noOwnerExchange) Close()                       {}
 
-// prepareRetry reports whether the unit may be offered to an owner once more, and waits
-// a little before.
+// prepareRetry reports whether the unit may be retried, after waiting
+// ownerRetryInterval. A unit whose connection was lost is retried only if no part
+// of a response has reached the caller, and only if it is a read, is idempotent, or
+// carries a request ID and does not control a transaction.
 func (x *routedExchange) prepareRetry(ctx context.Context, u *statement.Unit, target membership.Host, err error) bool {
 	if ctx.Err() != nil || !time.Now().Add(ownerRetryInterval).Before(u.Deadline) {
 		return false
@@ -153,7 +158,7 @@
 	return pause.For(ctx, ownerRetryInterval)
 }
 
-// callerError turns an error into what the caller is told.
+// callerError converts an error of an exchange into the error for the caller.
 func (x *routedExchange) callerError(u *statement.Unit, err error) error {
 	var r *statement.Refusal
 	switch {
@@ -191,11 +196,11 @@
 	}
 }
 
-// cancelTimeout bounds the passing on of a cancel request.
+// cancelTimeout bounds how long forwarding a cancel request takes.
 const cancelTimeout = time.Second
 
-// Cancel implements caller.Router. It finds the host by the number in the key;
-// two hosts may share one, and then both are asked.
+// Cancel implements caller.Router. It finds the host by the host number in the
+// key. Host numbers are hashes that two hosts may share; then both are asked.
 func (h *Host) Cancel(key statement.CancelKey) {
 	ctx, cancel := context.WithTimeout(context.Background(), cancelTimeout)
 	defer cancel()
--- a/internal/host/settings.go
+++ b/internal/host/settings.go
@@ -11,7 +11,7 @@
 	"pearlatch/internal/yamlmap"
 )
 
-// Settings are what one host is told at its start.
+// Settings configure one host. They are read once, at its start.
 type Settings struct {
 	// Host is the host's identifier, unique among live hosts.
 	Host string
@@ -19,40 +19,41 @@
 	Zone string
 	// Callers, Peers and Operator are the addresses to listen on.
 	Callers, Peers, Operator netip.AddrPort
-	// Platform lists the endpoints of the platform's service, at least one.
+	// Platform lists the endpoints of the platform's store, at least one.
 	Platform []netip.AddrPort
-	// Seeds lists peer addresses of other hosts to ask at the start. They are
-	// needed only by a host that starts while the platform is out of reach.
+	// Seeds lists peer addresses of other hosts. Only a host that starts while the
+	// platform is unreachable needs them.
 	Seeds []netip.AddrPort
-	// Credentials holds users and passwords by the names that the configuration
-	// refers to them with.
+	// Credentials holds users and passwords by the names by which the
+	// configuration refers to them.
 	Credentials map[string]Credential
-	// CallerTLS, PeerTLS and OperatorTLS are empty for no encryption.
+	// CallerTLS, PeerTLS and OperatorTLS turn encryption on. If empty,
+	// connections are not encrypted.
 	CallerTLS, PeerTLS, OperatorTLS TLSFiles
-	// OperatorLogin is who may change the configuration. An empty user turns
-	// changes off.
+	// OperatorLogin is the login that may change the configuration. If its user
+	// is empty, nobody may.
 	OperatorLogin Credential
-	// Drain bounds a graceful shutdown.
+	// Drain is the timeout of a graceful shutdown.
 	Drain time.Duration
-	// Startup bounds a caller's startup and authentication.
+	// Startup is the timeout of a caller's startup and authentication.
 	Startup time.Duration
 }
 
 // Credential is a user with a password.
 type Credential struct{ User, Password string }
 
-// TLSFiles names PEM files. Authority is used between hosts only, where both
-// sides show certificates.
+// TLSFiles holds the paths of PEM files. Authority is used between hosts only,
+// where both sides present certificates.
 type TLSFiles struct{ Certificate, Key, Authority string }
 
-// Defaults of settings.
+// Defaults of optional settings.
 const (
 	defaultDrainTimeout   = 30 * time.Second
 	defaultStartupTimeout = 5 * time.Second
 )
 
-// ParseSettings reads and checks settings. The error is a yamlmap.Mistakes with
-// every mistake found.
+// ParseSettings parses and checks settings. The error is a yamlmap.Mistakes that
+// holds every mistake found.
 func ParseSettings(text []byte) (*Settings, error) {
 	var wrong yamlmap.Mistakes
 	m := yamlmap.Parse(text, &wrong)
@@ -85,7 +86,7 @@
 	return s, nil
 }
 
-// LoadSettings reads settings from a file.
+// LoadSettings reads and parses a settings file.
 func LoadSettings(path string) (*Settings, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -116,7 +117,8 @@
 	return out
 }
 
-// parseCredential reads a user with a password or the file that holds it.
+// parseCredential parses a user with either a password or the path of a file that
+// holds the password.
 func parseCredential(m *yamlmap.Map) Credential {
 	defer m.Done()
 	c := Credential{User: m.String("user", true), Password: m.String("password", false)}
--- a/internal/host/state.go
+++ b/internal/host/state.go
@@ -11,7 +11,7 @@
 	"pearlatch/io/upstream"
 )
 
-// operatorProcess shows the host to operators.
+// operatorProcess gives operators access to the state of the host.
 type operatorProcess struct{ *Host }
 
 var _ operator.Process = operatorProcess{}
@@ -49,9 +49,11 @@
 	}
 }
 
-// DrainRequested yields when an operator has ordered a graceful shutdown.
+// DrainRequested returns a channel that receives a value when an operator has
+// requested a graceful shutdown.
 func (h *Host) DrainRequested() <-chan struct{} { return h.drainRequested }
 
+// allOwners returns the owners by the names of their groups.
 func (h *Host) allOwners() []*upstream.Owner {
 	h.ownersMu.Lock()
 	defer h.ownersMu.Unlock()
@@ -98,17 +100,20 @@
 	}
 }
 
-// Traffic returns what the host exchanges with others.
+// Traffic returns the traffic counters of the connections with other hosts.
 func (h *Host) Traffic() *peer.Traffic { return h.traffic }
 
-// ConfigRevision returns the number of the configuration in force.
+// ConfigRevision returns the number of the configuration revision in force.
 func (h *Host) ConfigRevision() uint64 { return h.conf.inForceNumber() }
 
-// LiveCount returns how many hosts this one believes alive, itself included.
+// LiveCount returns the number of hosts that this one considers live, including
+// itself.
 func (h *Host) LiveCount() int { return len(h.table.Live()) }
 
-// PlatformCalls returns how many calls the host made to the platform.
+// PlatformCalls returns the number of calls that the host made to the platform's
+// store.
 func (h *Host) PlatformCalls() int64 { return h.store.Calls() }
 
-// ControlBytes returns what the control connections to members have carried.
+// ControlBytes returns the number of bytes that the control connections to members
+// have carried.
 func (h *Host) ControlBytes() int64 { return h.controlBytes.Load() }
--- a/internal/host/submit.go
+++ b/internal/host/submit.go
@@ -11,13 +11,14 @@
 )
 
 const (
-	// submitTimeout bounds a submission, the settling of lost answers included.
+	// submitTimeout bounds a submission, including finding out the result of a
+	// store call whose answer was lost.
 	submitTimeout = 20 * time.Second
-	// maxConcurrentProbes is how many hosts are asked at once for their revision.
+	// maxConcurrentProbes bounds how many hosts Spread probes at once.
 	maxConcurrentProbes = 32
 )
 
-// operatorConfig shows the configuration to operatorConfig.
+// operatorConfig gives operators access to the configuration.
 type operatorConfig struct{ *Host }
 
 var _ operator.Configuration = operatorConfig{}
@@ -46,7 +47,8 @@
 	return etcd.History(ctx, o.store)
 }
 
-// Spread implements operator.Configuration.
+// Spread implements operator.Configuration. It returns the revision in force on
+// each live host.
 func (o operatorConfig) Spread(ctx context.Context) []operator.HostRevision {
 	live := o.table.Live()
 	out := make([]operator.HostRevision, len(live))
--- a/internal/host/tls.go
+++ b/internal/host/tls.go
@@ -8,7 +8,8 @@
 	"github.com/pkg/errors"
 )
 
-// serverTLS returns what a listener for callers or operators uses, or nil.
+// serverTLS returns the configuration of a listener for callers or operators, or
+// nil if no certificate is set.
 func (f TLSFiles) serverTLS() (*tls.Config, error) {
 	if f.Certificate == "" {
 		return nil, nil
@@ -20,8 +21,9 @@
 	return &tls.Config{Certificates: []tls.Certificate{pair}, MinVersion: tls.VersionTLS12}, nil
 }
 
-// peerTLS returns what both sides of a connection between hosts use, or nil.
-// Each side demands a certificate of the authority from the other.
+// peerTLS returns the configuration of both sides of a connection between hosts,
+// or nil if no certificate is set. Each side requires of the other a certificate
+// that the authority signed.
 func (f TLSFiles) peerTLS() (*tls.Config, error) {
 	if f.Certificate == "" {
 		return nil, nil
@@ -44,16 +46,17 @@
 		RootCAs:      pool,
 		ClientCAs:    pool,
 		ClientAuth:   tls.RequireAndVerifyClientCert,
-		// Hosts come and go with addresses that no certificate can name: the
-		// authority alone decides, and VerifyConnection checks against it.
+		// The addresses of hosts change, so certificates cannot name them.
+		// VerifyConnection checks the authority's signature instead of the name.
 		InsecureSkipVerify: true,
 		VerifyConnection:   func(cs tls.ConnectionState) error { return verifyPeer(cs, pool) },
 	}, nil
 }
 
+// verifyPeer checks that a certificate of pool signed the peer's certificate.
 func verifyPeer(cs tls.ConnectionState, pool *x509.CertPool) error {
 	if len(cs.PeerCertificates) == 0 {
-		return errors.New("the other host showed no certificate")
+		return errors.New("the other host presented no certificate")
 	}
 	_, err := cs.PeerCertificates[0].Verify(x509.VerifyOptions{
 		Roots:     pool,
--- a/internal/host/yield.go
+++ b/internal/host/yield.go
@@ -15,16 +15,16 @@
 
 const (
 	// yieldTTL is how long a host that cannot reach a primary leaves its group
-	// to another one. It is long, since each return costs callers a pause if the
-	// way is still broken.
+	// to another host. It is long because taking the group back delays callers if
+	// the primary is still unreachable.
 	yieldTTL = 5 * time.Minute
-	// ownerHintTTL is how long an entry follows another host's word on who owns a
-	// group.
+	// ownerHintTTL is how long a host uses the owner that another host's refusal
+	// named.
 	ownerHintTTL = 5 * time.Second
 )
 
-// ownerOverrides holds the hosts that own groups in place of the first by rank. The
-// zero value is ready for use.
+// ownerOverrides holds, by group, the hosts that own a group in place of the host
+// that ranks first. The zero value is ready for use.
 type ownerOverrides struct {
 	mu      sync.Mutex
 	byGroup map[string]ownerOverride
@@ -35,17 +35,19 @@
 	expires time.Time
 }
 
-// get returns the substitute for a group, or the empty string.
+// get returns the ID of the host that overrides the owner of a group, or the empty
+// string.
 func (s *ownerOverrides) get(group string) string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	known, ok := s.byGroup[group]
-	if !ok || time.Now().After(known.expires) {
+	override, ok := s.byGroup[group]
+	if !ok || time.Now().After(override.expires) {
 		return ""
 	}
-	return known.host
+	return override.host
 }
 
+// set overrides the owner of a group for the duration d.
 func (s *ownerOverrides) set(group, host string, d time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -55,8 +57,8 @@
 	s.byGroup[group] = ownerOverride{host, time.Now().Add(d)}
 }
 
-// ranked returns the hosts by their claim to own the group. A live substitute
-// comes first.
+// ranked returns the live hosts in the order in which they are to own the group.
+// A live host that overrides the owner comes first, unless it is leaving.
 func (h *Host) ranked(group string) []membership.Host {
 	hosts := membership.Rank(group, h.table.Live())
 	id := h.ownerOverrides.get(group)
@@ -68,7 +70,7 @@
 	return hosts
 }
 
-// yieldGroup gives a group away to a host that reaches its primary.
+// yieldGroup hands a group to a host that reaches its primary.
 func (h *Host) yieldGroup(group, to string) {
 	target, ok := h.table.Lookup(to)
 	if !ok {
@@ -86,15 +88,16 @@
 	h.wakeReconcile()
 }
 
-// Assume implements peer.Handler.
+// Assume implements peer.Handler. This host owns the group until m.For has passed,
+// at most for yieldTTL.
 func (h peerHandler) Assume(_ context.Context, m *peer.Assume) (*peer.Verdict, error) {
 	h.ownerOverrides.set(m.Group, h.settings.Host, min(m.For, yieldTTL))
 	h.wakeReconcile()
 	return &peer.Verdict{Yes: true}, nil
 }
 
-// notOwnerRefusal returns the refusal of a group that this host does not own, with the
-// host that it believes to.
+// notOwnerRefusal returns the refusal for a group that this host does not own. It
+// names the overriding owner if this host knows one.
 func (h *Host) notOwnerRefusal(group string) *statement.Refusal {
 	refusal := *errNoOwner
 	if to := h.ownerOverrides.get(group); to != h.settings.Host {
@@ -103,7 +106,8 @@
 	return &refusal
 }
 
-// applyOwnerHint takes in the word of a refusal on who owns the group.
+// applyOwnerHint routes the group to the owner that a refusal names, for
+// ownerHintTTL.
 func (h *Host) applyOwnerHint(group string, r *statement.Refusal) {
 	if r.Owner != "" {
 		h.ownerOverrides.set(group, r.Owner, ownerHintTTL)
