--- a/internal/soak/file.go
+++ b/internal/soak/file.go
@@ -69,7 +69,7 @@
 	for _, each := range m.List("faults") {
 		p.Faults = append(p.Faults, parseFault(each))
 	}
-	m.Done()
+	m.RejectUnknown()
 	return p, wrong.Err()
 }
 
@@ -88,7 +88,7 @@
 	text := m.String("seed", true)
 	n, err := strconv.ParseUint(text, 10, 64)
 	if err != nil {
-		m.Wrong("seed", "%q is not a whole number from 0 to 2^64-1", text)
+		m.AddMistake("seed", "%q is not a whole number from 0 to 2^64-1", text)
 	}
 	return n
 }
@@ -97,7 +97,7 @@
 func atLeast(m *yamlmap.Map, field string, missing, least int) int {
 	n := m.Int(field, missing)
 	if n < least {
-		m.Wrong(field, "%d, must be at least %d", n, least)
+		m.AddMistake(field, "%d, must be at least %d", n, least)
 	}
 	return n
 }
@@ -106,7 +106,7 @@
 func within(m *yamlmap.Map, field string, missing, most int) int {
 	n := atLeast(m, field, missing, 1)
 	if n > most {
-		m.Wrong(field, "%d, must be at most %d", n, most)
+		m.AddMistake(field, "%d, must be at most %d", n, most)
 	}
 	return n
 }
@@ -114,14 +114,14 @@
 func parseFault(m *yamlmap.Map) Fault {
 	f := Fault{Kind: Kind(yamlmap.Enum(m, "kind", kindName(kinds), kindNames()...))}
 	if !m.Has("kind") {
-		m.Wrong("kind", "is missing")
+		m.AddMistake("kind", "is missing")
 	}
 	if m.Has("at") && m.String("at", false) != "0s" {
 		f.At = m.Duration("at", 0)
 	}
 	f.For = m.Duration("for", time.Second)
 	f.Seed = parseSeed(m, 0)
-	m.Done()
+	m.RejectUnknown()
 	return f
 }
 
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -23,7 +23,7 @@
 		if flaw := flaws[os.Getenv(flawVariable)]; flaw != nil {
 			change = flaw
 		}
-		err = process.RunWith(s, path, os.Stdout, change)
+		err = process.RunWithPorts(s, path, os.Stdout, change)
 	}
 	if err != nil {
 		_, _ = os.Stderr.WriteString(err.Error() + "\n")
