--- a/internal/soak/caller.go
+++ b/internal/soak/caller.go
@@ -129,7 +129,7 @@
 
 // operate runs one operation. It returns false if the session is to end.
 func (c *caller) operate() bool {
-	if c.conn.Parted() {
+	if c.conn.Terminated() {
 		return false
 	}
 	var ok bool
