--- a/internal/host/owners.go
+++ b/internal/host/owners.go
@@ -90,12 +90,12 @@
 		Host: h.settings.Host, Group: g, User: c.User, Password: c.Password,
 		Local: h.settings.Peers.Addr(), Serial: h.ownerSerial.Add(1),
 		ControlBytes: &h.controlBytes,
-		Gone:         h.isGone,
+		HostGone:     h.isGone,
 		Yield:        func(to string) { h.background.Go(func() { h.yieldGroup(g.Name, to) }) },
 		Binding:      h.binding,
 		Unsafe:       h.unsafe,
 		Successor:    successor{host: h, group: g.Name},
-		Witness: func(ctx context.Context, m config.Member) upstream.Testimony {
+		Witness: func(ctx context.Context, m config.Member) upstream.WitnessResult {
 			return h.askWitnesses(ctx, g.Name, m.Name)
 		},
 		Logger: h.logger, Metrics: h.metrics,
--- a/internal/host/peers.go
+++ b/internal/host/peers.go
@@ -87,7 +87,7 @@
 	c := h.settings.Credentials[g.Credential]
 	o := upstream.Options{Host: h.settings.Host, Group: *g, User: c.User, Password: c.Password, Local: h.settings.Peers.Addr()}
 	member, ok := g.Member(m.Member)
-	return &peer.Verdict{Yes: ok && upstream.Reach(ctx, o, member)}, nil
+	return &peer.Verdict{Yes: ok && upstream.Reachable(ctx, o, member)}, nil
 }
 
 // Cancel implements peer.Handler. If m.Owner is set, it cancels an exchange that
@@ -243,7 +243,7 @@
 
 // askAny calls ask for all hosts in parallel and returns once one call has
 // returned true, or all false.
-func (h *Host) askAny(hosts []membership.Host, ask func(membership.Host) bool) upstream.Testimony {
+func (h *Host) askAny(hosts []membership.Host, ask func(membership.Host) bool) upstream.WitnessResult {
 	answers := make(chan string, len(hosts))
 	for _, other := range hosts {
 		h.background.Go(func() {
@@ -254,10 +254,10 @@
 			}
 		})
 	}
-	out := upstream.Testimony{Asked: len(hosts)}
+	out := upstream.WitnessResult{Asked: len(hosts)}
 	for range hosts {
 		if by := <-answers; by != "" {
-			out.Reached, out.By = 1, by
+			out.Reached, out.ReachedBy = 1, by
 			return out
 		}
 	}
@@ -265,7 +265,7 @@
 }
 
 // askWitnesses asks the next owners of the group whether they reach a member.
-func (h *Host) askWitnesses(ctx context.Context, group, member string) upstream.Testimony {
+func (h *Host) askWitnesses(ctx context.Context, group, member string) upstream.WitnessResult {
 	var next []membership.Host
 	for _, other := range h.ranked(group) {
 		if other.ID != h.settings.Host && len(next) < maxWitnesses {
