--- a/internal/host/submit.go
+++ b/internal/host/submit.go
@@ -47,9 +47,9 @@
 	return etcd.History(ctx, o.store)
 }
 
-// Spread implements operator.Configuration. It returns the revision in force on
+// HostRevisions implements operator.Configuration. It returns the revision in force on
 // each live host.
-func (o operatorConfig) Spread(ctx context.Context) []operator.HostRevision {
+func (o operatorConfig) HostRevisions(ctx context.Context) []operator.HostRevision {
 	live := o.table.Live()
 	out := make([]operator.HostRevision, len(live))
 	slots := make(chan struct{}, maxConcurrentProbes)
