--- a/cmd/pearlatch-lab/bench.go
+++ b/cmd/pearlatch-lab/bench.go
@@ -11,27 +11,29 @@
 	"pearlatch/internal/lab"
 )
 
-// output is where a bench's result goes.
-type output struct {
+// outputOptions says where a command writes its result and the logs of the hosts.
+type outputOptions struct {
 	JSON    string `long:"json" description:"file for the result, as one JSON object"`
 	Verbose bool   `long:"verbose" description:"write the hosts' logs to standard error"`
 }
 
-func (o output) logger() log.Logger {
+// logger returns the logger of the hosts.
+func (o outputOptions) logger() log.Logger {
 	if !o.Verbose {
 		return log.NewNopLogger()
 	}
 	return log.With(log.NewJSONLogger(log.NewSyncWriter(os.Stderr)), "ts", log.DefaultTimestampUTC)
 }
 
-func (o output) write(v any) error {
+// writeResult writes v to the result file, if one is named.
+func (o outputOptions) writeResult(v any) error {
 	if o.JSON == "" {
 		return nil
 	}
 	return lab.WriteJSON(o.JSON, v)
 }
 
-// benchCommand groups the benches.
+// benchCommand groups the benchmarks.
 type benchCommand struct {
 	Slopes     slopesCommand      `command:"slopes" description:"What the capacity table is worked out from"`
 	Config     configBenchCommand `command:"config" description:"How long an accepted document takes to be in force everywhere"`
@@ -42,9 +44,10 @@
 	Failover   failoverCommand    `command:"failover" description:"Gap of a failover as callers see it, against a baseline"`
 }
 
-// configBenchCommand measures the spread of configurations.
+// configBenchCommand measures how long a document takes to be in force on every
+// host.
 type configBenchCommand struct {
-	output
+	outputOptions
 	Fleets  []int  `long:"fleet" default:"8" default:"128" description:"number of hosts"`
 	Changes int    `long:"changes" default:"10" description:"documents submitted in each condition"`
 	Bytes   int    `long:"bytes" default:"1000000" description:"size of the document"`
@@ -59,12 +62,12 @@
 	if err != nil {
 		return err
 	}
-	return c.write(res)
+	return c.writeResult(res)
 }
 
-// overloadCommand measures overload.
+// overloadCommand measures the goodput under overload.
 type overloadCommand struct {
-	output
+	outputOptions
 	Duration time.Duration `long:"duration" default:"8s" description:"how long each load is measured"`
 	Seed     uint64        `long:"seed" default:"1" description:"seed of the arrivals"`
 }
@@ -75,12 +78,12 @@
 	if err != nil {
 		return err
 	}
-	return c.write(res)
+	return c.writeResult(res)
 }
 
-// membershipCommand measures membership.
+// membershipCommand measures what membership costs a host, by the number of hosts.
 type membershipCommand struct {
-	output
+	outputOptions
 	Fleets   []int         `long:"fleet" default:"8" default:"32" default:"128" default:"512" description:"number of hosts"`
 	Duration time.Duration `long:"duration" default:"10s" description:"how long a quiet fleet is measured"`
 	Deaths   int           `long:"deaths" default:"5" description:"hosts killed, one after another"`
@@ -94,12 +97,13 @@
 	if err != nil {
 		return err
 	}
-	return c.write(res)
+	return c.writeResult(res)
 }
 
-// overheadCommand measures overhead.
+// overheadCommand measures what the proxy adds to a statement, and what an idle
+// caller costs.
 type overheadCommand struct {
-	output
+	outputOptions
 	Duration time.Duration `long:"duration" default:"5s" description:"how long each path is measured"`
 	Callers  int           `long:"callers" default:"16" description:"callers at once"`
 	Idle     int           `long:"idle" default:"5000" description:"idle callers to count"`
@@ -108,7 +112,7 @@
 
 // Execute implements flags.Commander.
 func (c *overheadCommand) Execute([]string) error {
-	stop, err := profile(c.Profile)
+	stop, err := startProfile(c.Profile)
 	if err != nil {
 		return err
 	}
@@ -119,11 +123,12 @@
 	if err != nil {
 		return err
 	}
-	return c.write(res)
+	return c.writeResult(res)
 }
 
-// profile starts a CPU profile, if a file is named, and returns what ends it.
-func profile(path string) (stop func(), err error) {
+// startProfile starts a CPU profile if path is not empty. The returned function
+// ends it.
+func startProfile(path string) (stop func(), err error) {
 	if path == "" {
 		return func() {}, nil
 	}
@@ -141,9 +146,9 @@
 	}, nil
 }
 
-// readsCommand measures reads.
+// readsCommand measures the share of reads that replicas serve.
 type readsCommand struct {
-	output
+	outputOptions
 	Duration time.Duration `long:"duration" default:"20s" description:"how long each variant is measured"`
 	Seed     uint64        `long:"seed" default:"1" description:"seed of the load's choices"`
 	Sessions int           `long:"sessions" default:"240" description:"sessions at once"`
@@ -158,12 +163,12 @@
 	if err != nil {
 		return err
 	}
-	return c.write(res)
+	return c.writeResult(res)
 }
 
-// failoverCommand measures failovers.
+// failoverCommand measures how long failovers interrupt callers.
 type failoverCommand struct {
-	output
+	outputOptions
 	Only    string `long:"only" description:"the one fault to measure: crash, partition, planned or owner_loss"`
 	Trials  int    `long:"trials" default:"20" description:"faults of each kind"`
 	Seed    uint64 `long:"seed" default:"1" description:"seed of the load's choices"`
@@ -178,5 +183,5 @@
 	if err != nil {
 		return err
 	}
-	return c.write(res)
+	return c.writeResult(res)
 }
--- a/cmd/pearlatch-lab/capacity.go
+++ b/cmd/pearlatch-lab/capacity.go
@@ -11,8 +11,8 @@
 	"pearlatch/internal/lab"
 )
 
-// slopesCommand measures slopes.
-type slopesCommand struct{ output }
+// slopesCommand measures the slopes from which the capacity table is computed.
+type slopesCommand struct{ outputOptions }
 
 // Execute implements flags.Commander.
 func (c *slopesCommand) Execute([]string) error {
@@ -20,10 +20,10 @@
 	if err != nil {
 		return err
 	}
-	return c.write(slopes)
+	return c.writeResult(slopes)
 }
 
-// capacityCommand works the capacity table out.
+// capacityCommand computes the capacity table from measured slopes.
 type capacityCommand struct {
 	Args struct {
 		File string `positional-arg-name:"FILE" required:"true" description:"result of bench slopes --json"`
--- a/cmd/pearlatch-lab/up.go
+++ b/cmd/pearlatch-lab/up.go
@@ -9,9 +9,9 @@
 	"pearlatch/internal/lab"
 )
 
-// upCommand runs a site until it is interrupted.
+// upCommand runs a site, with faults on request, until it is interrupted.
 type upCommand struct {
-	output
+	outputOptions
 }
 
 // Execute implements flags.Commander.
--- a/cmd/pearlatch/check.go
+++ b/cmd/pearlatch/check.go
@@ -12,7 +12,7 @@
 	"pearlatch/platform"
 )
 
-// checkCommand checks a file.
+// checkCommand checks a settings file or a configuration document.
 type checkCommand struct {
 	Args struct {
 		File string `positional-arg-name:"FILE" required:"true"`
@@ -30,7 +30,7 @@
 	case isGatewaySettings(text):
 		kind = "settings of a gateway"
 		_, err = platform.ParseSettings(text)
-	case isSettings(text):
+	case isHostSettings(text):
 		kind = "settings"
 		_, err = host.ParseSettings(text)
 	default:
@@ -43,14 +43,16 @@
 	return nil
 }
 
-// isGatewaySettings tells a gateway's settings, which name a promotion service.
+// isGatewaySettings reports whether text holds the settings of a gateway, which
+// name a promotion service.
 func isGatewaySettings(text []byte) bool {
 	var ignored yamlmap.Mistakes
 	return yamlmap.Parse(text, &ignored).Has("promotions")
 }
 
-// isSettings tells settings from a configuration document, which has a version.
-func isSettings(text []byte) bool {
+// isHostSettings reports whether text holds the settings of a host rather than a
+// configuration document, which has a version.
+func isHostSettings(text []byte) bool {
 	var ignored yamlmap.Mistakes
 	m := yamlmap.Parse(text, &ignored)
 	return m.Has("host") || m.Has("callers") || m.Has("peers")
--- a/cmd/pearlatch/config.go
+++ b/cmd/pearlatch/config.go
@@ -19,19 +19,20 @@
 	"pearlatch/io/operator"
 )
 
-// login is how commands that change something identify themselves.
-type login struct {
+// loginOptions holds the options with which a command authenticates to a host.
+type loginOptions struct {
 	User         string `long:"user" env:"PEARLATCH_OPERATOR" description:"operator's user"`
 	PasswordFile string `long:"password-file" env:"PEARLATCH_PASSWORD_FILE" description:"file with the operator's password"`
-	secure
+	tlsOptions
 }
 
-// secure says how commands reach a host's operator address.
-type secure struct {
+// tlsOptions holds the TLS options of a connection to a host's operator address.
+type tlsOptions struct {
 	Authority string `long:"authority" env:"PEARLATCH_AUTHORITY" description:"PEM file with the authority of the host's certificate; plain HTTP without it"`
 }
 
-func (s secure) tls() (*tls.Config, error) {
+// tlsConfig returns the TLS configuration of the connection, or nil for plain HTTP.
+func (s tlsOptions) tlsConfig() (*tls.Config, error) {
 	if s.Authority == "" {
 		return nil, nil
 	}
@@ -46,8 +47,9 @@
 	return &tls.Config{RootCAs: pool, MinVersion: tls.VersionTLS12}, nil
 }
 
-func (l login) client(addr string) (operator.Client, error) {
-	secured, err := l.tls()
+// client returns a client of the host with the given operator address.
+func (l loginOptions) client(addr string) (operator.Client, error) {
+	secured, err := l.tlsConfig()
 	if err != nil {
 		return operator.Client{}, err
 	}
@@ -62,11 +64,11 @@
 	return out, nil
 }
 
-// addConfig adds the command config with its subcommands.
-func addConfig(p *flags.Parser) {
+// addConfigCommands adds the command config and its subcommands to p.
+func addConfigCommands(p *flags.Parser) {
 	c, err := p.AddCommand("config", "Read and change the configuration", "Reads and changes the configuration by way of a running host.", &struct{}{})
 	if err != nil {
-		panic(err) // only a name used twice
+		panic(err) // a duplicate name
 	}
 	for _, each := range []struct {
 		name, short, long string
@@ -85,13 +87,13 @@
 
 // getCommand prints the document in force.
 type getCommand struct {
-	login
-	Args target `positional-args:"true"`
+	loginOptions
+	Args addrArgs `positional-args:"true"`
 }
 
 // Execute implements flags.Commander.
 func (c *getCommand) Execute([]string) error {
-	r, err := c.get(c.Args.Addr)
+	r, err := c.currentRevision(c.Args.Addr)
 	if err != nil {
 		return err
 	}
@@ -100,7 +102,8 @@
 	return nil
 }
 
-func (l login) get(addr string) (operator.RevisionBody, error) {
+// currentRevision returns the revision in force on a host.
+func (l loginOptions) currentRevision(addr string) (operator.RevisionBody, error) {
 	client, err := l.client(addr)
 	if err != nil {
 		return operator.RevisionBody{}, err
@@ -108,15 +111,15 @@
 	return client.Get(context.Background())
 }
 
-// fileArgs are a host and a document.
+// fileArgs holds the operator address of a host and the path of a document.
 type fileArgs struct {
 	Addr string `positional-arg-name:"HOST:PORT" required:"true"`
 	File string `positional-arg-name:"FILE" required:"true"`
 }
 
-// diffCommand compares a document with the one in force.
+// diffCommand prints the difference between a document and the one in force.
 type diffCommand struct {
-	login
+	loginOptions
 	Args fileArgs `positional-args:"true"`
 }
 
@@ -130,7 +133,7 @@
 	if err != nil {
 		return &exitError{exitUsage, err}
 	}
-	r, err := c.get(c.Args.Addr)
+	r, err := c.currentRevision(c.Args.Addr)
 	if err != nil {
 		return err
 	}
@@ -145,9 +148,9 @@
 	return &exitError{exitFailed, errors.New("the documents differ")}
 }
 
-// submitCommand submits a document.
+// submitCommand submits a document as the next revision.
 type submitCommand struct {
-	login
+	loginOptions
 	Base   uint64   `long:"base" required:"true" description:"revision that the document is based on, as printed by get"`
 	Author string   `long:"author" description:"name to record; the system's user if empty"`
 	Args   fileArgs `positional-args:"true"`
@@ -180,10 +183,10 @@
 	return nil
 }
 
-// historyCommand lists revisions.
+// historyCommand lists the revisions in the store, newest first.
 type historyCommand struct {
-	login
-	Args target `positional-args:"true"`
+	loginOptions
+	Args addrArgs `positional-args:"true"`
 }
 
 // Execute implements flags.Commander.
--- a/cmd/pearlatch/remote.go
+++ b/cmd/pearlatch/remote.go
@@ -15,20 +15,20 @@
 	"pearlatch/io/peer"
 )
 
-// target is the operator address of a running host.
-type target struct {
+// addrArgs holds the operator address of a running host.
+type addrArgs struct {
 	Addr string `positional-arg-name:"HOST:PORT" required:"true"`
 }
 
-// dumpCommand prints a host's state.
+// dumpCommand prints the state of a host as JSON.
 type dumpCommand struct {
-	secure
-	Args target `positional-args:"true"`
+	tlsOptions
+	Args addrArgs `positional-args:"true"`
 }
 
 // Execute implements flags.Commander.
 func (c *dumpCommand) Execute([]string) error {
-	secured, err := c.tls()
+	secured, err := c.tlsConfig()
 	if err != nil {
 		return err
 	}
@@ -45,10 +45,10 @@
 	return err
 }
 
-// drainCommand drains a host.
+// drainCommand requests a graceful shutdown of a host.
 type drainCommand struct {
-	login
-	Args target `positional-args:"true"`
+	loginOptions
+	Args addrArgs `positional-args:"true"`
 }
 
 // Execute implements flags.Commander.
@@ -60,7 +60,8 @@
 	return client.Drain(context.Background())
 }
 
-// versionCommand prints versions.
+// versionCommand prints the versions of the program, the protocol between hosts
+// and the configuration schema.
 type versionCommand struct{}
 
 // Execute implements flags.Commander.
--- a/cmd/pearlatch/serve.go
+++ b/cmd/pearlatch/serve.go
@@ -13,7 +13,7 @@
 	"pearlatch/internal/host"
 )
 
-// serveCommand runs a host.
+// serveCommand runs a host until a signal or an operator requests its shutdown.
 type serveCommand struct {
 	Settings string `long:"settings" required:"true" description:"settings file (YAML)"`
 	Debug    bool   `long:"debug" description:"log more"`
@@ -38,7 +38,7 @@
 	defer stop()
 	select {
 	case <-ctx.Done():
-	case <-h.Drains():
+	case <-h.DrainRequested():
 	}
 	drain, cancel := context.WithTimeout(context.Background(), s.Drain)
 	defer cancel()
--- a/internal/host/configure.go
+++ b/internal/host/configure.go
@@ -15,59 +15,65 @@
 )
 
 const (
-	// readers is how many hosts watch the platform. The others learn from peers.
-	readers = 2
-	// readersKey is the name under which hosts are ranked for that.
-	readersKey = "/readers"
-	// hostsInterval is how often a reader fetches the platform's host list.
-	hostsInterval = time.Second
-	// checkInterval is how often every other host looks at the revision of the
-	// configuration itself, in case the readers are cut off from the platform.
-	checkInterval = 10 * time.Second
-	// pushed is how many hosts a host tells of a new revision at once.
-	pushed = 3
-	// basesKept is how many earlier revisions a host keeps to make deltas from.
-	basesKept = 4
-	// lonelyInterval is how often a host without a configuration, or without
+	// maxStoreReaders is how many hosts watch the platform's store. The others
+	// learn of changes from other hosts.
+	maxStoreReaders = 2
+	// storeReadersKey is the key by which hosts are ranked to choose the store
+	// readers.
+	storeReadersKey = "/readers"
+	// hostListInterval is how often a store reader fetches the platform's host list.
+	hostListInterval = time.Second
+	// configCheckInterval is how often every other host checks the store's
+	// revision of the configuration, in case the store readers are cut off from
+	// the platform.
+	configCheckInterval = 10 * time.Second
+	// pushFanout is how many hosts a host probes at once to spread a new revision
+	// or a membership change.
+	pushFanout = 3
+	// maxDeltaBases is how many earlier revisions a host keeps to encode deltas
+	// against.
+	maxDeltaBases = 4
+	// storeRetryInterval is how often a host without a configuration, or without
 	// peers, asks the platform itself.
-	lonelyInterval = 500 * time.Millisecond
-	// pullTimeout bounds a call for the configuration.
+	storeRetryInterval = 500 * time.Millisecond
+	// pullTimeout bounds a call to another host for the configuration.
 	pullTimeout = 2 * time.Second
 )
 
-// configuration holds the newest revision that was received, and the one in
-// force. The zero value has none.
+// configuration holds the newest revision received and the one in force. The
+// zero value has neither. It may be used from several goroutines.
 type configuration struct {
 	mu sync.Mutex
-	// newest is what is passed on. Its number only rises, and is never below
-	// that of the revision in force.
+	// newest is the revision sent to other hosts. Its number only rises and is
+	// never below the number of the revision in force.
 	newest config.Revision
-	// revision is in force, with its document. Its number only rises.
-	revision config.Revision
-	doc      *config.Document
-	applied  time.Time
-	pulling  bool
-	// earlier holds revisions that were received before, newest first.
+	// current is the revision in force and doc its document. Its number only
+	// rises.
+	current   config.Revision
+	doc       *config.Document
+	appliedAt time.Time
+	pulling   bool
+	// earlier holds the revisions received before newest, newest first.
 	earlier []config.Revision
-	// deltas holds encoded deltas to the newest revision, by their base.
+	// deltas holds encoded deltas to newest by the number of their base.
 	deltas map[uint64][]byte
 }
 
-// latest returns the newest revision that was received.
-func (c *configuration) latest() config.Revision {
+// newestRevision returns the newest revision received.
+func (c *configuration) newestRevision() config.Revision {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.newest
 }
 
-// received returns the number of the newest revision that was received.
-func (c *configuration) received() uint64 { return c.latest().Number }
+// newestNumber returns the number of the newest revision received.
+func (c *configuration) newestNumber() uint64 { return c.newestRevision().Number }
 
 // inForce returns the revision in force.
 func (c *configuration) inForce() config.Revision {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.revision
+	return c.current
 }
 
 func (c *configuration) document() *config.Document {
@@ -76,10 +82,10 @@
 	return c.doc
 }
 
-func (c *configuration) number() uint64 { return c.inForce().Number }
+func (c *configuration) inForceNumber() uint64 { return c.inForce().Number }
 
-// receive keeps a revision if it is newer than all before, and reports whether
-// it is.
+// receive stores r if it is newer than every revision received before, and
+// reports whether it is.
 func (c *configuration) receive(r config.Revision) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -87,15 +93,16 @@
 		return false
 	}
 	if c.newest.Number > 0 {
-		c.earlier = append([]config.Revision{c.newest}, c.earlier[:min(len(c.earlier), basesKept-1)]...)
+		c.earlier = append([]config.Revision{c.newest}, c.earlier[:min(len(c.earlier), maxDeltaBases-1)]...)
 	}
 	c.newest, c.deltas = r, map[uint64][]byte{}
 	return true
 }
 
-// apply puts a revision in force if it is higher than the present one.
+// apply puts r in force if its number is higher than the current one, and
+// reports whether it did. The error says that the document is invalid.
 func (c *configuration) apply(r config.Revision) (bool, error) {
-	if r.Number <= c.number() {
+	if r.Number <= c.inForceNumber() {
 		return false, nil
 	}
 	doc, err := config.Parse(r.Text)
@@ -104,15 +111,16 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if r.Number <= c.revision.Number {
+	if r.Number <= c.current.Number {
 		return false, nil
 	}
-	c.revision, c.doc, c.applied = r, doc, time.Now()
+	c.current, c.doc, c.appliedAt = r, doc, time.Now()
 	return true, nil
 }
 
-// answer returns what a host that has the given revision lacks.
-func (c *configuration) answer(have uint64) *peer.Pulled {
+// pullResponse returns what a host needs that has revision have. It is empty if
+// the host needs nothing.
+func (c *configuration) pullResponse(have uint64) *peer.Pulled {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.newest.Number <= have {
@@ -125,8 +133,9 @@
 	return &peer.Pulled{Revision: c.newest.Number, Base: base, Delta: delta}
 }
 
-// delta returns the difference to the revision that a host has, or the whole
-// document with base zero when that revision is not kept. c.mu is held.
+// delta returns the encoded difference between revision have and the newest one,
+// or the whole document with base zero if revision have is not kept. c.mu must be
+// held.
 func (c *configuration) delta(have uint64) (base uint64, delta []byte, err error) {
 	if kept, ok := c.deltas[have]; ok {
 		return have, kept, nil
@@ -142,13 +151,14 @@
 	return 0, delta, err
 }
 
-// take passes a revision on, puts it in force, and tells the owners. It is passed
-// on first: it was checked when it was accepted, and to parse a document of a
-// megabyte at every step would take most of the time that it needs to spread.
-func (h *Host) take(r config.Revision, from string) {
+// adoptRevision sends a revision to other hosts, puts it in force and updates the
+// owners. It sends the revision before parsing it: the document was checked when
+// it was accepted, and parsing a megabyte at every hop would take most of the time
+// that a revision needs to spread.
+func (h *Host) adoptRevision(r config.Revision, from string) {
 	if h.conf.receive(r) {
-		for _, other := range h.someNeighbours(pushed) {
-			h.done.Go(func() { _ = h.probeOnce(context.Background(), other) })
+		for _, other := range h.randomNeighbours(pushFanout) {
+			h.background.Go(func() { _ = h.probeOnce(context.Background(), other) })
 		}
 	}
 	applied, err := h.conf.apply(r)
@@ -162,60 +172,61 @@
 	}
 }
 
-// configureLoop keeps the configuration and the host list fresh.
+// configureLoop keeps the configuration and the host list up to date until ctx
+// ends.
 func (h *Host) configureLoop(ctx context.Context) {
 	checked := time.Now()
 	for ctx.Err() == nil {
-		reader := h.isReader()
+		reader := h.isStoreReader()
 		if reader || h.conf.document() == nil {
 			h.fetchHosts(ctx)
 			h.fetchConfig(ctx)
 		}
 		if h.conf.document() == nil {
-			h.askSeeds(ctx)
+			h.probeSeeds(ctx)
 		}
-		wait := lonelyInterval
+		wait := storeRetryInterval
 		if h.conf.document() != nil {
-			wait = hostsInterval
+			wait = hostListInterval
 		}
 		switch {
 		case reader && h.conf.document() != nil:
 			h.watchConfig(ctx, wait)
-		case time.Since(checked) >= checkInterval:
+		case time.Since(checked) >= configCheckInterval:
 			checked = time.Now()
 			h.checkConfig(ctx)
 		default:
-			pauseFor(ctx, wait)
+			sleep(ctx, wait)
 		}
 	}
 }
 
-// checkConfig fetches the configuration if the store has another one than it had
-// when this host last looked.
+// checkConfig fetches the configuration if its revision in the store has changed
+// since the last check.
 func (h *Host) checkConfig(ctx context.Context) {
 	revision, err := h.store.Revision(ctx, etcd.ConfigKey)
-	if err != nil || revision == h.storeRevision.Swap(revision) {
+	if err != nil || revision == h.lastStoreRevision.Swap(revision) {
 		return
 	}
 	h.fetchConfig(ctx)
 }
 
-// askSeeds probes the hosts that the settings name. Their answers tell of all
-// others and of the configuration in force.
-func (h *Host) askSeeds(ctx context.Context) {
+// probeSeeds probes the seeds of the settings until one answers. The answer lists
+// the other hosts and the revision in force.
+func (h *Host) probeSeeds(ctx context.Context) {
 	for _, seed := range h.settings.Seeds {
 		if seed == h.settings.Peers {
 			continue
 		}
 		if err := h.probeOnce(ctx, membership.Host{Peer: seed}); err == nil {
-			h.acquainted.Store(true)
+			h.membershipKnown.Store(true)
 			h.wakeReconcile()
 			return
 		}
 	}
 }
 
-func pauseFor(ctx context.Context, d time.Duration) {
+func sleep(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
@@ -224,13 +235,14 @@
 	}
 }
 
-// isReader reports whether this host is one of those that watch the platform.
-func (h *Host) isReader() bool {
-	if h.allRead {
+// isStoreReader reports whether this host is one of the hosts that watch the
+// platform's store.
+func (h *Host) isStoreReader() bool {
+	if h.allStoreReaders {
 		return true
 	}
-	for i, other := range h.ranked(readersKey) {
-		if i >= readers {
+	for i, other := range h.ranked(storeReadersKey) {
+		if i >= maxStoreReaders {
 			return false
 		}
 		if other.ID == h.settings.Host {
@@ -247,9 +259,9 @@
 		return
 	}
 	h.table.MergeHostList(hosts, time.Now())
-	if !h.acquainted.Load() {
+	if !h.membershipKnown.Load() {
 		h.announce(ctx)
-		h.acquainted.Store(true)
+		h.membershipKnown.Store(true)
 		h.wakeReconcile()
 	}
 }
@@ -260,18 +272,20 @@
 		_ = level.Warn(h.logger).Log("step", "fetch_configuration", "peer", "platform", "err", err)
 		return
 	}
-	h.settleEntry(ctx, entry)
+	h.syncEntry(ctx, entry)
 }
 
-// settleEntry takes an entry over, or writes back what the store has lost of it.
-func (h *Host) settleEntry(ctx context.Context, entry etcd.Entry) {
-	if stored, ok := h.takeEntry(entry); ok {
+// syncEntry adopts the revision of a store entry, or writes the newest one back if
+// the store holds an older one.
+func (h *Host) syncEntry(ctx context.Context, entry etcd.Entry) {
+	if stored, ok := h.adoptEntry(entry); ok {
 		h.writeBack(ctx, entry, stored)
 	}
 }
 
-// takeEntry takes over the revision that an entry holds. It returns false if there is none that can be read.
-func (h *Host) takeEntry(entry etcd.Entry) (config.Revision, bool) {
+// adoptEntry adopts the revision of a store entry. It returns false if the entry
+// holds no readable revision.
+func (h *Host) adoptEntry(entry etcd.Entry) (config.Revision, bool) {
 	if entry.Revision == 0 {
 		return config.Revision{}, false
 	}
@@ -280,14 +294,15 @@
 		_ = level.Error(h.logger).Log("step", "fetch_configuration", "peer", "platform", "err", err)
 		return config.Revision{}, false
 	}
-	h.take(r, "platform")
+	h.adoptRevision(r, "platform")
 	return r, true
 }
 
-// writeBack writes the newest revision that was received into the store, if that holds an older one: it has come back
-// from a copy, and would refuse whatever operators submit on top of what is in force.
+// writeBack writes the newest revision received into the store if the store holds
+// an older one. Such a store was restored from a backup, and would refuse
+// documents that operators submit on top of the revision in force.
 func (h *Host) writeBack(ctx context.Context, entry etcd.Entry, stored config.Revision) {
-	newest := h.conf.latest()
+	newest := h.conf.newestRevision()
 	if stored.Number >= newest.Number {
 		return
 	}
@@ -295,22 +310,23 @@
 	_ = level.Warn(h.logger).Log("step", "write_configuration_back", "peer", "platform", "stored", stored.Number, "revision", newest.Number, "err", err)
 }
 
-// watchConfig watches the configuration for a while.
+// watchConfig watches the configuration in the store for the given time.
 func (h *Host) watchConfig(ctx context.Context, wait time.Duration) {
 	ctx, cancel := context.WithTimeout(ctx, wait)
 	defer cancel()
 	entry, err := h.store.Get(ctx, etcd.ConfigKey)
 	if err == nil {
-		h.settleEntry(ctx, entry)
-		err = h.store.Watch(ctx, etcd.ConfigKey, entry.Revision, func(changed etcd.Entry) { h.takeEntry(changed) })
+		h.syncEntry(ctx, entry)
+		err = h.store.Watch(ctx, etcd.ConfigKey, entry.Revision, func(changed etcd.Entry) { h.adoptEntry(changed) })
 	}
 	if err != nil && ctx.Err() == nil {
-		pauseFor(ctx, lonelyInterval)
+		sleep(ctx, storeRetryInterval)
 	}
 }
 
-// pullFrom asks a host for its configuration, in the background.
-func (h *Host) pullFrom(other membership.Host) {
+// startPull requests the configuration of another host in the background, unless
+// such a request is running.
+func (h *Host) startPull(other membership.Host) {
 	h.conf.mu.Lock()
 	running := h.conf.pulling
 	h.conf.pulling = true
@@ -318,7 +334,7 @@
 	if running {
 		return
 	}
-	h.done.Go(func() {
+	h.background.Go(func() {
 		h.pull(other)
 		h.conf.mu.Lock()
 		h.conf.pulling = false
@@ -329,7 +345,7 @@
 func (h *Host) pull(other membership.Host) {
 	ctx, cancel := context.WithTimeout(context.Background(), pullTimeout)
 	defer cancel()
-	got, err := h.client.Pull(ctx, other.Peer, &peer.Pull{Have: h.conf.received()})
+	got, err := h.client.Pull(ctx, other.Peer, &peer.Pull{Have: h.conf.newestNumber()})
 	if err != nil || got.Revision == 0 {
 		return
 	}
@@ -338,14 +354,16 @@
 		_ = level.Error(h.logger).Log("step", "pull_configuration", "peer", other.ID, "err", err)
 		return
 	}
-	h.take(r, other.ID)
+	h.adoptRevision(r, other.ID)
 }
 
+// decodePulled decodes a pulled revision. A delta must be based on the newest
+// revision received.
 func (h *Host) decodePulled(got *peer.Pulled) (config.Revision, error) {
 	if got.Base == 0 {
 		return etcd.DecodeRevision(got.Delta)
 	}
-	base := h.conf.latest()
+	base := h.conf.newestRevision()
 	if base.Number != got.Base {
 		return config.Revision{}, errors.Errorf("the delta is based on revision %d", got.Base)
 	}
--- a/internal/host/host.go
+++ b/internal/host/host.go
@@ -25,68 +25,72 @@
 	"pearlatch/io/upstream"
 )
 
-// Options are what a host needs besides its settings.
+// Options configure Start.
 type Options struct {
 	Settings Settings
 	Logger   log.Logger
-	// ListenPeers opens the listener for other hosts. Nil stands for net.Listen
-	// over TCP.
+	// ListenPeers opens the listener for other hosts. If nil, net.Listen over TCP
+	// is used.
 	ListenPeers func(netip.AddrPort) (net.Listener, error)
-	// Membership is the timing of probes between hosts. The zero value stands
-	// for the default.
+	// Membership is the timing of probes between hosts. The zero value means
+	// membership.DefaultTiming.
 	Membership membership.Timing
-	// AllRead makes every host watch the platform, as a baseline.
-	AllRead bool
-	// Binding says when a read is bound to a member, for measurements.
+	// AllStoreReaders makes every host watch the platform's store, as a baseline
+	// for measurements.
+	AllStoreReaders bool
+	// Binding says when a read is assigned to a member. It is set for
+	// measurements.
 	Binding upstream.Binding
-	// Unsafe switches safeguards off, for tests and baselines.
+	// Unsafe turns safeguards off, for tests and baselines.
 	Unsafe upstream.Unsafe
 }
 
-// Host is a running host.
+// Host is a running host. Start returns one.
 type Host struct {
-	settings Settings
-	logger   log.Logger
-	metrics  metrics.Registry
-	store    *etcd.Etcd
-	operator *operator.Server
-	drains   chan struct{}
-	table    *membership.Table
-	timing   membership.Timing
-	binding  upstream.Binding
-	allRead  bool
-	unsafe   upstream.Unsafe
-	client   *peer.Client
-	traffic  *peer.Traffic
-	callers  *caller.Listener
-	server   net.Listener
-	started  time.Time
-	stop     context.CancelFunc
-	done     sync.WaitGroup
+	settings        Settings
+	logger          log.Logger
+	metrics         metrics.Registry
+	store           *etcd.Etcd
+	operator        *operator.Server
+	drainRequested  chan struct{}
+	table           *membership.Table
+	timing          membership.Timing
+	binding         upstream.Binding
+	allStoreReaders bool
+	unsafe          upstream.Unsafe
+	client          *peer.Client
+	traffic         *peer.Traffic
+	callers         *caller.Listener
+	callerListener  net.Listener
+	started         time.Time
+	stop            context.CancelFunc
+	background      sync.WaitGroup
 
-	reconciled chan struct{} // wakes the reconciling of owners
-	news       chan struct{} // wakes the passing on of claims
-	conf       configuration
-	verifiers  verifiers
-	stopping   atomic.Bool
-	// storeRevision is the store's revision of the configuration at the last look.
-	storeRevision atomic.Int64
-	// acquainted is true once the host has asked the hosts that the platform
-	// lists. Until then it does not know what others own, and owns nothing.
-	acquainted atomic.Bool
+	reconcileWake chan struct{} // wakes reconcileLoop
+	gossipWake    chan struct{} // wakes gossipLoop
+	conf          configuration
+	verifiers     verifierCache
+	stopping      atomic.Bool
+	// lastStoreRevision is the store's revision of the configuration at the last
+	// check.
+	lastStoreRevision atomic.Int64
+	// membershipKnown is true once the host has asked the hosts that the platform
+	// lists. Until then it does not know which groups other hosts own, and owns
+	// none.
+	membershipKnown atomic.Bool
 
-	ownerSerial atomic.Uint64
-	memberBytes atomic.Int64 // on control connections to members
+	ownerSerial  atomic.Uint64
+	controlBytes atomic.Int64 // bytes carried by control connections to members
 
 	ownersMu sync.Mutex
 	owners   map[string]*upstream.Owner
-	doubts   map[string]bool // hosts that are being probed on a doubt
+	probing  map[string]bool // IDs of hosts with a probe of probeNow in flight
 
-	exchanges   exchanges
-	substitutes substitutes
+	exchanges      exchanges
+	ownerOverrides ownerOverrides
 }
 
-// Start starts a host. It serves callers once it has a configuration.
+// Start starts a host. The host serves callers once it has a configuration.
 func Start(o Options) (*Host, error) {
 	if o.ListenPeers == nil {
 		o.ListenPeers = listenTCP
@@ -109,22 +113,22 @@
 	}
 	traffic := &peer.Traffic{}
 	h := &Host{
-		settings:   s,
-		logger:     log.With(o.Logger, "host", s.Host),
-		metrics:    metrics.NewRegistry(),
-		store:      etcd.NewEtcd(s.Platform),
-		timing:     o.Membership,
-		binding:    o.Binding,
-		allRead:    o.AllRead,
-		unsafe:     o.Unsafe,
-		client:     peer.NewClient(s.Peers.Addr(), peerTLS, traffic),
-		traffic:    traffic,
-		started:    time.Now(),
-		reconciled: make(chan struct{}, 1),
-		owners:     map[string]*upstream.Owner{},
-		doubts:     map[string]bool{},
-		drains:     make(chan struct{}, 1),
-		news:       make(chan struct{}, 1),
+		settings:        s,
+		logger:          log.With(o.Logger, "host", s.Host),
+		metrics:         metrics.NewRegistry(),
+		store:           etcd.NewEtcd(s.Platform),
+		timing:          o.Membership,
+		binding:         o.Binding,
+		allStoreReaders: o.AllStoreReaders,
+		unsafe:          o.Unsafe,
+		client:          peer.NewClient(s.Peers.Addr(), peerTLS, traffic),
+		traffic:         traffic,
+		started:         time.Now(),
+		reconcileWake:   make(chan struct{}, 1),
+		owners:          map[string]*upstream.Owner{},
+		probing:         map[string]bool{},
+		drainRequested:  make(chan struct{}, 1),
+		gossipWake:      make(chan struct{}, 1),
 	}
 	self := membership.Host{ID: s.Host, Zone: s.Zone, Peer: s.Peers, Incarnation: uint64(time.Now().UnixMilli())}
 	h.table = membership.NewTable(self, o.Membership, h.membersChanged)
@@ -133,13 +137,13 @@
 		Router: h, Routes: h, Logger: h.logger, Metrics: h.metrics,
 	})
 	h.operator = operator.NewServer(operator.Options{
-		Process: process{h}, Metrics: h.metrics, Configuration: operators{h}, Login: operator.Login(s.OperatorLogin),
+		Process: operatorProcess{h}, Metrics: h.metrics, Configuration: operatorConfig{h}, Login: operator.Login(s.OperatorLogin),
 	})
 	l, err := listen(s, o.ListenPeers)
 	if err != nil {
 		return nil, err
 	}
-	h.server = l.callers
+	h.callerListener = l.callers
 	if operatorTLS != nil {
 		l.operators = tls.NewListener(l.operators, operatorTLS)
 	}
@@ -148,9 +152,10 @@
 	return h, nil
 }
 
-// listeners are what a host listens on.
+// listeners holds the listeners of a host.
 type listeners struct{ peers, callers, operators net.Listener }
 
+// listen opens all listeners of a host, or none.
 func listen(s Settings, listenPeers func(netip.AddrPort) (net.Listener, error)) (l listeners, err error) {
 	if l.peers, err = listenPeers(s.Peers); err != nil {
 		return l, errors.Wrap(err, "listen for peers")
@@ -167,56 +172,57 @@
 	return l, nil
 }
 
-// run starts the host's loops.
+// run starts the servers and loops of the host.
 func (h *Host) run(l listeners, peerTLS *tls.Config) {
 	ctx, stop := context.WithCancel(context.Background())
 	h.stop = stop
-	h.done.Go(func() { _ = peer.Serve(ctx, l.peers, handler{h}, peerTLS, h.traffic) })
-	h.done.Go(func() { h.probeLoop(ctx) })
-	h.done.Go(func() { h.newsLoop(ctx) })
-	h.done.Go(func() { h.configureLoop(ctx) })
-	h.done.Go(func() { h.reconcileLoop(ctx) })
-	h.done.Go(func() { h.callers.Serve(l.callers) })
-	h.done.Go(func() { _ = h.operator.Serve(l.operators) })
+	h.background.Go(func() { _ = peer.Serve(ctx, l.peers, peerHandler{h}, peerTLS, h.traffic) })
+	h.background.Go(func() { h.probeLoop(ctx) })
+	h.background.Go(func() { h.gossipLoop(ctx) })
+	h.background.Go(func() { h.configureLoop(ctx) })
+	h.background.Go(func() { h.reconcileLoop(ctx) })
+	h.background.Go(func() { h.callers.Serve(l.callers) })
+	h.background.Go(func() { _ = h.operator.Serve(l.operators) })
 }
 
 func listenTCP(a netip.AddrPort) (net.Listener, error) { return net.Listen("tcp", a.String()) }
 
-// hostNumber returns the upper half of the process numbers that a host gives to
-// its callers, by which other hosts find it.
+// hostNumber returns the upper 16 bits of the process IDs that a host gives to its
+// callers. Other hosts find the host of a cancel request by them.
 func hostNumber(id string) uint16 { return uint16(xxhash.Sum64String(id)) }
 
-// Shutdown ends the host gracefully: no request in flight is cut unless ctx
-// ends first.
+// Shutdown stops the host gracefully: it interrupts no request in flight unless
+// ctx ends first.
 func (h *Host) Shutdown(ctx context.Context) {
 	h.stopping.Store(true)
 	h.table.Leave()
 	h.announce(ctx)
 	h.callers.Drain(ctx)
-	_ = h.server.Close()
+	_ = h.callerListener.Close()
 	h.closeOwners(ctx)
-	h.halt()
+	h.stopBackground()
 }
 
-// Kill ends the host at once, as a crash does.
+// Kill stops the host at once, as a crash does.
 func (h *Host) Kill() {
 	h.stopping.Store(true)
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
-	_ = h.server.Close()
+	_ = h.callerListener.Close()
 	h.operator.Close()
 	h.stop()
 	h.client.Close()
 	h.closeOwners(ctx)
 	h.callers.Drain(ctx)
-	h.done.Wait()
+	h.background.Wait()
 }
 
-func (h *Host) halt() {
+// stopBackground ends the loops and the connections to other hosts and operators.
+func (h *Host) stopBackground() {
 	h.operator.Close()
 	h.stop()
 	h.client.Close()
-	h.done.Wait()
+	h.background.Wait()
 	_ = level.Info(h.logger).Log("step", "stopped")
 }
 
@@ -233,7 +239,8 @@
 	return *r, true
 }
 
-// Ready implements caller.Routes.
+// Ready implements caller.Routes. It returns why the host is not ready, or the
+// empty string.
 func (h *Host) Ready() string {
 	if h.conf.document() == nil {
 		return "it has no configuration: neither the platform's store nor another host answered with one"
@@ -247,29 +254,29 @@
 	if !ok || c.User != user {
 		return nil
 	}
-	return h.verifiers.of(credential, c.Password)
+	return h.verifiers.get(credential, c.Password)
 }
 
-// verifiers keeps the verifiers of credentials, whose derivation is slow on
-// purpose.
-type verifiers struct {
-	mu    sync.Mutex
-	known map[string]*postgres.Verifier
+// verifierCache caches the verifiers of credentials, because deriving one is slow
+// by design. The zero value is ready for use.
+type verifierCache struct {
+	mu           sync.Mutex
+	byCredential map[string]*postgres.Verifier
 }
 
-func (v *verifiers) of(credential, password string) *postgres.Verifier {
+func (v *verifierCache) get(credential, password string) *postgres.Verifier {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if got := v.known[credential]; got != nil {
+	if got := v.byCredential[credential]; got != nil {
 		return got
 	}
 	got, err := postgres.NewVerifier(password)
 	if err != nil {
 		return nil
 	}
-	if v.known == nil {
-		v.known = map[string]*postgres.Verifier{}
+	if v.byCredential == nil {
+		v.byCredential = map[string]*postgres.Verifier{}
 	}
-	v.known[credential] = got
+	v.byCredential[credential] = got
 	return got
 }
--- a/internal/host/owners.go
+++ b/internal/host/owners.go
@@ -14,10 +14,12 @@
 	"pearlatch/io/upstream"
 )
 
-// handOverLimit bounds how long open transactions may delay a hand-over.
-const handOverLimit = 10 * time.Second
+// handOverTimeout bounds how long open transactions may delay handing a group
+// over.
+const handOverTimeout = 10 * time.Second
 
-// membersChanged is called when the set of live hosts has changed.
+// membersChanged is called by the membership table when the set of live hosts has
+// changed.
 func (h *Host) membersChanged() {
 	for _, c := range h.table.Statuses() {
 		if c.State == membership.Dead {
@@ -26,24 +28,24 @@
 	}
 	h.wakeReconcile()
 	select {
-	case h.news <- struct{}{}:
+	case h.gossipWake <- struct{}{}:
 	default:
 	}
 }
 
 func (h *Host) wakeReconcile() {
 	select {
-	case h.reconciled <- struct{}{}:
+	case h.reconcileWake <- struct{}{}:
 	default:
 	}
 }
 
-// reconcileLoop starts and closes owners as the live hosts and the
-// configuration change.
+// reconcileLoop starts and closes owners when the live hosts or the configuration
+// have changed. It returns when ctx ends.
 func (h *Host) reconcileLoop(ctx context.Context) {
 	for {
 		select {
-		case <-h.reconciled:
+		case <-h.reconcileWake:
 			h.reconcile()
 		case <-ctx.Done():
 			return
@@ -51,9 +53,11 @@
 	}
 }
 
+// reconcile starts, updates and closes owners so that this host owns exactly the
+// groups for which it ranks first.
 func (h *Host) reconcile() {
 	doc := h.conf.document()
-	if doc == nil || h.stopping.Load() || !h.acquainted.Load() {
+	if doc == nil || h.stopping.Load() || !h.membershipKnown.Load() {
 		return
 	}
 	h.ownersMu.Lock()
@@ -78,16 +82,16 @@
 	}
 }
 
-// startOwner begins to own a group. h.ownersMu is held.
+// startOwner starts the owner of a group. h.ownersMu must be held.
 func (h *Host) startOwner(g config.Group) {
 	c := h.settings.Credentials[g.Credential]
 	_ = level.Info(h.logger).Log("step", "own", "group", g.Name)
 	h.owners[g.Name] = upstream.Start(upstream.Options{
 		Host: h.settings.Host, Group: g, User: c.User, Password: c.Password,
 		Local: h.settings.Peers.Addr(), Serial: h.ownerSerial.Add(1),
-		ControlBytes: &h.memberBytes,
-		HostGone:     h.gone,
-		Yield:        func(to string) { h.done.Go(func() { h.yield(g.Name, to) }) },
+		ControlBytes: &h.controlBytes,
+		HostGone:     h.isGone,
+		Yield:        func(to string) { h.background.Go(func() { h.yieldGroup(g.Name, to) }) },
 		Binding:      h.binding,
 		Unsafe:       h.unsafe,
 		Successor:    successor{host: h, group: g.Name},
@@ -98,22 +102,23 @@
 	})
 }
 
-// handOver closes an owner in the background, so that its open transactions
-// end. h.ownersMu is held.
+// handOver closes an owner in the background, which lets its open transactions
+// end. h.ownersMu must be held.
 func (h *Host) handOver(owner *upstream.Owner) {
 	name := owner.Group().Name
 	delete(h.owners, name)
 	_ = level.Info(h.logger).Log("step", "hand_over", "group", name)
-	h.done.Go(func() {
-		ctx, cancel := context.WithTimeout(context.Background(), handOverLimit)
+	h.background.Go(func() {
+		ctx, cancel := context.WithTimeout(context.Background(), handOverTimeout)
 		defer cancel()
 		owner.Close(ctx)
 	})
 	h.wakeReconcile()
 }
 
-// reconfigure brings a new revision to an owner. A change of what connections
-// are made of takes a new owner. h.ownersMu is held.
+// reconfigure applies a new revision to an owner. If the revision changes how
+// connections are opened, the owner is closed, and reconcile starts a new one.
+// h.ownersMu must be held.
 func (h *Host) reconfigure(owner *upstream.Owner, g *config.Group) {
 	if !owner.Group().SameUpstreams(g) {
 		h.handOver(owner)
@@ -125,6 +130,7 @@
 	})
 }
 
+// owner returns the owner of the group if this host owns it, or nil.
 func (h *Host) owner(group string) *upstream.Owner {
 	h.ownersMu.Lock()
 	defer h.ownersMu.Unlock()
@@ -134,7 +140,7 @@
 // Owns reports whether this host owns the group.
 func (h *Host) Owns(group string) bool { return h.owner(group) != nil }
 
-// closeOwners hands all groups over.
+// closeOwners hands all groups over and waits until their owners are closed.
 func (h *Host) closeOwners(ctx context.Context) {
 	h.ownersMu.Lock()
 	all := h.owners
@@ -147,14 +153,14 @@
 	wg.Wait()
 }
 
-// gone reports whether a host is known to be gone. A host never heard of counts
-// as gone only once the platform's list was seen.
-func (h *Host) gone(id string) bool {
+// isGone reports whether a host is known not to be live. An unknown host counts as
+// gone only once the platform's host list was received.
+func (h *Host) isGone(id string) bool {
 	_, live := h.table.Lookup(id)
-	return !live && h.acquainted.Load()
+	return !live && h.membershipKnown.Load()
 }
 
-// successor reaches the next owner of a group.
+// successor calls the next owner of a group, on this host or another one.
 type successor struct {
 	host  *Host
 	group string
@@ -162,18 +168,19 @@
 
 var _ upstream.Successor = successor{}
 
-// successorPause is the pause before the next owner is asked again.
-const successorPause = 5 * time.Millisecond
+// successorRetryInterval is the delay between attempts to confirm with the next
+// owner.
+const successorRetryInterval = 5 * time.Millisecond
 
-// Confirm implements upstream.Successor. It asks until the next owner, which may
-// still have to start, has answered.
+// Confirm implements upstream.Successor. It retries until the next owner confirms
+// or ctx ends, because that owner may not have started yet.
 func (s successor) Confirm(ctx context.Context, term group.Term, session string) error {
 	for {
 		err := s.confirmOnce(ctx, term, session)
 		if err == nil || ctx.Err() != nil {
 			return err
 		}
-		pauseFor(ctx, successorPause)
+		sleep(ctx, successorRetryInterval)
 	}
 }
 
@@ -182,7 +189,7 @@
 	if next.ID == s.host.settings.Host {
 		owner := s.host.owner(s.group)
 		if owner == nil {
-			return errNotYet
+			return errNoOwner
 		}
 		return owner.ConfirmFor(ctx, term, session)
 	}
@@ -192,7 +199,7 @@
 	}
 	v, err := s.host.client.Confirm(ctx, next.Peer, m)
 	if err == nil && !v.Yes {
-		err = errNotYet
+		err = errNoOwner
 	}
 	return err
 }
