--- a/internal/soak/fault.go
+++ b/internal/soak/fault.go
@@ -77,44 +77,44 @@
 	Seed uint64
 }
 
-// pick returns what settles the details of the fault.
-func (f Fault) pick() *rand.Rand { return rand.New(rand.NewPCG(f.Seed, uint64(f.Kind))) }
+// newRand returns what settles the details of the fault.
+func (f Fault) newRand() *rand.Rand { return rand.New(rand.NewPCG(f.Seed, uint64(f.Kind))) }
 
 const (
-	// leastFaults and mostFaults bound the faults of a schedule.
-	leastFaults, mostFaults = 2, 8
-	// shortestFault and longestFault bound how long one lasts: from less than a lease on a primary to
+	// minFaults and maxFaults bound the faults of a schedule.
+	minFaults, maxFaults = 2, 8
+	// minFaultDuration and maxFaultDuration bound how long one lasts: from less than a lease on a primary to
 	// more than a duty's.
-	shortestFault, longestFault = 200 * time.Millisecond, 4 * time.Second
+	minFaultDuration, maxFaultDuration = 200 * time.Millisecond, 4 * time.Second
 )
 
 // Schedule returns the faults of a seed, within the given time. In some of them the store comes back from an older
 // copy.
 func Schedule(seed uint64, within time.Duration) []Fault {
-	out := lasting(seed, within)
+	out := scheduleWithoutRestores(seed, within)
 	random := rand.New(rand.NewPCG(seed, 2))
-	for range random.IntN(mostRestores + 1) {
-		out = append(out, draw(random, StoreRestored, within))
+	for range random.IntN(maxRestores + 1) {
+		out = append(out, randomFault(random, StoreRestored, within))
 	}
 	return out
 }
 
-// mostRestores bounds how often the store comes back from a copy within a schedule.
-const mostRestores = 2
+// maxRestores bounds how often the store comes back from a copy within a schedule.
+const maxRestores = 2
 
-// lasting returns the faults of a seed with which the store keeps what it has acknowledged.
-func lasting(seed uint64, within time.Duration) []Fault {
+// scheduleWithoutRestores returns the faults of a seed with which the store keeps what it has acknowledged.
+func scheduleWithoutRestores(seed uint64, within time.Duration) []Fault {
 	random := rand.New(rand.NewPCG(seed, 1))
-	out := make([]Fault, leastFaults+random.IntN(mostFaults-leastFaults+1))
+	out := make([]Fault, minFaults+random.IntN(maxFaults-minFaults+1))
 	for i := range out {
-		out[i] = draw(random, kinds, within)
+		out[i] = randomFault(random, kinds, within)
 	}
 	return out
 }
 
-// draw returns a fault of the kind, or of any of those that lasting has.
-func draw(random *rand.Rand, k Kind, within time.Duration) Fault {
-	length := shortestFault + time.Duration(random.Int64N(int64(longestFault-shortestFault)))
+// randomFault returns a fault of the kind, or of any of those that lasting has.
+func randomFault(random *rand.Rand, k Kind, within time.Duration) Fault {
+	length := minFaultDuration + time.Duration(random.Int64N(int64(maxFaultDuration-minFaultDuration)))
 	if k == kinds {
 		k = Kind(random.IntN(int(StoreRestored)))
 	}
--- a/internal/soak/file.go
+++ b/internal/soak/file.go
@@ -51,15 +51,15 @@
 	m := yamlmap.Parse(text, &wrong)
 	p := &Plan{Options: DefaultOptions(), Seed: parseSeed(m, 1)}
 	o := &p.Options
-	o.Callers = atLeast(m, "callers", o.Callers, 1)
+	o.Callers = intAtLeast(m, "callers", o.Callers, 1)
 	o.Faults = m.Duration("faults_within", o.Faults)
 	s := &o.Site
-	s.Hosts = within(m, "hosts", s.Hosts, mostHosts)
-	s.Zones = within(m, "availability_zones", s.Zones, mostHosts)
-	s.Groups = within(m, "groups", s.Groups, mostGroups)
-	s.Slots = atLeast(m, "slots", s.Slots, 1)
-	s.Queue = atLeast(m, "queue", s.Queue, 0)
-	s.Connections = atLeast(m, "connections", s.Connections, leastConnections)
+	s.Hosts = intInRange(m, "hosts", s.Hosts, maxHosts)
+	s.Zones = intInRange(m, "availability_zones", s.Zones, maxHosts)
+	s.Groups = intInRange(m, "groups", s.Groups, maxGroups)
+	s.Slots = intAtLeast(m, "slots", s.Slots, 1)
+	s.Queue = intAtLeast(m, "queue", s.Queue, 0)
+	s.Connections = intAtLeast(m, "connections", s.Connections, minConnections)
 	s.Work = m.Duration("work", s.Work)
 	s.OpenTime = m.Duration("open_time", s.OpenTime)
 	s.PromoteTime = m.Duration("promote_time", s.PromoteTime)
@@ -74,10 +74,10 @@
 }
 
 const (
-	// mostHosts and mostGroups are what the site's loopback addresses have room for.
-	mostHosts, mostGroups = 250, 80
-	// leastConnections leaves two for the holder of a group's duty and one for callers.
-	leastConnections = 3
+	// maxHosts and maxGroups are what the site's loopback addresses have room for.
+	maxHosts, maxGroups = 250, 80
+	// minConnections leaves two for the holder of a group's duty and one for callers.
+	minConnections = 3
 )
 
 // parseSeed reads a seed.
@@ -93,8 +93,8 @@
 	return n
 }
 
-// atLeast reads a whole number.
-func atLeast(m *yamlmap.Map, field string, missing, least int) int {
+// intAtLeast reads a whole number.
+func intAtLeast(m *yamlmap.Map, field string, missing, least int) int {
 	n := m.Int(field, missing)
 	if n < least {
 		m.Wrong(field, "%d, must be at least %d", n, least)
@@ -102,9 +102,9 @@
 	return n
 }
 
-// within reads a whole number between one and a bound.
-func within(m *yamlmap.Map, field string, missing, most int) int {
-	n := atLeast(m, field, missing, 1)
+// intInRange reads a whole number between one and a bound.
+func intInRange(m *yamlmap.Map, field string, missing, most int) int {
+	n := intAtLeast(m, field, missing, 1)
 	if n > most {
 		m.Wrong(field, "%d, must be at most %d", n, most)
 	}
--- a/internal/soak/file_test.go
+++ b/internal/soak/file_test.go
@@ -11,7 +11,7 @@
 var update = flag.Bool("update", false, "write the golden files")
 
 // A kept run must play the same again.
-func TestPlanSurvivesItsFile(t *testing.T) {
+func TestPlanRoundTrip(t *testing.T) {
 	o := DefaultOptions()
 	o.Site.Hosts, o.Site.ChecksTokens, o.Callers = 9, false, 3
 	p := &Plan{Options: o, Seed: 7, Faults: Schedule(7, o.Faults)}
--- a/internal/soak/flaw_test.go
+++ b/internal/soak/flaw_test.go
@@ -22,18 +22,18 @@
 
 // flaws put a fault into a host's ways to the outside, by name.
 var flaws = map[string]func(*gateway.Ports){
-	"positions are not asked for":  flawedConns(func(c gateway.Conn) gateway.Conn { return blindConn{c} }),
-	"writes are sent twice":        flawedConns(func(c gateway.Conn) gateway.Conn { return doublingConn{c} }),
-	"lost answers are refusals":    flawedConns(func(c gateway.Conn) gateway.Conn { return lyingConn{c} }),
-	"values are changed":           flawedConns(func(c gateway.Conn) gateway.Conn { return mixingConn{c} }),
-	"requests are renamed":         flawedConns(func(c gateway.Conn) gateway.Conn { return renamingConn{c} }),
+	"positions are not asked for":  flawedConns(func(c gateway.Conn) gateway.Conn { return noPositionConn{c} }),
+	"writes are sent twice":        flawedConns(func(c gateway.Conn) gateway.Conn { return doubleWriteConn{c} }),
+	"lost answers are refusals":    flawedConns(func(c gateway.Conn) gateway.Conn { return falseRefusalConn{c} }),
+	"values are changed":           flawedConns(func(c gateway.Conn) gateway.Conn { return changedValueConn{c} }),
+	"requests are renamed":         flawedConns(func(c gateway.Conn) gateway.Conn { return renamedRequestConn{c} }),
 	"callers share connections":    shareConns,
-	"another member is promoted":   func(p *gateway.Ports) { p.Promoter = confusedPromoter{p.Promoter, p.Store} },
-	"configurations go back":       func(p *gateway.Ports) { p.Decode = &forgetfulDecoder{Decoder: p.Decode} },
-	"an order to stop is an order": func(*gateway.Ports) { go exitAt(syscall.SIGTERM) },
+	"another member is promoted":   func(p *gateway.Ports) { p.Promoter = wrongPromoter{p.Promoter, p.Store} },
+	"configurations go back":       func(p *gateway.Ports) { p.Decode = &staleConfigDecoder{Decoder: p.Decode} },
+	"an order to stop is an order": func(*gateway.Ports) { go exitOn(syscall.SIGTERM) },
 	"the process ends":             func(*gateway.Ports) { time.AfterFunc(4*time.Second, func() { os.Exit(3) }) },
 	"descriptors are kept":         flawedConns(func(c gateway.Conn) gateway.Conn { return leakingConn{c} }),
-	"members are given up":         func(p *gateway.Ports) { p.Dialer = &fickleDialer{Dialer: p.Dialer} },
+	"members are given up":         func(p *gateway.Ports) { p.Dialer = &failingDialer{Dialer: p.Dialer} },
 	"epochs are not told":          func(p *gateway.Ports) { p.Store = epochlessStore{p.Store} },
 }
 
@@ -53,15 +53,15 @@
 		{"values are changed", "MIXED", nil, 0},
 		{"requests are renamed", "UNASKED", nil, 0},
 		{"callers share connections", "PINNED", nil, 0},
-		{"another member is promoted", "LOST", []Fault{{Kind: DeafenMember, For: 7 * time.Second, Seed: deafReplica}, {Kind: CrashMember, At: time.Second, For: 5 * time.Second, Seed: crashedPrimary}}, 0},
-		{"configurations go back", "CONFIG", []Fault{{Kind: Configure, Seed: oddChanges}}, 0},
-		{"an order to stop is an order", "LOST", []Fault{{Kind: StopHostsInTurn, For: time.Second}, {Kind: StopHost, At: time.Second}}, alwaysUnderWay},
+		{"another member is promoted", "LOST", []Fault{{Kind: DeafenMember, For: 7 * time.Second, Seed: deafReplicaSeed}, {Kind: CrashMember, At: time.Second, For: 5 * time.Second, Seed: crashedPrimarySeed}}, 0},
+		{"configurations go back", "CONFIG", []Fault{{Kind: Configure, Seed: oddChangesSeed}}, 0},
+		{"an order to stop is an order", "LOST", []Fault{{Kind: StopHostsInTurn, For: time.Second}, {Kind: StopHost, At: time.Second}}, longStatementTime},
 		{"the process ends", "EXIT", []Fault{{Kind: Configure, For: 3 * time.Second}}, 0},
 		{"descriptors are kept", "LEAK", []Fault{{Kind: ResetHost, For: time.Second}}, 0},
 		{"members are given up", "RECOVER", []Fault{{Kind: CrashMember, For: time.Second}}, 0},
 		{"epochs are not told", "CONFIG", []Fault{
-			{Kind: StoreRestored, For: 2 * time.Second}, {Kind: Configure, At: 500 * time.Millisecond, Seed: manyChanges},
-			{Kind: Configure, At: time.Second, Seed: manyChanges}, {Kind: Configure, At: 5500 * time.Millisecond, Seed: oddChanges},
+			{Kind: StoreRestored, For: 2 * time.Second}, {Kind: Configure, At: 500 * time.Millisecond, Seed: manyChangesSeed},
+			{Kind: Configure, At: time.Second, Seed: manyChangesSeed}, {Kind: Configure, At: 5500 * time.Millisecond, Seed: oddChangesSeed},
 		}, 0},
 	} {
 		t.Run(c.flaw, func(t *testing.T) {
@@ -82,15 +82,15 @@
 
 // Seeds that settle which member a fault meets, and how often a configuration changes.
 const (
-	deafReplica    = 7
-	crashedPrimary = 2
-	oddChanges     = 1
-	manyChanges    = 3
+	deafReplicaSeed    = 7
+	crashedPrimarySeed = 2
+	oddChangesSeed     = 1
+	manyChangesSeed    = 3
 )
 
-// alwaysUnderWay is a statement's time with which callers have requests under way whenever a host stops: their
+// longStatementTime is a statement's time with which callers have requests under way whenever a host stops: their
 // pauses are half as long.
-const alwaysUnderWay = 60 * time.Millisecond
+const longStatementTime = 60 * time.Millisecond
 
 // playFlaw plays faults on a small site whose hosts have a flaw, and returns what was found.
 func playFlaw(t *testing.T, flaw string, faults []Fault, work time.Duration) []string {
@@ -127,8 +127,8 @@
 	return d.change(c), nil
 }
 
-// each changes the statements of callers among commands.
-func each(commands []gateway.Command, change func(*gateway.RunStatement)) []gateway.Command {
+// mapStatements changes the statements of callers among commands.
+func mapStatements(commands []gateway.Command, change func(*gateway.RunStatement)) []gateway.Command {
 	out := make([]gateway.Command, len(commands))
 	for i, c := range commands {
 		if f, ok := c.(gateway.RunStatement); ok {
@@ -140,17 +140,17 @@
 	return out
 }
 
-// blindConn asks for no position.
-type blindConn struct{ gateway.Conn }
+// noPositionConn asks for no position.
+type noPositionConn struct{ gateway.Conn }
 
-func (c blindConn) Do(timeout time.Duration, commands ...gateway.Command) ([]gateway.Reply, error) {
-	return c.Conn.Do(timeout, each(commands, func(f *gateway.RunStatement) { f.After = group.Position{} })...)
+func (c noPositionConn) Do(timeout time.Duration, commands ...gateway.Command) ([]gateway.Reply, error) {
+	return c.Conn.Do(timeout, mapStatements(commands, func(f *gateway.RunStatement) { f.After = group.Position{} })...)
 }
 
-// doublingConn sends single writes twice.
-type doublingConn struct{ gateway.Conn }
+// doubleWriteConn sends single writes twice.
+type doubleWriteConn struct{ gateway.Conn }
 
-func (c doublingConn) Do(timeout time.Duration, commands ...gateway.Command) ([]gateway.Reply, error) {
+func (c doubleWriteConn) Do(timeout time.Duration, commands ...gateway.Command) ([]gateway.Reply, error) {
 	last, ok := commands[len(commands)-1].(gateway.RunStatement)
 	if _, writes := last.Request.Statement.(gateway.Write); ok && writes {
 		commands = append(commands, last)
@@ -158,10 +158,10 @@
 	return c.Conn.Do(timeout, commands...)
 }
 
-// lyingConn takes a lost answer for a refusal.
-type lyingConn struct{ gateway.Conn }
+// falseRefusalConn takes a lost answer for a refusal.
+type falseRefusalConn struct{ gateway.Conn }
 
-func (c lyingConn) Do(timeout time.Duration, commands ...gateway.Command) ([]gateway.Reply, error) {
+func (c falseRefusalConn) Do(timeout time.Duration, commands ...gateway.Command) ([]gateway.Reply, error) {
 	replies, err := c.Conn.Do(timeout, commands...)
 	last, ok := commands[len(commands)-1].(gateway.RunStatement)
 	if _, writes := last.Request.Statement.(gateway.Write); err != nil && ok && writes {
@@ -173,10 +173,10 @@
 	return replies, err
 }
 
-// mixingConn lays other values on the connection than the session's.
-type mixingConn struct{ gateway.Conn }
+// changedValueConn lays other values on the connection than the session's.
+type changedValueConn struct{ gateway.Conn }
 
-func (c mixingConn) Do(timeout time.Duration, commands ...gateway.Command) ([]gateway.Reply, error) {
+func (c changedValueConn) Do(timeout time.Duration, commands ...gateway.Command) ([]gateway.Reply, error) {
 	for i, each := range commands {
 		if a, ok := each.(gateway.Assign); ok {
 			a.Value += "x"
@@ -186,11 +186,11 @@
 	return c.Conn.Do(timeout, commands...)
 }
 
-// renamingConn sends requests under identifiers of its own.
-type renamingConn struct{ gateway.Conn }
+// renamedRequestConn sends requests under identifiers of its own.
+type renamedRequestConn struct{ gateway.Conn }
 
-func (c renamingConn) Do(timeout time.Duration, commands ...gateway.Command) ([]gateway.Reply, error) {
-	return c.Conn.Do(timeout, each(commands, func(f *gateway.RunStatement) { f.Request.ID += "x" })...)
+func (c renamedRequestConn) Do(timeout time.Duration, commands ...gateway.Command) ([]gateway.Reply, error) {
+	return c.Conn.Do(timeout, mapStatements(commands, func(f *gateway.RunStatement) { f.Request.ID += "x" })...)
 }
 
 // shareConns gives the same connection to a member out twice.
@@ -249,13 +249,13 @@
 // Close keeps the connection: others use it.
 func (c *sharedConn) Close() error { return nil }
 
-// confusedPromoter promotes another replica than the one chosen.
-type confusedPromoter struct {
+// wrongPromoter promotes another replica than the one chosen.
+type wrongPromoter struct {
 	gateway.Promoter
 	store gateway.Store
 }
 
-func (p confusedPromoter) Promote(ctx context.Context, holder string, token int64, groupName, member string) error {
+func (p wrongPromoter) Promote(ctx context.Context, holder string, token int64, groupName, member string) error {
 	list, err := p.store.List(ctx, kv.Range{Prefix: "servers/"})
 	if err != nil {
 		return err
@@ -269,14 +269,14 @@
 	return p.Promoter.Promote(ctx, holder, token, groupName, member)
 }
 
-// forgetfulDecoder takes the first configuration for every second one.
-type forgetfulDecoder struct {
+// staleConfigDecoder takes the first configuration for every second one.
+type staleConfigDecoder struct {
 	gateway.Decoder
 	n     int
 	first *gateway.Config
 }
 
-func (d *forgetfulDecoder) Config(value []byte) (*gateway.Config, error) {
+func (d *staleConfigDecoder) Config(value []byte) (*gateway.Config, error) {
 	c, err := d.Decoder.Config(value)
 	if err != nil {
 		return nil, err
@@ -292,7 +292,7 @@
 	return c, nil
 }
 
-func exitAt(s os.Signal) {
+func exitOn(s os.Signal) {
 	c := make(chan os.Signal, 1)
 	signal.Notify(c, s)
 	<-c
@@ -305,12 +305,12 @@
 func (c leakingConn) Do(timeout time.Duration, commands ...gateway.Command) ([]gateway.Reply, error) {
 	f, err := os.Open(os.DevNull)
 	if err == nil {
-		kept.Store(f, true)
+		leakedFiles.Store(f, true)
 	}
 	return c.Conn.Do(timeout, commands...)
 }
 
-var kept sync.Map
+var leakedFiles sync.Map
 
 // epochlessStore takes a store that came back from an older copy for one that never did.
 type epochlessStore struct{ gateway.Store }
@@ -344,16 +344,16 @@
 	return 0, err
 }
 
-// fickleDialer reaches nobody any more once a member could not be reached.
-type fickleDialer struct {
+// failingDialer reaches nobody any more once a member could not be reached.
+type failingDialer struct {
 	gateway.Dialer
-	mu    sync.Mutex
-	given error
+	mu  sync.Mutex
+	err error
 }
 
-func (d *fickleDialer) Dial(ctx context.Context, m gateway.Member, account string) (gateway.Conn, error) {
+func (d *failingDialer) Dial(ctx context.Context, m gateway.Member, account string) (gateway.Conn, error) {
 	d.mu.Lock()
-	given := d.given
+	given := d.err
 	d.mu.Unlock()
 	if given != nil {
 		return nil, given
@@ -361,21 +361,21 @@
 	c, err := d.Dialer.Dial(ctx, m, account)
 	if err != nil {
 		d.mu.Lock()
-		d.given = err
+		d.err = err
 		d.mu.Unlock()
 		return nil, err
 	}
-	return fickleConn{c, d}, nil
+	return failingConn{c, d}, nil
 }
 
-type fickleConn struct {
+type failingConn struct {
 	gateway.Conn
-	dialer *fickleDialer
+	dialer *failingDialer
 }
 
-func (c fickleConn) Do(timeout time.Duration, commands ...gateway.Command) ([]gateway.Reply, error) {
+func (c failingConn) Do(timeout time.Duration, commands ...gateway.Command) ([]gateway.Reply, error) {
 	c.dialer.mu.Lock()
-	given := c.dialer.given
+	given := c.dialer.err
 	c.dialer.mu.Unlock()
 	if given != nil {
 		return nil, given
--- a/internal/soak/inflict.go
+++ b/internal/soak/inflict.go
@@ -11,27 +11,27 @@
 	"pearlatch/internal/site"
 )
 
-// inflict makes a fault begin and end.
-func (r *run) inflict(ctx context.Context, f Fault) {
+// inject makes a fault begin and end.
+func (r *run) inject(ctx context.Context, f Fault) {
 	if !pause.For(ctx, f.At) {
 		return
 	}
 	if !f.Kind.planned() {
-		r.trouble(+1)
-		defer r.trouble(-1)
+		r.addUnplannedFaults(+1)
+		defer r.addUnplannedFaults(-1)
 	}
-	random := f.pick()
+	random := f.newRand()
 	if f.Kind <= ResetHost && f.Kind != LeaveMember && f.Kind != Configure {
-		r.inflictOnHost(ctx, f, random)
+		r.injectHostFault(ctx, f, random)
 		return
 	}
-	end := r.begin(f, random)
+	end := r.startFault(f, random)
 	pause.For(ctx, f.For)
 	end()
 }
 
-// inflictOnHost does what befalls hosts.
-func (r *run) inflictOnHost(ctx context.Context, f Fault, random *rand.Rand) {
+// injectHostFault does what befalls hosts.
+func (r *run) injectHostFault(ctx context.Context, f Fault, random *rand.Rand) {
 	h := random.IntN(len(r.processes))
 	p := r.processes[h]
 	switch f.Kind {
@@ -43,7 +43,7 @@
 			pause.For(ctx, f.For/3)
 		}
 	case Reload:
-		r.reload(ctx, p, f, random)
+		r.reloadSettings(ctx, p, f, random)
 	case KillHost:
 		p.signal(syscall.SIGKILL, f.For)
 		pause.For(ctx, f.For)
@@ -59,12 +59,12 @@
 		pause.For(ctx, f.For)
 		p.signal(syscall.SIGCONT, 0)
 	case CutHost, DelayHost, ResetHost:
-		r.disturb(ctx, f, random, r.site.Host(h))
+		r.disturbNetwork(ctx, f, random, r.site.Host(h))
 	}
 }
 
-// reload changes a host's settings file, and mends it in the end.
-func (r *run) reload(ctx context.Context, p *hostProcess, f Fault, random *rand.Rand) {
+// reloadSettings changes a host's settings file, and mends it in the end.
+func (r *run) reloadSettings(ctx context.Context, p *hostProcess, f Fault, random *rand.Rand) {
 	good := r.site.Settings(p.index)
 	text := good
 	switch random.IntN(3) {
@@ -73,17 +73,17 @@
 	case 1:
 		text = "host: [\n" + good
 	}
-	r.note(p.writeSettings(text))
+	r.recordError(p.writeSettings(text))
 	if random.IntN(2) == 0 {
 		p.signal(syscall.SIGHUP, 0)
 	}
 	pause.For(ctx, f.For)
-	r.note(p.writeSettings(good))
+	r.recordError(p.writeSettings(good))
 	p.signal(syscall.SIGHUP, 0)
 }
 
-// disturb cuts, delays or resets what passes between a host and some of what it reaches.
-func (r *run) disturb(ctx context.Context, f Fault, random *rand.Rand, host netip.Addr) {
+// disturbNetwork cuts, delays or resets what passes between a host and some of what it reaches.
+func (r *run) disturbNetwork(ctx context.Context, f Fault, random *rand.Rand, host netip.Addr) {
 	var chosen []*site.Proxy
 	share := 1 + random.IntN(3)
 	for _, p := range r.site.Proxies() {
@@ -109,8 +109,8 @@
 	}
 }
 
-// begin makes a fault of members or of the platform begin, and returns what ends it.
-func (r *run) begin(f Fault, random *rand.Rand) (end func()) {
+// startFault makes a fault of members or of the platform startFault, and returns what ends it.
+func (r *run) startFault(f Fault, random *rand.Rand) (end func()) {
 	groups := r.site.Groups()
 	g := groups[random.IntN(len(groups))]
 	m := g.Members()[random.IntN(len(g.Members()))]
@@ -119,14 +119,14 @@
 	}
 	switch f.Kind {
 	case LeaveMember:
-		m.Leave(memberDrain)
+		m.Leave(memberDrainTimeout)
 	case Configure:
 		r.configure(1 + random.IntN(4))
 	case CrashMember:
 		m.Crash()
 		return func() { m.Restart(true) }
 	case WipeMember:
-		return r.wipe(g, random)
+		return r.wipeReplica(g, random)
 	case DarkenMember:
 		m.SetDark(true)
 		return func() { m.SetDark(false) }
@@ -138,7 +138,7 @@
 		return func() { m.SetDeaf(false) }
 	case LagMember:
 		m.SetLag(time.Duration(1+random.IntN(10)) * time.Second)
-		return func() { m.SetLag(usualLag) }
+		return func() { m.SetLag(defaultLag) }
 	case SlowMember:
 		m.SetWork(float64(2 + random.IntN(20)))
 		return func() { m.SetWork(1) }
@@ -149,25 +149,25 @@
 		g.SetLate(time.Duration(1+random.IntN(5)) * time.Second)
 		return func() { g.SetLate(0) }
 	default:
-		return r.beginAtStore(f, random)
+		return r.startStoreFault(f, random)
 	}
 	return func() {}
 }
 
 const (
-	// usualLag is how late replicas apply when they are well.
-	usualLag = 10 * time.Millisecond
-	// memberDrain is how long a leaving member goes on to serve.
-	memberDrain = 5 * time.Second
+	// defaultLag is how late replicas apply when they are well.
+	defaultLag = 10 * time.Millisecond
+	// memberDrainTimeout is how long a leaving member goes on to serve.
+	memberDrainTimeout = 5 * time.Second
 )
 
-// wipe makes a replica start again with nothing. A primary, or a second replica at a time, would take the
+// wipeReplica makes a replica start again with nothing. A primary, or a second replica at a time, would take the
 // only other copy of acknowledged writes along, which nobody promises to survive.
-func (r *run) wipe(g *site.Group, random *rand.Rand) (end func()) {
-	if !r.wiping.CompareAndSwap(false, true) {
+func (r *run) wipeReplica(g *site.Group, random *rand.Rand) (end func()) {
+	if !r.replicaWiped.CompareAndSwap(false, true) {
 		return func() {}
 	}
-	release := func() { r.wiping.Store(false) }
+	release := func() { r.replicaWiped.Store(false) }
 	primary := g.Primary()
 	m := g.Members()[random.IntN(len(g.Members()))]
 	if m == primary || primary == nil || !g.Whole() {
@@ -177,15 +177,15 @@
 	m.Crash()
 	return func() {
 		m.Restart(false)
-		time.AfterFunc(wipePause, release)
+		time.AfterFunc(wipeInterval, release)
 	}
 }
 
-// wipePause is how long after a member came back with nothing the next one may: it has the log by then.
-const wipePause = 2 * time.Second
+// wipeInterval is how long after a member came back with nothing the next one may: it has the log by then.
+const wipeInterval = 2 * time.Second
 
-// beginAtStore makes the store misbehave.
-func (r *run) beginAtStore(f Fault, random *rand.Rand) (end func()) {
+// startStoreFault makes the store misbehave.
+func (r *run) startStoreFault(f Fault, random *rand.Rand) (end func()) {
 	var faults site.StoreFaults
 	switch f.Kind {
 	case StoreAway:
@@ -203,20 +203,20 @@
 		r.site.Store().Forget()
 		return func() {}
 	case StoreRestored:
-		return r.beginRestore(random)
+		return r.startRestore(random)
 	}
 	r.site.Store().SetFaults(faults)
 	return func() { r.site.Store().SetFaults(site.StoreFaults{}) }
 }
 
-// longestAway bounds how long the store is away before it comes back from a copy, and longestRewrite how long the
+// maxStoreOutage bounds how long the store is away before it comes back from a copy, and maxRewriteDelay how long the
 // operator takes then to write the configuration again.
-const longestAway, longestRewrite = 2 * time.Second, time.Second
+const maxStoreOutage, maxRewriteDelay = 2 * time.Second, time.Second
 
-// beginRestore copies the store. At the end the store goes away and comes back from the copy.
-func (r *run) beginRestore(random *rand.Rand) (end func()) {
-	away := time.Duration(random.Int64N(int64(longestAway)))
-	operator := time.Duration(random.Int64N(int64(longestRewrite)))
+// startRestore copies the store. At the end the store goes away and comes back from the copy.
+func (r *run) startRestore(random *rand.Rand) (end func()) {
+	away := time.Duration(random.Int64N(int64(maxStoreOutage)))
+	operator := time.Duration(random.Int64N(int64(maxRewriteDelay)))
 	silent := random.IntN(2) == 0
 	b := r.site.Store().Backup()
 	return func() {
--- a/internal/soak/process.go
+++ b/internal/soak/process.go
@@ -24,18 +24,18 @@
 
 	mu      sync.Mutex
 	command *exec.Cmd
-	// life counts the processes, and ends is closed with the present one.
-	life int
-	ends chan struct{}
-	// told is true once this process was told to end, and termAt when it got SIGTERM.
-	told   bool
-	termAt time.Time
-	// down is how long the host stays away after its end; over ends the supervision.
-	down time.Duration
-	over bool
-	// ended notes processes that ended by themselves.
-	ended []string
-	done  chan struct{}
+	// incarnation counts the processes, and ends is closed with the present one.
+	incarnation int
+	exited      chan struct{}
+	// endRequested is true once this process was endRequested to end, and termAt when it got SIGTERM.
+	endRequested bool
+	termAt       time.Time
+	// downtime is how long the host stays away after its end; over ends the supervision.
+	downtime time.Duration
+	finished bool
+	// failures notes processes that failures by themselves.
+	failures []string
+	done     chan struct{}
 }
 
 // SettingsVariable tells a host where its settings lie.
@@ -74,11 +74,11 @@
 		}
 		err := p.command.Wait()
 		p.mu.Lock()
-		close(p.ends)
-		if !p.told {
-			p.ended = append(p.ended, fmt.Sprintf("host %d ended by itself: %v", p.index, err))
+		close(p.exited)
+		if !p.endRequested {
+			p.failures = append(p.failures, fmt.Sprintf("host %d ended by itself: %v", p.index, err))
 		}
-		down, over := p.down, p.over
+		down, over := p.downtime, p.finished
 		p.mu.Unlock()
 		if over {
 			return
@@ -91,7 +91,7 @@
 func (p *hostProcess) launch() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.over {
+	if p.finished {
 		return false
 	}
 	p.command = exec.Command(p.program[0], p.program[1:]...)
@@ -100,43 +100,43 @@
 	// The host must not outlive a soak that is killed.
 	p.command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	if err := p.command.Start(); err != nil {
-		p.ended = append(p.ended, fmt.Sprintf("host %d does not start: %v", p.index, err))
+		p.failures = append(p.failures, fmt.Sprintf("host %d does not start: %v", p.index, err))
 		return false
 	}
-	p.life++
-	p.told, p.termAt, p.down, p.ends = false, time.Time{}, restartPause, make(chan struct{})
+	p.incarnation++
+	p.endRequested, p.termAt, p.downtime, p.exited = false, time.Time{}, restartDelay, make(chan struct{})
 	return true
 }
 
-// restartPause is the pause before a process that ended is started again.
-const restartPause = 100 * time.Millisecond
+// restartDelay is the pause before a process that ended is started again.
+const restartDelay = 100 * time.Millisecond
 
 // signal sends a signal to the present process. One that ends it makes the host stay away for down.
 func (p *hostProcess) signal(s syscall.Signal, down time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.command == nil || p.command.Process == nil || p.ended != nil {
+	if p.command == nil || p.command.Process == nil || p.failures != nil {
 		return
 	}
 	switch s {
 	case syscall.SIGTERM:
-		p.told, p.down = true, max(restartPause, down)
+		p.endRequested, p.downtime = true, max(restartDelay, down)
 		p.termAt = time.Now()
 	case syscall.SIGKILL:
-		p.told, p.down = true, max(restartPause, down)
+		p.endRequested, p.downtime = true, max(restartDelay, down)
 	}
 	_ = p.command.Process.Signal(s) // it may have ended just now
 }
 
-// lifetime returns which process of the host runs, and whether it was told to stop.
-func (p *hostProcess) lifetime() (life int, stopping bool) {
+// current returns which process of the host runs, and whether it was told to stop.
+func (p *hostProcess) current() (life int, stopping bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.life, !p.termAt.IsZero()
+	return p.incarnation, !p.termAt.IsZero()
 }
 
-// files returns how many descriptors the present process has open.
-func (p *hostProcess) files() int {
+// openDescriptors returns how many descriptors the present process has open.
+func (p *hostProcess) openDescriptors() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.command == nil || p.command.Process == nil {
@@ -152,7 +152,7 @@
 // finish ends the host for good and returns what was wrong with its processes.
 func (p *hostProcess) finish() []string {
 	p.mu.Lock()
-	p.over, p.told = true, true
+	p.finished, p.endRequested = true, true
 	if p.command != nil && p.command.Process != nil {
 		_ = p.command.Process.Signal(syscall.SIGCONT)
 		_ = p.command.Process.Kill()
@@ -160,5 +160,5 @@
 	p.mu.Unlock()
 	<-p.done
 	_ = p.log.Close()
-	return p.ended
+	return p.failures
 }
--- a/internal/soak/rotation.go
+++ b/internal/soak/rotation.go
@@ -13,47 +13,47 @@
 	"pearlatch/platform"
 )
 
-// rotation is the platform's balancer: it asks hosts whether they are ready, and sends new sessions
+// balancer is the platform's balancer: it asks hosts whether they are ready, and sends new sessions
 // to those that are.
-type rotation struct {
+type balancer struct {
 	site *site.Site
 
 	mu sync.Mutex
-	// missed counts the questions in a row that a host did not answer well.
-	missed []int
+	// missedProbes counts the questions in a row that a host did not answer well.
+	missedProbes []int
 }
 
-func newRotation(s *site.Site) *rotation {
-	r := &rotation{site: s, missed: make([]int, s.Options().Hosts)}
-	for i := range r.missed {
-		r.missed[i] = missesAllowed
+func newBalancer(s *site.Site) *balancer {
+	r := &balancer{site: s, missedProbes: make([]int, s.Options().Hosts)}
+	for i := range r.missedProbes {
+		r.missedProbes[i] = unreadyThreshold
 	}
 	return r
 }
 
 const (
-	// readyPause is the pause between two questions to a host.
-	readyPause = 300 * time.Millisecond
-	// missesAllowed is after how many questions in a row without a good answer a host gets no new
+	// probeInterval is the pause between two questions to a host.
+	probeInterval = 300 * time.Millisecond
+	// unreadyThreshold is after how many questions in a row without a good answer a host gets no new
 	// sessions.
-	missesAllowed = 2
+	unreadyThreshold = 2
 )
 
 // run asks the hosts until ctx ends.
-func (r *rotation) run(ctx context.Context) {
-	client := &http.Client{Timeout: readyPause}
+func (r *balancer) run(ctx context.Context) {
+	client := &http.Client{Timeout: probeInterval}
 	var wait sync.WaitGroup
-	for i := range r.missed {
+	for i := range r.missedProbes {
 		wait.Go(func() {
-			for pause.For(ctx, readyPause) {
-				r.note(i, ready(ctx, client, r.site.Ready(i)))
+			for pause.For(ctx, probeInterval) {
+				r.recordProbe(i, isReady(ctx, client, r.site.Ready(i)))
 			}
 		})
 	}
 	wait.Wait()
 }
 
-func ready(ctx context.Context, client *http.Client, addr netip.AddrPort) bool {
+func isReady(ctx context.Context, client *http.Client, addr netip.AddrPort) bool {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr.String()+platform.ReadyPath, nil)
 	if err != nil {
 		return false
@@ -66,28 +66,28 @@
 	return res.StatusCode == http.StatusOK
 }
 
-func (r *rotation) note(i int, good bool) {
+func (r *balancer) recordProbe(i int, good bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if good {
-		r.missed[i] = 0
+		r.missedProbes[i] = 0
 		return
 	}
-	r.missed[i]++
+	r.missedProbes[i]++
 }
 
-// pick returns a host for a new session: one that is ready, or any where none is.
-func (r *rotation) pick(random *rand.Rand) int {
+// pickHost returns a host for a new session: one that is ready, or any where none is.
+func (r *balancer) pickHost(random *rand.Rand) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var in []int
-	for i, n := range r.missed {
-		if n < missesAllowed {
+	for i, n := range r.missedProbes {
+		if n < unreadyThreshold {
 			in = append(in, i)
 		}
 	}
 	if len(in) == 0 {
-		return random.IntN(len(r.missed))
+		return random.IntN(len(r.missedProbes))
 	}
 	return in[random.IntN(len(in))]
 }
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -54,18 +54,18 @@
 	options   Options
 	site      *site.Site
 	processes []*hostProcess
-	rotation  *rotation
+	balancer  *balancer
 	databases []database
-	settings  *settingsWatch
+	configs   *configChecker
 
 	served, refused, unknown atomic.Int64
-	// wiping is true while a member may hold nothing of what was acknowledged.
-	wiping atomic.Bool
+	// replicaWiped is true while a member may hold nothing of what was acknowledged.
+	replicaWiped atomic.Bool
 
 	mu sync.Mutex
-	// troubles counts the unplanned faults under way; calmSince is when the last one ended.
-	troubles  int
-	calmSince time.Time
+	// unplannedFaults counts the unplanned faults under way; calmSince is when the last one ended.
+	unplannedFaults    int
+	unplannedChangedAt time.Time
 }
 
 // database is what callers connect to.
@@ -85,18 +85,18 @@
 		return nil, errors.Wrap(err, "start the model")
 	}
 	defer s.Close()
-	r := &run{options: o, site: s, rotation: newRotation(s)}
-	r.layOut()
+	r := &run{options: o, site: s, balancer: newBalancer(s)}
+	r.createDatabases()
 	if err := r.startHosts(); err != nil {
 		return nil, err
 	}
 	defer r.finish()
-	if !r.await(ctx, startTime) {
+	if !r.awaitServing(ctx, startTimeout) {
 		return nil, errors.New("the hosts did not come to serve before the first fault")
 	}
-	files := r.files()
+	files := r.openDescriptors()
 	r.play(ctx, seed, faults)
-	r.recover(ctx, files)
+	r.checkRecovery(ctx, files)
 	r.finish()
 	report := &Report{
 		Seed: seed, Faults: faults, Findings: s.History().Findings(),
@@ -109,14 +109,14 @@
 }
 
 const (
-	// startTime bounds the time until all hosts serve.
-	startTime = 30 * time.Second
-	// settleTime is how long callers go on after the faults.
-	settleTime = 2 * time.Second
+	// startTimeout bounds the time until all hosts serve.
+	startTimeout = 30 * time.Second
+	// settleDelay is how long callers go on after the faults.
+	settleDelay = 2 * time.Second
 )
 
-// layOut gives each group three databases, one for each freshness.
-func (r *run) layOut() {
+// createDatabases gives each group three databases, one for each freshness.
+func (r *run) createDatabases() {
 	for i, g := range r.site.Groups() {
 		l := newLedger(g, r.site.History())
 		for name, class := range map[string]freshness.Class{
@@ -125,11 +125,11 @@
 			r.databases = append(r.databases, database{fmt.Sprint(name, i), class, l})
 		}
 		for _, m := range g.Members() {
-			m.SetLag(usualLag)
+			m.SetLag(defaultLag)
 		}
 	}
-	r.settings = newSettingsWatch(r)
-	r.settings.configure()
+	r.configs = newConfigChecker(r)
+	r.configs.configure()
 }
 
 // config returns the configuration, with the extra route or without.
@@ -155,7 +155,7 @@
 // configure changes the configuration several times in a row.
 func (r *run) configure(times int) {
 	for range times {
-		r.settings.configure()
+		r.configs.configure()
 	}
 }
 
@@ -174,112 +174,112 @@
 // play runs callers and faults.
 func (r *run) play(ctx context.Context, seed uint64, faults []Fault) {
 	working, stop := context.WithCancel(ctx)
-	callers := r.work(working, seed)
+	callers := r.startCallers(working, seed)
 	var troubles sync.WaitGroup
 	for _, f := range faults {
-		troubles.Go(func() { r.inflict(ctx, f) })
+		troubles.Go(func() { r.inject(ctx, f) })
 	}
 	troubles.Wait()
-	pause.For(ctx, settleTime)
+	pause.For(ctx, settleDelay)
 	stop()
 	callers.Wait()
 }
 
-// work starts callers, which end with ctx.
-func (r *run) work(ctx context.Context, seed uint64) *sync.WaitGroup {
+// startCallers starts callers, which end with ctx.
+func (r *run) startCallers(ctx context.Context, seed uint64) *sync.WaitGroup {
 	var callers sync.WaitGroup
-	callers.Go(func() { r.rotation.run(ctx) })
-	callers.Go(func() { r.settings.watch(ctx) })
+	callers.Go(func() { r.balancer.run(ctx) })
+	callers.Go(func() { r.configs.run(ctx) })
 	for n, d := range r.databases {
 		for i := range r.options.Callers {
 			c := &caller{
 				run: r, name: fmt.Sprintf("%s.%d", d.name, i), database: d.name, class: d.class, ledger: d.ledger,
 				random: rand.New(rand.NewPCG(seed, uint64(n*r.options.Callers+i))),
 			}
-			callers.Go(func() { c.work(ctx) })
+			callers.Go(func() { c.runOperations(ctx) })
 		}
 	}
 	return &callers
 }
 
-// trouble notes that an unplanned fault began, or ended.
-func (r *run) trouble(change int) {
+// addUnplannedFaults notes that an unplanned fault began, or ended.
+func (r *run) addUnplannedFaults(change int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.troubles += change
-	r.calmSince = time.Now()
+	r.unplannedFaults += change
+	r.unplannedChangedAt = time.Now()
 }
 
-// calmAt reports whether there has been no unplanned fault for a while before the time and since.
-func (r *run) calmAt(at time.Time) bool {
+// quietAt reports whether there has been no unplanned fault for a while before the time and since.
+func (r *run) quietAt(at time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.troubles == 0 && at.Sub(r.calmSince) > calmTime
+	return r.unplannedFaults == 0 && at.Sub(r.unplannedChangedAt) > quietDelay
 }
 
-// calmTime is how long after an unplanned fault its effects may still cut requests.
-const calmTime = 3 * time.Second
+// quietDelay is how long after an unplanned fault its effects may still cut requests.
+const quietDelay = 3 * time.Second
 
-// note records that the soak could not do what it meant to.
-func (r *run) note(err error) {
+// recordError records that the soak could not do what it meant to.
+func (r *run) recordError(err error) {
 	if err != nil {
 		r.site.History().Broken("SOAK: %v", err)
 	}
 }
 
-// count counts an operation by its last answer.
-func (r *run) count(a answer) {
+// countOutcome counts an operation by its last answer.
+func (r *run) countOutcome(a answer) {
 	switch {
 	case a.served():
 		r.served.Add(1)
-	case a.promised():
+	case a.refused():
 		r.refused.Add(1)
 	default:
 		r.unknown.Add(1)
 	}
 }
 
-// cut notes a request that got no answer. Around planned work that must not happen.
-func (r *run) cut(c *caller, a answer) {
-	life, stopping := r.processes[c.host].lifetime()
-	if life == c.life && stopping && !isTimeout(a.err) && r.calmAt(a.began) {
+// recordInterrupted notes a request that got no answer. Around planned work that must not happen.
+func (r *run) recordInterrupted(c *caller, a answer) {
+	life, stopping := r.processes[c.host].current()
+	if life == c.incarnation && stopping && !isTimeout(a.err) && r.quietAt(a.began) {
 		r.site.History().Broken("LOST: request %s was cut by host %d, which stops: %v", a.id, c.host, a.err)
 	}
 }
 
-func (r *run) files() int {
+func (r *run) openDescriptors() int {
 	n := 0
 	for _, p := range r.processes {
-		n += p.files()
+		n += p.openDescriptors()
 	}
 	return n
 }
 
-// recover waits until all is well, and compares what callers were told with what the members hold.
-func (r *run) recover(ctx context.Context, filesBefore int) {
+// checkRecovery waits until all is well, and compares what callers were told with what the members hold.
+func (r *run) checkRecovery(ctx context.Context, filesBefore int) {
 	h := r.site.History()
-	if !r.await(ctx, r.options.Recovery) {
+	if !r.awaitServing(ctx, r.options.Recovery) {
 		h.Broken("RECOVER: not every host serves every database %s after the last fault", r.options.Recovery)
 	}
-	r.settings.settle(ctx)
+	r.configs.awaitLatest(ctx)
 	for i, g := range r.site.Groups() {
 		committed, ok := g.Committed()
 		if !ok {
 			h.Broken("RECOVER: nobody leads group %s", g.Name())
 			continue
 		}
-		r.databases[i*databasesPerGroup].ledger.settle(committed)
+		r.databases[i*databasesPerGroup].ledger.checkLog(committed)
 	}
-	if now := r.files(); now > filesFactor*filesBefore {
+	if now := r.openDescriptors(); now > maxDescriptorGrowth*filesBefore {
 		h.Broken("LEAK: the hosts have %d descriptors open, %d before the faults", now, filesBefore)
 	}
 }
 
 const (
 	databasesPerGroup = 3
-	// filesFactor is how many times as many descriptors hosts may have open after the faults: links
+	// maxDescriptorGrowth is how many times as many descriptors hosts may have open after the faults: links
 	// between hosts are opened on demand.
-	filesFactor = 4
+	maxDescriptorGrowth = 4
 )
 
 // finish ends the hosts.
--- a/internal/soak/serve.go
+++ b/internal/soak/serve.go
@@ -22,8 +22,8 @@
 	Findings []string
 }
 
-// progressPause is the pause between two reports.
-const progressPause = time.Second
+// progressInterval is the pause between two reports.
+const progressInterval = time.Second
 
 // Serve runs a site with a load, and its faults, until ctx ends. It reports how the site fares.
 func Serve(ctx context.Context, p *Plan, report func(Progress)) error {
@@ -32,23 +32,23 @@
 		return errors.Wrap(err, "start the model")
 	}
 	defer s.Close()
-	r := &run{options: p.Options, site: s, rotation: newRotation(s)}
-	r.layOut()
+	r := &run{options: p.Options, site: s, balancer: newBalancer(s)}
+	r.createDatabases()
 	if err := r.startHosts(); err != nil {
 		return err
 	}
 	defer r.finish()
-	if !r.await(ctx, startTime) {
+	if !r.awaitServing(ctx, startTimeout) {
 		return errors.New("the hosts did not come to serve")
 	}
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		r.playUntil(ctx, p.Seed, p.Faults)
+		r.playUntilDone(ctx, p.Seed, p.Faults)
 	}()
 	started := time.Now()
 	var before Progress
-	for pause.For(ctx, progressPause) {
+	for pause.For(ctx, progressInterval) {
 		now := Progress{
 			Elapsed: time.Since(started), Served: r.served.Load(), Refused: r.refused.Load(), Unknown: r.unknown.Load(),
 			Findings: s.History().Findings(),
@@ -65,11 +65,11 @@
 	return nil
 }
 
-// playUntil plays callers and faults until ctx ends.
-func (r *run) playUntil(ctx context.Context, seed uint64, faults []Fault) {
-	callers := r.work(ctx, seed)
+// playUntilDone plays callers and faults until ctx ends.
+func (r *run) playUntilDone(ctx context.Context, seed uint64, faults []Fault) {
+	callers := r.startCallers(ctx, seed)
 	for _, f := range faults {
-		callers.Go(func() { r.inflict(ctx, f) })
+		callers.Go(func() { r.inject(ctx, f) })
 	}
 	callers.Wait()
 }
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -31,8 +31,8 @@
 	}
 }
 
-// soakWith plays a schedule and reports what it finds.
-func soakWith(t *testing.T, seed uint64, faults []Fault) *Report {
+// runSchedule plays a schedule and reports what it finds.
+func runSchedule(t *testing.T, seed uint64, faults []Fault) *Report {
 	t.Helper()
 	o := DefaultOptions()
 	o.Program, o.Folder = []string{os.Args[0]}, t.TempDir()
@@ -51,8 +51,8 @@
 }
 
 // Without faults, nothing may be refused or broken.
-func TestQuietSite(t *testing.T) {
-	if r := soakWith(t, 1, nil); r.Served == 0 {
+func TestSiteWithoutFaults(t *testing.T) {
+	if r := runSchedule(t, 1, nil); r.Served == 0 {
 		t.Error("nothing was served")
 	}
 }
@@ -66,16 +66,16 @@
 		// the holder took the old one for lost, and nobody served the group any more.
 		109,
 	} {
-		soakWith(t, seed, lasting(seed, DefaultOptions().Faults))
+		runSchedule(t, seed, scheduleWithoutRestores(seed, DefaultOptions().Faults))
 	}
 }
 
 // The store comes back from copies while hosts die and the configuration changes.
-func TestSeedsInWhichTheStoreComesBack(t *testing.T) {
+func TestSeedsWithStoreRestores(t *testing.T) {
 	for _, seed := range []uint64{
 		2, // it comes back twice
 	} {
-		soakWith(t, seed, Schedule(seed, DefaultOptions().Faults))
+		runSchedule(t, seed, Schedule(seed, DefaultOptions().Faults))
 	}
 }
 
@@ -98,7 +98,7 @@
 func TestScheduleRepeats(t *testing.T) {
 	for seed := range uint64(50) {
 		a, b := Schedule(seed, 6e9), Schedule(seed, 6e9)
-		if len(a) < leastFaults || len(a) > mostFaults+mostRestores {
+		if len(a) < minFaults || len(a) > maxFaults+maxRestores {
 			t.Fatalf("seed %d: %d faults", seed, len(a))
 		}
 		for i := range a {
