--- a/internal/soak/await.go
+++ b/internal/soak/await.go
@@ -11,23 +11,24 @@
 	"pearlatch/platform"
 )
 
-// awaitServing waits until each host serves each database, a write included, at most for the given time.
-func (r *run) awaitServing(ctx context.Context, atMost time.Duration) bool {
-	ctx, cancel := context.WithTimeout(ctx, atMost)
+// awaitServing waits until each host has served a read of each database, and a write where callers of the
+// database write. It returns false if that takes longer than timeout.
+func (r *run) awaitServing(ctx context.Context, timeout time.Duration) bool {
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	var wait sync.WaitGroup
+	var checks sync.WaitGroup
 	served := make([]bool, len(r.processes)*len(r.databases))
 	for h := range r.processes {
 		for i, d := range r.databases {
-			wait.Go(func() {
-				at := h*len(r.databases) + i
-				for n := 0; !served[at] && ctx.Err() == nil; n++ {
-					served[at] = r.serves(ctx, h, d, fmt.Sprintf("%s.await%d.%d-%d", d.name, h, time.Now().UnixNano(), n))
+			checks.Go(func() {
+				slot := h*len(r.databases) + i
+				for n := 0; !served[slot] && ctx.Err() == nil; n++ {
+					served[slot] = r.serves(ctx, h, d, fmt.Sprintf("%s.await%d.%d-%d", d.name, h, time.Now().UnixNano(), n))
 				}
 			})
 		}
 	}
-	wait.Wait()
+	checks.Wait()
 	for _, ok := range served {
 		if !ok {
 			return false
@@ -36,14 +37,15 @@
 	return true
 }
 
-// pollInterval is the pause between two tries.
+// pollInterval is the pause between two checks of a host.
 const pollInterval = 100 * time.Millisecond
 
-// serves runs a read, and a write where callers of the database write, on a host.
+// serves reports whether a host serves a read of the database, and a write if its callers write. After a failed
+// connect or read it pauses for pollInterval. The name identifies the caller and must be unique.
 func (r *run) serves(ctx context.Context, host int, d database, name string) bool {
-	call, cancel := context.WithTimeout(ctx, connectTimeout)
+	dialCtx, cancel := context.WithTimeout(ctx, connectTimeout)
 	defer cancel()
-	conn, err := platform.DialCaller(call, r.site.Callers(host), d.name, name)
+	conn, err := platform.DialCaller(dialCtx, r.site.Callers(host), d.name, name)
 	if err != nil {
 		pause.For(ctx, pollInterval)
 		return false
--- a/internal/soak/balancer.go
+++ b/internal/soak/balancer.go
@@ -13,13 +13,13 @@
 	"pearlatch/platform"
 )
 
-// balancer is the platform's balancer: it asks hosts whether they are ready, and sends new sessions
-// to those that are.
+// balancer stands for the platform's load balancer: it probes the readiness endpoint of each host and
+// sends new sessions to the ready hosts.
 type balancer struct {
 	site *site.Site
 
 	mu sync.Mutex
-	// missedProbes counts the questions in a row that a host did not answer well.
+	// missedProbes counts the consecutive failed probes of each host.
 	missedProbes []int
 }
 
@@ -32,25 +32,25 @@
 }
 
 const (
-	// probeInterval is the pause between two questions to a host.
+	// probeInterval is the pause between two probes of a host, and the timeout of a probe.
 	probeInterval = 300 * time.Millisecond
-	// unreadyThreshold is after how many questions in a row without a good answer a host gets no new
+	// unreadyThreshold is the number of consecutive failed probes after which a host gets no new
 	// sessions.
 	unreadyThreshold = 2
 )
 
-// run asks the hosts until ctx ends.
+// run probes the hosts until ctx ends.
 func (r *balancer) run(ctx context.Context) {
 	client := &http.Client{Timeout: probeInterval}
-	var wait sync.WaitGroup
+	var probes sync.WaitGroup
 	for i := range r.missedProbes {
-		wait.Go(func() {
+		probes.Go(func() {
 			for pause.For(ctx, probeInterval) {
 				r.recordProbe(i, isReady(ctx, client, r.site.Ready(i)))
 			}
 		})
 	}
-	wait.Wait()
+	probes.Wait()
 }
 
 func isReady(ctx context.Context, client *http.Client, addr netip.AddrPort) bool {
@@ -66,28 +66,28 @@
 	return res.StatusCode == http.StatusOK
 }
 
-func (r *balancer) recordProbe(i int, good bool) {
+func (r *balancer) recordProbe(host int, ready bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if good {
-		r.missedProbes[i] = 0
+	if ready {
+		r.missedProbes[host] = 0
 		return
 	}
-	r.missedProbes[i]++
+	r.missedProbes[host]++
 }
 
-// pickHost returns a host for a new session: one that is ready, or any where none is.
+// pickHost returns a random ready host for a new session, or any host if none is ready.
 func (r *balancer) pickHost(random *rand.Rand) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	var in []int
+	var ready []int
 	for i, n := range r.missedProbes {
 		if n < unreadyThreshold {
-			in = append(in, i)
+			ready = append(ready, i)
 		}
 	}
-	if len(in) == 0 {
+	if len(ready) == 0 {
 		return random.IntN(len(r.missedProbes))
 	}
-	return in[random.IntN(len(in))]
+	return ready[random.IntN(len(ready))]
 }
--- a/internal/soak/caller.go
+++ b/internal/soak/caller.go
@@ -18,19 +18,20 @@
 )
 
 const (
-	// meanOperationDelay is the pause of a caller between two operations, on average.
+	// meanOperationDelay is the average delay between two operations of a caller.
 	meanOperationDelay = 30 * time.Millisecond
-	// meanSessionOperations is how many operations a session serves, on average.
+	// meanSessionOperations is the average number of operations of a session.
 	meanSessionOperations = 20
-	// connectTimeout bounds the opening of a session, and answerPatience a statement: longer than any
-	// route lets it take.
+	// connectTimeout bounds the opening of a session, and statementTimeout a statement. Both are longer than
+	// the timeout of any route.
 	connectTimeout   = 2 * time.Second
 	statementTimeout = 4 * time.Second
-	// meanStatementDelay is the pause between the statements of a transaction, on average.
+	// meanStatementDelay is the average delay before a statement within a transaction.
 	meanStatementDelay = 5 * time.Millisecond
 )
 
-// caller runs one operation after the other on sessions of one database.
+// caller is a client that runs operations one after the other in sessions of one database. It is used by one
+// goroutine at a time.
 type caller struct {
 	run      *run
 	name     string
@@ -40,16 +41,16 @@
 	random   *rand.Rand
 
 	serial int
-	// The session, its host and the host's process.
+	// conn is the current session or nil, host the index of its host, and incarnation the one of the host's process.
 	conn              *platform.CallerConn
 	host, incarnation int
-	// values are the session's, and prepared what it has prepared.
+	// values holds the settings of the session, and prepared the texts of its prepared statements, both by name.
 	values    map[string]string
 	prepared  map[string]string
 	lastWrite group.Position
 }
 
-// runOperations runs operations until ctx ends.
+// runOperations runs operations until ctx ends, and opens a new session whenever one has ended.
 func (c *caller) runOperations(ctx context.Context) {
 	for pause.For(ctx, jitter(c.random, meanOperationDelay)) {
 		if c.conn == nil && !c.open(ctx) {
@@ -62,7 +63,7 @@
 	c.close()
 }
 
-// jitter returns a time between nothing and twice the average.
+// jitter returns a random duration from zero to twice the average.
 func jitter(random *rand.Rand, average time.Duration) time.Duration {
 	return time.Duration(random.Int64N(int64(2 * average)))
 }
@@ -70,9 +71,9 @@
 func (c *caller) open(ctx context.Context) bool {
 	c.host = c.run.balancer.pickHost(c.random)
 	c.incarnation, _ = c.run.processes[c.host].current()
-	call, cancel := context.WithTimeout(ctx, connectTimeout)
+	dialCtx, cancel := context.WithTimeout(ctx, connectTimeout)
 	defer cancel()
-	conn, err := platform.DialCaller(call, c.run.site.Callers(c.host), c.database, c.name)
+	conn, err := platform.DialCaller(dialCtx, c.run.site.Callers(c.host), c.database, c.name)
 	if err != nil {
 		return false
 	}
@@ -82,12 +83,12 @@
 
 func (c *caller) close() {
 	if c.conn != nil {
-		_ = c.conn.Close() // the host may have ended it
+		_ = c.conn.Close() // fails if the host has closed the connection
 		c.conn = nil
 	}
 }
 
-// nextID returns the identifier of the next request.
+// nextID returns the identifier of the next request, after recording it in the site's history as issued.
 func (c *caller) nextID() string {
 	c.serial++
 	id := fmt.Sprintf("%s-%d", c.name, c.serial)
@@ -95,7 +96,7 @@
 	return id
 }
 
-// answer is what came of a request.
+// answer is the outcome of a request: the reply of the host, or the error if there is none.
 type answer struct {
 	id    string
 	began time.Time
@@ -105,7 +106,7 @@
 
 func (a answer) served() bool { return a.err == nil && a.reply.Failure == nil }
 
-// refused reports whether the caller was told that nothing is kept.
+// refused reports whether the caller was told that the request had no effect.
 func (a answer) refused() bool {
 	if a.err != nil || a.reply.Failure == nil {
 		return false
@@ -117,7 +118,7 @@
 	return false
 }
 
-// execute sends a statement.
+// execute sends a statement and waits for its answer.
 func (c *caller) execute(text string) answer {
 	a := answer{id: c.nextID(), began: time.Now()}
 	a.reply, a.err = c.conn.Do(statementTimeout, a.id, text)
@@ -127,7 +128,7 @@
 	return a
 }
 
-// runOperation runs one operation. It returns false if the session is to end.
+// runOperation runs a random operation. It returns false if the session can't be used any further.
 func (c *caller) runOperation() bool {
 	if c.conn.Parted() {
 		return false
@@ -146,13 +147,13 @@
 	return ok
 }
 
-// writes reports whether callers of the database write.
+// writes reports whether callers of the database write. With a freshness of MaxAge they only read.
 func (c *caller) writes() bool {
 	_, onlyReads := c.class.(freshness.MaxAge)
 	return !onlyReads
 }
 
-// changeSessionState gives the session a value, or a prepared statement.
+// changeSessionState sets a value in the session, or prepares a statement.
 func (c *caller) changeSessionState() bool {
 	if c.random.IntN(2) == 0 {
 		value := fmt.Sprint(c.name, ".", c.serial)
@@ -170,7 +171,7 @@
 	return true
 }
 
-// expectedRow is what a read must answer.
+// expectedRow returns the row that a read must return in this session.
 func (c *caller) expectedRow(shape string) string {
 	var b strings.Builder
 	for _, name := range slices.Sorted(maps.Keys(c.values)) {
@@ -179,7 +180,7 @@
 	return b.String() + shape
 }
 
-// read reads an item, by a prepared statement if there is one.
+// read runs a read, in half of the cases by a prepared statement if there is one.
 func (c *caller) read() bool {
 	text, shape := "READ 1a", ""
 	if s, ok := c.prepared["s1"]; ok && c.random.IntN(2) == 0 {
@@ -193,24 +194,25 @@
 	return a.err == nil
 }
 
-// checkRead checks who answered a read, in whose session, and from how old a log.
+// checkRead checks that the answer belongs to the read and to this session, and that the member had applied the
+// log up to the position that the freshness class requires. began is when the read, or its transaction, began.
 func (c *caller) checkRead(a answer, began time.Time, shape string) {
 	h := c.run.site.History()
-	p, ok := parseSignature(a.reply.Signature)
-	if !ok || p.request != a.id {
+	e, ok := parseSignature(a.reply.Signature)
+	if !ok || e.request != a.id {
 		h.Broken("MIXED: request %s got the answer %q", a.id, a.reply.Signature)
 		return
 	}
 	if want := c.expectedRow(shape); len(a.reply.Rows) != 1 || a.reply.Rows[0] != want {
 		h.Broken("MIXED: request %s got %q, its session holds %q", a.id, a.reply.Rows, want)
 	}
-	if need := c.ledger.requiredPosition(c.class, began, c.lastWrite); p.position.Compare(need) < 0 {
+	if required := c.ledger.requiredPosition(c.class, began, c.lastWrite); e.position.Compare(required) < 0 {
 		h.Broken("STALE: request %s (%s), begun at %s, read a log up to %s that lacks %s",
-			a.id, c.class, began.Format(time.StampMilli), p.position, need)
+			a.id, c.class, began.Format(time.StampMilli), e.position, required)
 	}
 }
 
-// write writes an item.
+// write runs a single write.
 func (c *caller) write() bool {
 	a := c.execute("WRITE 1a " + c.name)
 	c.run.countOutcome(a)
@@ -218,25 +220,27 @@
 	return a.err == nil
 }
 
-// recordOutcome notes what the caller was told of writes.
+// recordOutcome records in the ledger what the answer says of writes, the requests with the given identifiers. Without
+// a definite answer it records nothing.
 func (c *caller) recordOutcome(a answer, writes []string) {
 	switch {
 	case a.refused():
 		c.ledger.recordRefused(writes)
 	case a.served() && len(writes) > 0:
-		p, ok := parseSignature(a.reply.Signature)
-		if !ok || p.request != a.id {
+		e, ok := parseSignature(a.reply.Signature)
+		if !ok || e.request != a.id {
 			c.run.site.History().Broken("MIXED: request %s got the answer %q", a.id, a.reply.Signature)
 			return
 		}
-		c.ledger.recordAcknowledged(writes, p.position)
-		if p.position.Compare(c.lastWrite) > 0 {
-			c.lastWrite = p.position
+		c.ledger.recordAcknowledged(writes, e.position)
+		if e.position.Compare(c.lastWrite) > 0 {
+			c.lastWrite = e.position
 		}
 	}
 }
 
-// transaction runs a transaction. Some are rolled back, some are left in the middle.
+// transaction runs a transaction. Some are rolled back, and some are abandoned by closing the session. It returns
+// false if the session can't be used any further.
 func (c *caller) transaction() bool {
 	begin := "BEGIN"
 	if !c.writes() {
@@ -261,7 +265,7 @@
 	}
 	switch c.random.IntN(8) {
 	case 0:
-		return false // the caller leaves
+		return false // the caller abandons the transaction
 	case 1:
 		a := c.execute("ROLLBACK")
 		c.ledger.recordRefusedIf(a.served(), writes)
@@ -273,7 +277,8 @@
 	return a.err == nil
 }
 
-// transactionStatement runs one statement of a transaction.
+// transactionStatement runs a read or a write in a transaction that began at the given time, and adds the identifier
+// of a write to writes. It reports whether the statement was served.
 func (c *caller) transactionStatement(began time.Time, writes *[]string) (answer, bool) {
 	if c.writes() && c.random.IntN(3) == 0 {
 		a := c.execute("WRITE 1a " + c.name)
@@ -287,14 +292,14 @@
 	return a, a.served()
 }
 
-// recordRefusedIf notes writes that were promised not to be kept.
-func (l *ledger) recordRefusedIf(promised bool, writes []string) {
-	if promised {
+// recordRefusedIf records writes as refused if refused is true.
+func (l *ledger) recordRefusedIf(refused bool, writes []string) {
+	if refused {
 		l.recordRefused(writes)
 	}
 }
 
-// isTimeout reports whether an answer did not come in time.
+// isTimeout reports whether err is a timeout.
 func isTimeout(err error) bool {
 	var timeout interface{ Timeout() bool }
 	return errors.As(err, &timeout) && timeout.Timeout()
--- a/internal/soak/config_checker.go
+++ b/internal/soak/config_checker.go
@@ -12,23 +12,23 @@
 	"pearlatch/platform"
 )
 
-// extraDatabase is one that configurations add and remove by turns.
+// extraDatabase is the database that successive configurations alternately add and remove.
 const extraDatabase = "extra"
 
-// configChecker changes the configuration, and looks from a caller's side which one is in force at each
-// host: it must never be an older one than before in the same process.
+// configChecker changes the configuration, and checks as a caller which version is in force at each host. One
+// process must never return to an older version.
 type configChecker struct {
 	soak   *run
 	random *rand.Rand
 
 	mu sync.Mutex
-	// latest is the newest version. Those with an even number have the extra database.
+	// latest is the newest version. Versions with an even number have extraDatabase.
 	latest int64
-	// minVersions is the lowest version that may be in force, by host and process.
+	// minVersions holds the lowest version that may be in force at each process of a host.
 	minVersions map[hostIncarnation]int64
 }
 
-// hostIncarnation names a process of a host.
+// hostIncarnation identifies a process of a host.
 type hostIncarnation struct{ host, incarnation int }
 
 func newConfigChecker(r *run) *configChecker {
@@ -37,7 +37,7 @@
 
 func hasExtra(version int64) bool { return version%2 == 0 }
 
-// configure makes the next configuration, once the store takes it.
+// configure writes the next configuration, and retries until the store accepts it.
 func (w *configChecker) configure() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -49,56 +49,58 @@
 	w.latest = version
 }
 
-// run looks at one host after the other until ctx ends.
+// run checks random hosts until ctx ends.
 func (w *configChecker) run(ctx context.Context) {
 	for pause.For(ctx, pollInterval) {
 		w.check(ctx, w.random.IntN(len(w.soak.processes)))
 	}
 }
 
-// check asks a host for the extra database. It returns whether the host told, and what.
-func (w *configChecker) check(ctx context.Context, host int) (told, has bool) {
-	life, _ := w.soak.processes[host].current()
-	call, cancel := context.WithTimeout(ctx, connectTimeout)
+// check connects to extraDatabase at a host. known reports whether the host answered, and has whether it has the
+// database.
+func (w *configChecker) check(ctx context.Context, host int) (known, has bool) {
+	incarnation, _ := w.soak.processes[host].current()
+	dialCtx, cancel := context.WithTimeout(ctx, connectTimeout)
 	defer cancel()
-	conn, err := platform.DialCaller(call, w.soak.site.Callers(host), extraDatabase, "watch")
+	conn, err := platform.DialCaller(dialCtx, w.soak.site.Callers(host), extraDatabase, "watch")
 	var failure *gateway.Failure
 	switch {
 	case err == nil:
 		has = true
-		_ = conn.Close() // it was opened just now
+		_ = conn.Close() // opened only for the check
 	case errors.As(err, &failure) && failure.Code == gateway.NoDatabase:
 	default:
 		return false, false
 	}
-	if again, _ := w.soak.processes[host].current(); again != life {
+	if now, _ := w.soak.processes[host].current(); now != incarnation {
 		return false, false
 	}
-	w.recordObservation(hostIncarnation{host, life}, has)
+	w.recordObservation(hostIncarnation{host, incarnation}, has)
 	return true, has
 }
 
-// recordObservation compares what a host told with what it told before.
+// recordObservation updates the lowest version that may be in force at a process, after it was observed with or
+// without extraDatabase. If that version is above latest, the process has returned to an older one.
 func (w *configChecker) recordObservation(h hostIncarnation, has bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	v := max(1, w.minVersions[h])
-	if hasExtra(v) != has {
-		v++
+	version := max(1, w.minVersions[h])
+	if hasExtra(version) != has {
+		version++
 	}
-	if v > w.latest {
+	if version > w.latest {
 		w.soak.site.History().Broken("CONFIG: host %d went back before version %d", h.host, w.latest)
 		return
 	}
-	w.minVersions[h] = v
+	w.minVersions[h] = version
 }
 
-// awaitLatest waits until the newest configuration is in force at all hosts.
+// awaitLatest waits until the newest configuration is in force at all hosts, for at most Options.Recovery.
 func (w *configChecker) awaitLatest(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, w.soak.options.Recovery)
 	defer cancel()
 	for host := range w.soak.processes {
-		for told, has := w.check(ctx, host); !told || has != hasExtra(w.latest); told, has = w.check(ctx, host) {
+		for known, has := w.check(ctx, host); !known || has != hasExtra(w.latest); known, has = w.check(ctx, host) {
 			if !pause.For(ctx, pollInterval) {
 				w.soak.site.History().Broken("CONFIG: version %d is not in force at host %d", w.latest, host)
 				return
--- a/internal/soak/doc.go
+++ b/internal/soak/doc.go
@@ -1,4 +1,4 @@
-// Package soak runs real hosts as processes against the model of package site, puts a load on them,
-// makes things fail by a schedule that a seed determines, and checks from what callers and members saw
-// whether a promise was broken.
+// Package soak runs pearlatch hosts as processes against the simulated platform of package site, under
+// load. It injects faults by a schedule that a seed determines, and checks the guarantees to callers
+// against what callers and members observed.
 package soak
--- a/internal/soak/fault.go
+++ b/internal/soak/fault.go
@@ -7,119 +7,120 @@
 
 //go:generate go tool stringer -type=Kind -output=kind_string.go
 
-// Kind is what goes wrong.
+// Kind is a kind of fault.
 type Kind uint8
 
-// The kinds. Those up to Configure are planned work, during which nothing of callers may be cut.
+// The kinds of faults. Those up to Configure are planned operations, which must not interrupt requests of callers.
 const (
-	// StopHost stops a host in order, and starts it again.
+	// StopHost shuts a host down with SIGTERM and starts it again.
 	StopHost Kind = iota
-	// StopHostsInTurn stops several hosts, the next one before the last one is back.
+	// StopHostsInTurn shuts several hosts down, each before the previous one is back.
 	StopHostsInTurn
-	// Reload changes a host's settings file: the same, broken, or half of it, with a signal or without.
+	// Reload rewrites a host's settings file with the same text, a truncated or an invalid one, with or without
+	// a SIGHUP.
 	Reload
-	// LeaveMember announces the end of a member; another instance takes its place and its log.
+	// LeaveMember announces the shutdown of a member; another instance takes over its address and its log.
 	LeaveMember
-	// Configure changes the configuration, several times in a row.
+	// Configure changes the configuration one or several times in a row.
 	Configure
-	// KillHost kills a host.
+	// KillHost kills a host with SIGKILL.
 	KillHost
 	// KillHosts kills most of the hosts at once.
 	KillHosts
-	// FreezeHost stops a host's process and lets it go on later.
+	// FreezeHost suspends a host's process and resumes it later.
 	FreezeHost
-	// CutHost parts a host from the store, from members or from other hosts, one way or both.
+	// CutHost cuts a host off from the store, from members or from other hosts, in one direction or both.
 	CutHost
-	// DelayHost makes what a host sends and gets late.
+	// DelayHost delays what a host sends and receives.
 	DelayHost
 	// ResetHost resets the connections of a host.
 	ResetHost
-	// CrashMember crashes a member, which comes back with its log.
+	// CrashMember crashes a member, which restarts with its log.
 	CrashMember
-	// WipeMember crashes a replica, which comes back with nothing.
+	// WipeMember crashes a replica, which restarts without its data.
 	WipeMember
-	// DarkenMember keeps everything from a member.
+	// DarkenMember makes a member unreachable for everyone.
 	DarkenMember
-	// CutMember parts a member from the other members.
+	// CutMember cuts a member off from the other members.
 	CutMember
-	// DeafenMember keeps a replica from receiving.
+	// DeafenMember keeps a replica from receiving the log.
 	DeafenMember
-	// LagMember makes a replica apply late.
+	// LagMember makes a replica apply the log late.
 	LagMember
-	// SlowMember makes a member slow.
+	// SlowMember makes the statements of a member take longer.
 	SlowMember
-	// LoseAnswers makes a member lose answers.
+	// LoseAnswers makes a member drop some of its answers.
 	LoseAnswers
-	// StoreAway makes the store refuse, or answer nothing.
+	// StoreAway makes the store refuse all calls, or leave them unanswered.
 	StoreAway
-	// StoreTurnsAway makes the store refuse some hosts.
+	// StoreTurnsAway makes the store refuse the calls of some hosts.
 	StoreTurnsAway
-	// StoreSlow makes the store slow, or lose answers.
+	// StoreSlow makes the store answer slowly, and drop the answers of some writes.
 	StoreSlow
-	// StoreForgets drops the store's history.
+	// StoreForgets drops the store's history, so that watches have to read everything again.
 	StoreForgets
-	// LateOrders makes promotions late, without an answer.
+	// LateOrders delays promotions and leaves their requests unanswered.
 	LateOrders
-	// StoreRestored brings the store back from an older copy, after it was away for a moment.
+	// StoreRestored restores the store from an older copy, after a short outage.
 	StoreRestored
 	kinds
 )
 
-// planned reports whether nothing of callers may be cut by it.
+// planned reports whether the kind is a planned operation, which must not interrupt requests of callers.
 func (k Kind) planned() bool { return k <= Configure }
 
-// Fault is one thing that goes wrong.
+// Fault is one fault of a schedule.
 type Fault struct {
 	Kind Kind
-	// At is when it begins, counted from the begin of the faults, and For how long it lasts.
+	// At is when the fault begins, since the start of the schedule, and For how long it lasts.
 	At, For time.Duration
-	// Seed settles all else: which host or member, and how.
+	// Seed determines everything else: which host or member is affected, and how.
 	Seed uint64
 }
 
-// newRand returns what settles the details of the fault.
+// newRand returns the random source for the details of the fault.
 func (f Fault) newRand() *rand.Rand { return rand.New(rand.NewPCG(f.Seed, uint64(f.Kind))) }
 
 const (
-	// minFaults and maxFaults bound the faults of a schedule.
+	// minFaults and maxFaults bound the number of faults of a schedule, restores of the store not included.
 	minFaults, maxFaults = 2, 8
-	// minFaultDuration and maxFaultDuration bound how long one lasts: from less than a lease on a primary to
-	// more than a duty's.
+	// minFaultDuration and maxFaultDuration bound how long a fault lasts: from less than a lease on a primary
+	// to more than a coordinator lease.
 	minFaultDuration, maxFaultDuration = 200 * time.Millisecond, 4 * time.Second
 )
 
-// Schedule returns the faults of a seed, within the given time. In some of them the store comes back from an older
-// copy.
+// Schedule returns the faults of a seed, all of which begin within the given duration. In some schedules the store is
+// restored from an older copy, up to maxRestores times.
 func Schedule(seed uint64, within time.Duration) []Fault {
-	out := scheduleWithoutRestores(seed, within)
+	faults := scheduleWithoutRestores(seed, within)
 	random := rand.New(rand.NewPCG(seed, 2))
 	for range random.IntN(maxRestores + 1) {
-		out = append(out, randomFault(random, StoreRestored, within))
+		faults = append(faults, randomFault(random, StoreRestored, within))
 	}
-	return out
+	return faults
 }
 
-// maxRestores bounds how often the store comes back from a copy within a schedule.
+// maxRestores bounds how often the store is restored from a copy in a schedule.
 const maxRestores = 2
 
-// scheduleWithoutRestores returns the faults of a seed with which the store keeps what it has acknowledged.
+// scheduleWithoutRestores returns the faults of a seed in which the store keeps everything that it has acknowledged.
 func scheduleWithoutRestores(seed uint64, within time.Duration) []Fault {
 	random := rand.New(rand.NewPCG(seed, 1))
-	out := make([]Fault, minFaults+random.IntN(maxFaults-minFaults+1))
-	for i := range out {
-		out[i] = randomFault(random, kinds, within)
+	faults := make([]Fault, minFaults+random.IntN(maxFaults-minFaults+1))
+	for i := range faults {
+		faults[i] = randomFault(random, kinds, within)
 	}
-	return out
+	return faults
 }
 
-// randomFault returns a fault of the kind, or of any of those that lasting has.
+// randomFault returns a fault of the kind k, or of a random kind other than StoreRestored if k is kinds.
 func randomFault(random *rand.Rand, k Kind, within time.Duration) Fault {
-	length := minFaultDuration + time.Duration(random.Int64N(int64(maxFaultDuration-minFaultDuration)))
+	duration := minFaultDuration + time.Duration(random.Int64N(int64(maxFaultDuration-minFaultDuration)))
 	if k == kinds {
 		k = Kind(random.IntN(int(StoreRestored)))
 	}
 	return Fault{
 		Kind: k, At: time.Duration(random.Int64N(int64(within))).Round(time.Millisecond),
-		For: min(length, within).Round(time.Millisecond), Seed: random.Uint64(),
+		For: min(duration, within).Round(time.Millisecond), Seed: random.Uint64(),
 	}
 }
--- a/internal/soak/file.go
+++ b/internal/soak/file.go
@@ -14,17 +14,17 @@
 	"pearlatch/internal/yamlmap"
 )
 
-// Plan is what a site file holds: a site with its load, and faults.
+// Plan is the content of a site file: a site with its load, and the faults to inject.
 type Plan struct {
 	Options Options
 	Seed    uint64
 	Faults  []Fault
 }
 
-// kindName is a Kind under the name that files use.
+// kindName is a Kind whose String method returns the name used in site files.
 type kindName Kind
 
-// String returns the name in lower case with underscores.
+// String returns the name of the kind in snake case.
 func (k kindName) String() string {
 	var b strings.Builder
 	for i, r := range Kind(k).String() {
@@ -44,11 +44,11 @@
 	return out
 }
 
-// ParsePlan reads a site file. What it does not name is as in DefaultOptions. The error is a
-// yamlmap.Mistakes with every mistake found.
+// ParsePlan parses the text of a site file. Fields that are not set have their values from DefaultOptions.
+// The error is a yamlmap.Mistakes with all mistakes found.
 func ParsePlan(text []byte) (*Plan, error) {
-	var wrong yamlmap.Mistakes
-	m := yamlmap.Parse(text, &wrong)
+	var mistakes yamlmap.Mistakes
+	m := yamlmap.Parse(text, &mistakes)
 	p := &Plan{Options: DefaultOptions(), Seed: parseSeed(m, 1)}
 	o := &p.Options
 	o.Callers = intAtLeast(m, "callers", o.Callers, 1)
@@ -66,24 +66,24 @@
 	if m.Has("checks_tokens") {
 		s.ChecksTokens = m.Bool("checks_tokens")
 	}
-	for _, each := range m.List("faults") {
-		p.Faults = append(p.Faults, parseFault(each))
+	for _, fault := range m.List("faults") {
+		p.Faults = append(p.Faults, parseFault(fault))
 	}
 	m.Done()
-	return p, wrong.Err()
+	return p, mistakes.Err()
 }
 
 const (
-	// maxHosts and maxGroups are what the site's loopback addresses have room for.
+	// maxHosts and maxGroups are the most for which the site has loopback addresses.
 	maxHosts, maxGroups = 250, 80
-	// minConnections leaves two for the holder of a group's duty and one for callers.
+	// minConnections leaves two connections for the coordinator of a group and one for callers.
 	minConnections = 3
 )
 
-// parseSeed reads a seed.
-func parseSeed(m *yamlmap.Map, missing uint64) uint64 {
+// parseSeed reads the field "seed", an unsigned 64-bit number.
+func parseSeed(m *yamlmap.Map, defaultValue uint64) uint64 {
 	if !m.Has("seed") {
-		return missing
+		return defaultValue
 	}
 	text := m.String("seed", true)
 	n, err := strconv.ParseUint(text, 10, 64)
@@ -93,20 +93,20 @@
 	return n
 }
 
-// intAtLeast reads a whole number.
-func intAtLeast(m *yamlmap.Map, field string, missing, least int) int {
-	n := m.Int(field, missing)
-	if n < least {
-		m.Wrong(field, "%d, must be at least %d", n, least)
+// intAtLeast reads an integer that is at least minimum.
+func intAtLeast(m *yamlmap.Map, field string, defaultValue, minimum int) int {
+	n := m.Int(field, defaultValue)
+	if n < minimum {
+		m.Wrong(field, "%d, must be at least %d", n, minimum)
 	}
 	return n
 }
 
-// intInRange reads a whole number between one and a bound.
-func intInRange(m *yamlmap.Map, field string, missing, most int) int {
-	n := intAtLeast(m, field, missing, 1)
-	if n > most {
-		m.Wrong(field, "%d, must be at most %d", n, most)
+// intInRange reads an integer from 1 to maximum.
+func intInRange(m *yamlmap.Map, field string, defaultValue, maximum int) int {
+	n := intAtLeast(m, field, defaultValue, 1)
+	if n > maximum {
+		m.Wrong(field, "%d, must be at most %d", n, maximum)
 	}
 	return n
 }
@@ -125,7 +125,7 @@
 	return f
 }
 
-// LoadPlan reads a site file.
+// LoadPlan reads and parses the site file at path.
 func LoadPlan(path string) (*Plan, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -135,7 +135,8 @@
 	return p, errors.Wrapf(err, "site file %s", path)
 }
 
-// Format returns a site file with the plan's site and faults. Its Options say nothing of programs.
+// Format returns the text of a site file with the plan's seed, site and faults. It leaves out how hosts are run
+// and where their files are.
 func (p *Plan) Format() string {
 	s := p.Options.Site
 	var b strings.Builder
@@ -150,12 +151,13 @@
 	return b.String()
 }
 
-// Save writes what was played and what it found into a folder. The file can be played again.
+// Save writes the schedule that was run to site.yaml in the folder, with the findings as comments. The file can be
+// loaded with LoadPlan to repeat the run.
 func (r *Report) Save(folder string, o Options) error {
 	p := Plan{Options: o, Seed: r.Seed, Faults: r.Faults}
 	text := p.Format()
 	for _, f := range r.Findings {
 		text += "# finding: " + strings.ReplaceAll(f, "\n", " ") + "\n"
 	}
-	return errors.Wrap(os.WriteFile(filepath.Join(folder, "site.yaml"), []byte(text), 0o600), "save the report")
+	return errors.Wrap(os.WriteFile(filepath.Join(folder, "site.yaml"), []byte(text), 0o600), "save report")
 }
--- a/internal/soak/file_test.go
+++ b/internal/soak/file_test.go
@@ -8,9 +8,9 @@
 	"testing"
 )
 
-var update = flag.Bool("update", false, "write the golden files")
+var update = flag.Bool("update", false, "rewrite the golden files")
 
-// A kept run must play the same again.
+// A saved plan must parse to the same plan, so that a run can be repeated from its file.
 func TestPlanRoundTrip(t *testing.T) {
 	o := DefaultOptions()
 	o.Site.Hosts, o.Site.ChecksTokens, o.Callers = 9, false, 3
@@ -24,7 +24,7 @@
 	}
 }
 
-// All mistakes of a site file are told at once, each with its place and reason.
+// Parsing reports all mistakes of a site file at once, each with its line, field and reason.
 func TestMistakesInSiteFiles(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.yaml")
 	if err != nil || len(files) == 0 {
--- a/internal/soak/flaw_test.go
+++ b/internal/soak/flaw_test.go
@@ -17,34 +17,34 @@
 	"pearlatch/internal/gateway"
 )
 
-// flawVariable names the fault that is put into a host.
+// flawVariable is the environment variable with the name of the flaw that a host runs with.
 const flawVariable = "PEARLATCH_TEST_FLAW"
 
-// flaws put a fault into a host's ways to the outside, by name.
+// flaws holds functions that add a flaw to a host by changing its ports, by name.
 var flaws = map[string]func(*gateway.Ports){
-	"positions are not asked for":  flawedConns(func(c gateway.Conn) gateway.Conn { return noPositionConn{c} }),
-	"writes are sent twice":        flawedConns(func(c gateway.Conn) gateway.Conn { return doubleWriteConn{c} }),
-	"lost answers are refusals":    flawedConns(func(c gateway.Conn) gateway.Conn { return falseRefusalConn{c} }),
-	"values are changed":           flawedConns(func(c gateway.Conn) gateway.Conn { return changedValueConn{c} }),
-	"requests are renamed":         flawedConns(func(c gateway.Conn) gateway.Conn { return renamedRequestConn{c} }),
-	"callers share connections":    shareConns,
-	"another member is promoted":   func(p *gateway.Ports) { p.Promoter = wrongPromoter{p.Promoter, p.Store} },
-	"configurations go back":       func(p *gateway.Ports) { p.Decode = &staleConfigDecoder{Decoder: p.Decode} },
-	"an order to stop is an order": func(*gateway.Ports) { go exitOn(syscall.SIGTERM) },
-	"the process ends":             func(*gateway.Ports) { time.AfterFunc(4*time.Second, func() { os.Exit(3) }) },
-	"descriptors are kept":         flawedConns(func(c gateway.Conn) gateway.Conn { return leakingConn{c} }),
-	"members are given up":         func(p *gateway.Ports) { p.Dialer = &failingDialer{Dialer: p.Dialer} },
-	"epochs are not told":          func(p *gateway.Ports) { p.Store = epochlessStore{p.Store} },
-}
-
-// Each check is shown to work: a host with a fault is found out, under the name of the promise that the
-// fault breaks.
+	"positions are not asked for":           flawedConns(func(c gateway.Conn) gateway.Conn { return noPositionConn{c} }),
+	"writes are sent twice":                 flawedConns(func(c gateway.Conn) gateway.Conn { return doubleWriteConn{c} }),
+	"lost answers are refusals":             flawedConns(func(c gateway.Conn) gateway.Conn { return falseRefusalConn{c} }),
+	"values are changed":                    flawedConns(func(c gateway.Conn) gateway.Conn { return changedValueConn{c} }),
+	"requests are renamed":                  flawedConns(func(c gateway.Conn) gateway.Conn { return renamedRequestConn{c} }),
+	"callers share connections":             shareConns,
+	"another member is promoted":            func(p *gateway.Ports) { p.Promoter = wrongPromoter{p.Promoter, p.Store} },
+	"older configurations are used":         func(p *gateway.Ports) { p.Decode = &staleConfigDecoder{Decoder: p.Decode} },
+	"SIGTERM ends the process at once":      func(*gateway.Ports) { go exitOn(syscall.SIGTERM) },
+	"the process ends":                      func(*gateway.Ports) { time.AfterFunc(4*time.Second, func() { os.Exit(3) }) },
+	"descriptors are leaked":                flawedConns(func(c gateway.Conn) gateway.Conn { return leakingConn{c} }),
+	"failed members are never dialed again": func(p *gateway.Ports) { p.Dialer = &failingDialer{Dialer: p.Dialer} },
+	"store epochs are hidden":               func(p *gateway.Ports) { p.Store = epochlessStore{p.Store} },
+}
+
+// Guards against checks that pass whatever hosts do: for each check, a host that violates the guarantee must lead to
+// a finding with the name of that guarantee.
 func TestFlawsAreFound(t *testing.T) {
 	lag := Fault{Kind: LagMember, For: 3 * time.Second}
 	for _, c := range []struct {
 		flaw, finding string
 		faults        []Fault
-		// work is how long a statement takes, or zero for the usual time.
+		// work is how long a statement takes; zero stands for the default.
 		work time.Duration
 	}{
 		{"positions are not asked for", "STALE", []Fault{lag, {Kind: LagMember, For: 3 * time.Second, Seed: 2}, {Kind: LagMember, For: 3 * time.Second, Seed: 3}}, 0},
@@ -54,12 +54,12 @@
 		{"requests are renamed", "UNASKED", nil, 0},
 		{"callers share connections", "PINNED", nil, 0},
 		{"another member is promoted", "LOST", []Fault{{Kind: DeafenMember, For: 7 * time.Second, Seed: deafReplicaSeed}, {Kind: CrashMember, At: time.Second, For: 5 * time.Second, Seed: crashedPrimarySeed}}, 0},
-		{"configurations go back", "CONFIG", []Fault{{Kind: Configure, Seed: oddChangesSeed}}, 0},
-		{"an order to stop is an order", "LOST", []Fault{{Kind: StopHostsInTurn, For: time.Second}, {Kind: StopHost, At: time.Second}}, longStatementTime},
+		{"older configurations are used", "CONFIG", []Fault{{Kind: Configure, Seed: oddChangesSeed}}, 0},
+		{"SIGTERM ends the process at once", "LOST", []Fault{{Kind: StopHostsInTurn, For: time.Second}, {Kind: StopHost, At: time.Second}}, longStatementTime},
 		{"the process ends", "EXIT", []Fault{{Kind: Configure, For: 3 * time.Second}}, 0},
-		{"descriptors are kept", "LEAK", []Fault{{Kind: ResetHost, For: time.Second}}, 0},
-		{"members are given up", "RECOVER", []Fault{{Kind: CrashMember, For: time.Second}}, 0},
-		{"epochs are not told", "CONFIG", []Fault{
+		{"descriptors are leaked", "LEAK", []Fault{{Kind: ResetHost, For: time.Second}}, 0},
+		{"failed members are never dialed again", "RECOVER", []Fault{{Kind: CrashMember, For: time.Second}}, 0},
+		{"store epochs are hidden", "CONFIG", []Fault{
 			{Kind: StoreRestored, For: 2 * time.Second}, {Kind: Configure, At: 500 * time.Millisecond, Seed: manyChangesSeed},
 			{Kind: Configure, At: time.Second, Seed: manyChangesSeed}, {Kind: Configure, At: 5500 * time.Millisecond, Seed: oddChangesSeed},
 		}, 0},
@@ -80,7 +80,7 @@
 	}
 }
 
-// Seeds that settle which member a fault meets, and how often a configuration changes.
+// Seeds of faults, which determine the affected member or how often the configuration changes.
 const (
 	deafReplicaSeed    = 7
 	crashedPrimarySeed = 2
@@ -88,11 +88,11 @@
 	manyChangesSeed    = 3
 )
 
-// longStatementTime is a statement's time with which callers have requests under way whenever a host stops: their
-// pauses are half as long.
+// longStatementTime is so long that callers have requests in progress whenever a host shuts down: their delay between
+// operations is half as long.
 const longStatementTime = 60 * time.Millisecond
 
-// playFlaw plays faults on a small site whose hosts have a flaw, and returns what was found.
+// playFlaw runs a soak with the faults on a small site whose hosts have a flaw, and returns the findings.
 func playFlaw(t *testing.T, flaw string, faults []Fault, work time.Duration) []string {
 	t.Helper()
 	o := DefaultOptions()
@@ -104,12 +104,12 @@
 	o.Environment = []string{flawVariable + "=" + flaw}
 	r, err := Run(context.Background(), o, 1, faults)
 	if err != nil {
-		return []string{fmt.Sprintf("RECOVER: %v", err)} // it did not even come to serve
+		return []string{fmt.Sprintf("RECOVER: %v", err)} // the flaw kept the hosts from serving at the start
 	}
 	return r.Findings
 }
 
-// flawedConns changes the connections to members.
+// flawedConns returns a flaw that changes each connection to a member.
 func flawedConns(change func(gateway.Conn) gateway.Conn) func(*gateway.Ports) {
 	return func(p *gateway.Ports) { p.Dialer = flawedDialer{p.Dialer, change} }
 }
@@ -127,27 +127,27 @@
 	return d.change(c), nil
 }
 
-// mapStatements changes the statements of callers among commands.
+// mapStatements returns a copy of commands with the statements of callers changed.
 func mapStatements(commands []gateway.Command, change func(*gateway.RunStatement)) []gateway.Command {
 	out := make([]gateway.Command, len(commands))
 	for i, c := range commands {
-		if f, ok := c.(gateway.RunStatement); ok {
-			change(&f)
-			c = f
+		if s, ok := c.(gateway.RunStatement); ok {
+			change(&s)
+			c = s
 		}
 		out[i] = c
 	}
 	return out
 }
 
-// noPositionConn asks for no position.
+// noPositionConn drops the position that a member must have applied before it runs a statement.
 type noPositionConn struct{ gateway.Conn }
 
 func (c noPositionConn) Do(timeout time.Duration, commands ...gateway.Command) ([]gateway.Reply, error) {
-	return c.Conn.Do(timeout, mapStatements(commands, func(f *gateway.RunStatement) { f.After = group.Position{} })...)
+	return c.Conn.Do(timeout, mapStatements(commands, func(s *gateway.RunStatement) { s.After = group.Position{} })...)
 }
 
-// doubleWriteConn sends single writes twice.
+// doubleWriteConn sends each single write twice.
 type doubleWriteConn struct{ gateway.Conn }
 
 func (c doubleWriteConn) Do(timeout time.Duration, commands ...gateway.Command) ([]gateway.Reply, error) {
@@ -158,7 +158,7 @@
 	return c.Conn.Do(timeout, commands...)
 }
 
-// falseRefusalConn takes a lost answer for a refusal.
+// falseRefusalConn reports a write whose answer was lost as refused.
 type falseRefusalConn struct{ gateway.Conn }
 
 func (c falseRefusalConn) Do(timeout time.Duration, commands ...gateway.Command) ([]gateway.Reply, error) {
@@ -173,12 +173,12 @@
 	return replies, err
 }
 
-// changedValueConn lays other values on the connection than the session's.
+// changedValueConn assigns other values to the connection than the session has.
 type changedValueConn struct{ gateway.Conn }
 
 func (c changedValueConn) Do(timeout time.Duration, commands ...gateway.Command) ([]gateway.Reply, error) {
-	for i, each := range commands {
-		if a, ok := each.(gateway.Assign); ok {
+	for i, command := range commands {
+		if a, ok := command.(gateway.Assign); ok {
 			a.Value += "x"
 			commands[i] = a
 		}
@@ -186,14 +186,14 @@
 	return c.Conn.Do(timeout, commands...)
 }
 
-// renamedRequestConn sends requests under identifiers of its own.
+// renamedRequestConn changes the identifiers of requests.
 type renamedRequestConn struct{ gateway.Conn }
 
 func (c renamedRequestConn) Do(timeout time.Duration, commands ...gateway.Command) ([]gateway.Reply, error) {
-	return c.Conn.Do(timeout, mapStatements(commands, func(f *gateway.RunStatement) { f.Request.ID += "x" })...)
+	return c.Conn.Do(timeout, mapStatements(commands, func(s *gateway.RunStatement) { s.Request.ID += "x" })...)
 }
 
-// shareConns gives the same connection to a member out twice.
+// shareConns makes a host use one connection to a member for several callers at a time.
 func shareConns(p *gateway.Ports) {
 	p.Dialer = &sharingDialer{Dialer: p.Dialer, spare: map[string]*sharedConn{}}
 }
@@ -207,8 +207,8 @@
 type sharedConn struct {
 	gateway.Conn
 	mu sync.Mutex
-	// failed is true once an answer did not come: a connection that is dead for ever keeps the host from
-	// serving at all, and hides what sharing breaks.
+	// failed is true once a call has failed; the dialer then opens a new connection. To keep a dead connection
+	// would prevent the host from serving at all, and hide the violations that sharing causes.
 	failed atomic.Bool
 }
 
@@ -246,30 +246,30 @@
 	return s, err
 }
 
-// Close keeps the connection: others use it.
+// Close does nothing, since other callers use the connection.
 func (c *sharedConn) Close() error { return nil }
 
-// wrongPromoter promotes another replica than the one chosen.
+// wrongPromoter promotes another replica than the chosen one, if there is one.
 type wrongPromoter struct {
 	gateway.Promoter
 	store gateway.Store
 }
 
 func (p wrongPromoter) Promote(ctx context.Context, holder string, token int64, groupName, member string) error {
-	list, err := p.store.List(ctx, kv.Range{Prefix: "servers/"})
+	page, err := p.store.List(ctx, kv.Range{Prefix: "servers/"})
 	if err != nil {
 		return err
 	}
-	for _, i := range list.Items {
-		id := strings.TrimPrefix(i.Key, "servers/")
-		if id != member && strings.Contains(string(i.Value), "replica") {
+	for _, item := range page.Items {
+		id := strings.TrimPrefix(item.Key, "servers/")
+		if id != member && strings.Contains(string(item.Value), "replica") {
 			return p.Promoter.Promote(ctx, holder, token, groupName, id)
 		}
 	}
 	return p.Promoter.Promote(ctx, holder, token, groupName, member)
 }
 
-// staleConfigDecoder takes the first configuration for every second one.
+// staleConfigDecoder returns the first configuration in place of every second one, with the new version.
 type staleConfigDecoder struct {
 	gateway.Decoder
 	n     int
@@ -292,14 +292,15 @@
 	return c, nil
 }
 
+// exitOn waits for a signal and ends the process at once.
 func exitOn(s os.Signal) {
-	c := make(chan os.Signal, 1)
-	signal.Notify(c, s)
-	<-c
+	received := make(chan os.Signal, 1)
+	signal.Notify(received, s)
+	<-received
 	os.Exit(0)
 }
 
-// leakingConn keeps a descriptor for each statement.
+// leakingConn leaks a file descriptor for each statement.
 type leakingConn struct{ gateway.Conn }
 
 func (c leakingConn) Do(timeout time.Duration, commands ...gateway.Command) ([]gateway.Reply, error) {
@@ -310,11 +311,13 @@
 	return c.Conn.Do(timeout, commands...)
 }
 
+// leakedFiles keeps the files from being closed by the garbage collector.
 var leakedFiles sync.Map
 
-// epochlessStore takes a store that came back from an older copy for one that never did.
+// epochlessStore hides the epoch of the store, so that a restore from an older copy goes unnoticed.
 type epochlessStore struct{ gateway.Store }
 
+// inFirstEpoch returns the snapshot with all revisions in epoch zero. It changes the items in place.
 func inFirstEpoch(s kv.Snapshot) kv.Snapshot {
 	s.Revision = kv.NewRevision(0, s.Revision.Number())
 	for i := range s.Items {
@@ -344,7 +347,7 @@
 	return 0, err
 }
 
-// failingDialer reaches nobody any more once a member could not be reached.
+// failingDialer fails all dials and calls for good once a dial of any member has failed.
 type failingDialer struct {
 	gateway.Dialer
 	mu  sync.Mutex
@@ -353,10 +356,10 @@
 
 func (d *failingDialer) Dial(ctx context.Context, m gateway.Member, account string) (gateway.Conn, error) {
 	d.mu.Lock()
-	given := d.err
+	dialErr := d.err
 	d.mu.Unlock()
-	if given != nil {
-		return nil, given
+	if dialErr != nil {
+		return nil, dialErr
 	}
 	c, err := d.Dialer.Dial(ctx, m, account)
 	if err != nil {
@@ -375,10 +378,10 @@
 
 func (c failingConn) Do(timeout time.Duration, commands ...gateway.Command) ([]gateway.Reply, error) {
 	c.dialer.mu.Lock()
-	given := c.dialer.err
+	dialErr := c.dialer.err
 	c.dialer.mu.Unlock()
-	if given != nil {
-		return nil, given
+	if dialErr != nil {
+		return nil, dialErr
 	}
 	return c.Conn.Do(timeout, commands...)
 }
--- a/internal/soak/inject.go
+++ b/internal/soak/inject.go
@@ -11,7 +11,7 @@
 	"pearlatch/internal/site"
 )
 
-// inject makes a fault begin and end.
+// inject waits until a fault begins, starts it, and ends it after its duration or when ctx ends.
 func (r *run) inject(ctx context.Context, f Fault) {
 	if !pause.For(ctx, f.At) {
 		return
@@ -30,7 +30,7 @@
 	end()
 }
 
-// injectHostFault does what befalls hosts.
+// injectHostFault runs a fault of hosts, from its start to its end.
 func (r *run) injectHostFault(ctx context.Context, f Fault, random *rand.Rand) {
 	h := random.IntN(len(r.processes))
 	p := r.processes[h]
@@ -48,9 +48,9 @@
 		p.signal(syscall.SIGKILL, f.For)
 		pause.For(ctx, f.For)
 	case KillHosts:
-		for _, each := range r.processes {
+		for _, process := range r.processes {
 			if random.IntN(4) > 0 {
-				each.signal(syscall.SIGKILL, f.For)
+				process.signal(syscall.SIGKILL, f.For)
 			}
 		}
 		pause.For(ctx, f.For)
@@ -63,7 +63,8 @@
 	}
 }
 
-// reloadSettings changes a host's settings file, and mends it in the end.
+// reloadSettings rewrites a host's settings file with half of its text, invalid text or the same text, and restores it
+// at the end.
 func (r *run) reloadSettings(ctx context.Context, p *hostProcess, f Fault, random *rand.Rand) {
 	good := r.site.Settings(p.index)
 	text := good
@@ -82,7 +83,7 @@
 	p.signal(syscall.SIGHUP, 0)
 }
 
-// disturbNetwork cuts, delays or resets what passes between a host and some of what it reaches.
+// disturbNetwork cuts, delays or resets the connections of a host through a random selection of the site's proxies.
 func (r *run) disturbNetwork(ctx context.Context, f Fault, random *rand.Rand, host netip.Addr) {
 	var chosen []*site.Proxy
 	share := 1 + random.IntN(3)
@@ -93,8 +94,8 @@
 	}
 	rule := site.Rule{Delay: time.Duration(20+random.IntN(200)) * time.Millisecond}
 	if f.Kind == CutHost {
-		way := random.IntN(3)
-		rule = site.Rule{Forth: way != 0, Back: way != 1}
+		direction := random.IntN(3)
+		rule = site.Rule{Forth: direction != 0, Back: direction != 1}
 	}
 	for _, p := range chosen {
 		if f.Kind == ResetHost {
@@ -109,13 +110,14 @@
 	}
 }
 
-// startFault makes a fault of members or of the platform startFault, and returns what ends it.
+// startFault starts a fault of members, the configuration, promotions or the store, and returns the function that ends
+// it.
 func (r *run) startFault(f Fault, random *rand.Rand) (end func()) {
 	groups := r.site.Groups()
 	g := groups[random.IntN(len(groups))]
 	m := g.Members()[random.IntN(len(g.Members()))]
 	if p := g.Primary(); p != nil && random.IntN(2) == 0 {
-		m = p // half of all faults meet the primary
+		m = p // half of all faults affect the primary
 	}
 	switch f.Kind {
 	case LeaveMember:
@@ -155,14 +157,15 @@
 }
 
 const (
-	// defaultLag is how late replicas apply when they are well.
+	// defaultLag is the apply lag of replicas without a fault.
 	defaultLag = 10 * time.Millisecond
-	// memberDrainTimeout is how long a leaving member goes on to serve.
+	// memberDrainTimeout is how long a leaving member continues to serve.
 	memberDrainTimeout = 5 * time.Second
 )
 
-// wipeReplica makes a replica start again with nothing. A primary, or a second replica at a time, would take the
-// only other copy of acknowledged writes along, which nobody promises to survive.
+// wipeReplica crashes a replica and returns the function that restarts it without its data. It does nothing unless the
+// group has a primary and all its members are in sync, or while another replica is wiped: to wipe the primary, or two
+// replicas at a time, could destroy the only other copy of acknowledged writes, and no guarantee covers that.
 func (r *run) wipeReplica(g *site.Group, random *rand.Rand) (end func()) {
 	if !r.replicaWiped.CompareAndSwap(false, true) {
 		return func() {}
@@ -181,10 +184,11 @@
 	}
 }
 
-// wipeInterval is how long after a member came back with nothing the next one may: it has the log by then.
+// wipeInterval is the least interval from the restart of a wiped replica to the next wipe. The replica has received the
+// log by then.
 const wipeInterval = 2 * time.Second
 
-// startStoreFault makes the store misbehave.
+// startStoreFault starts a fault of the store and returns the function that ends it.
 func (r *run) startStoreFault(f Fault, random *rand.Rand) (end func()) {
 	var faults site.StoreFaults
 	switch f.Kind {
@@ -209,21 +213,22 @@
 	return func() { r.site.Store().SetFaults(site.StoreFaults{}) }
 }
 
-// maxStoreOutage bounds how long the store is away before it comes back from a copy, and maxRewriteDelay how long the
-// operator takes then to write the configuration again.
+// maxStoreOutage bounds the outage of the store before a restore, and maxRewriteDelay the time until the operator
+// writes the configuration again after it.
 const maxStoreOutage, maxRewriteDelay = 2 * time.Second, time.Second
 
-// startRestore copies the store. At the end the store goes away and comes back from the copy.
+// startRestore copies the store. The function that it returns makes the store unavailable for a while, restores it from
+// the copy, and waits until the operator has written the configuration again.
 func (r *run) startRestore(random *rand.Rand) (end func()) {
-	away := time.Duration(random.Int64N(int64(maxStoreOutage)))
-	operator := time.Duration(random.Int64N(int64(maxRewriteDelay)))
+	outage := time.Duration(random.Int64N(int64(maxStoreOutage)))
+	rewriteDelay := time.Duration(random.Int64N(int64(maxRewriteDelay)))
 	silent := random.IntN(2) == 0
-	b := r.site.Store().Backup()
+	backup := r.site.Store().Backup()
 	return func() {
 		r.site.Store().SetFaults(site.StoreFaults{Silent: silent, Refusing: !silent})
-		time.Sleep(away)
-		r.site.Restore(b, operator)
+		time.Sleep(outage)
+		r.site.Restore(backup, rewriteDelay)
 		r.site.Store().SetFaults(site.StoreFaults{})
-		time.Sleep(operator)
+		time.Sleep(rewriteDelay)
 	}
 }
--- a/internal/soak/ledger.go
+++ b/internal/soak/ledger.go
@@ -12,20 +12,20 @@
 	"pearlatch/internal/site"
 )
 
-// ledger keeps what callers of one group were told: which writes were acknowledged when, and which were
-// promised not to have run.
+// ledger records the outcomes of writes to one group as its callers were told: which writes were
+// acknowledged and when, and which were refused, so that they must not have run. It is safe for concurrent use.
 type ledger struct {
 	group   *site.Group
 	history *site.History
 
 	mu sync.Mutex
-	// acks are acknowledgements in order of time, with the highest position up to each.
+	// acks holds the acknowledgements in order of time, each with the highest position acknowledged so far.
 	acks []ack
-	// acknowledgedWrites and refusedWrites hold the requests of writes.
+	// acknowledgedWrites and refusedWrites hold the identifiers of requests.
 	acknowledgedWrites, refusedWrites map[string]bool
 }
 
-// ack says that a position was acknowledged by some time.
+// ack is the highest position that was acknowledged up to a time.
 type ack struct {
 	at      time.Time
 	highest group.Position
@@ -35,7 +35,7 @@
 	return &ledger{group: g, history: h, acknowledgedWrites: map[string]bool{}, refusedWrites: map[string]bool{}}
 }
 
-// recordAcknowledged notes that a caller got the acknowledgement of writes at a position.
+// recordAcknowledged records that writes were acknowledged to a caller, the last of them at position p.
 func (l *ledger) recordAcknowledged(writes []string, p group.Position) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -49,7 +49,7 @@
 	l.acks = append(l.acks, a)
 }
 
-// recordRefused notes that a caller was promised that writes have not run.
+// recordRefused records that a caller was told that writes have not run.
 func (l *ledger) recordRefused(writes []string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -58,7 +58,7 @@
 	}
 }
 
-// acknowledgedBefore returns the highest position that was acknowledged acknowledgedBefore the time.
+// acknowledgedBefore returns the highest position acknowledged before the given time, or the zero Position.
 func (l *ledger) acknowledgedBefore(at time.Time) group.Position {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -69,22 +69,24 @@
 	return l.acks[i-1].highest
 }
 
-// requiredPosition returns what a read must see that began at the time, in a session whose last write is at mark.
-func (l *ledger) requiredPosition(c freshness.Class, began time.Time, mark group.Position) group.Position {
-	var need group.Position
+// requiredPosition returns the lowest position that a read may have seen if it began at the given time, in a session
+// whose last write is at lastWrite.
+func (l *ledger) requiredPosition(c freshness.Class, began time.Time, lastWrite group.Position) group.Position {
+	var required group.Position
 	switch c := c.(type) {
 	case freshness.Latest:
 		return l.acknowledgedBefore(began)
 	case freshness.MaxAge:
-		need = l.acknowledgedBefore(began.Add(-c.Age))
+		required = l.acknowledgedBefore(began.Add(-c.Age))
 	}
-	if mark.Compare(need) > 0 {
-		need = mark
+	if lastWrite.Compare(required) > 0 {
+		required = lastWrite
 	}
-	return need
+	return required
 }
 
-// checkLog compares what callers were told with the log of the group's primary at the end.
+// checkLog compares the recorded outcomes with the log of the group's primary at the end. committed counts how often
+// each write is in the log.
 func (l *ledger) checkLog(committed map[string]int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -103,22 +105,24 @@
 	}
 }
 
-// execution is what a member says of a statement that it ran.
+// execution is a member's proof that it ran a statement: the request, and the position that the statement saw or
+// wrote.
 type execution struct {
 	request  string
 	position group.Position
 }
 
-// parseSignature reads a member's signature.
+// parseSignature parses the signature that a member adds to its answers. It returns false if the signature is
+// malformed.
 func parseSignature(signature string) (execution, bool) {
-	f := strings.Split(signature, "/")
-	if len(f) != 4 {
+	fields := strings.Split(signature, "/")
+	if len(fields) != 4 {
 		return execution{}, false
 	}
-	term, err1 := strconv.ParseUint(f[2], 10, 64)
-	lsn, err2 := strconv.ParseUint(f[3], 10, 64)
-	if err1 != nil || err2 != nil {
+	term, termErr := strconv.ParseUint(fields[2], 10, 64)
+	lsn, lsnErr := strconv.ParseUint(fields[3], 10, 64)
+	if termErr != nil || lsnErr != nil {
 		return execution{}, false
 	}
-	return execution{f[0], group.Position{Term: group.Term(term), LSN: group.LSN(lsn)}}, true
+	return execution{fields[0], group.Position{Term: group.Term(term), LSN: group.LSN(lsn)}}, true
 }
--- a/internal/soak/process.go
+++ b/internal/soak/process.go
@@ -13,35 +13,38 @@
 	"github.com/pkg/errors"
 )
 
-// hostProcess is a host that runs as a process, and is started again whenever it ends.
+// hostProcess runs a host as a process and restarts it whenever it ends. The methods signal, current,
+// openDescriptors and finish may be called while supervise runs.
 type hostProcess struct {
 	index    int
 	program  []string
 	settings string
-	// environment tells the program where the settings lie.
+	// environment includes SettingsVariable with the path of the settings.
 	environment []string
 	log         *os.File
 
 	mu      sync.Mutex
 	command *exec.Cmd
-	// incarnation counts the processes, and ends is closed with the present one.
+	// incarnation counts the started processes. exited is closed when the current one ends.
 	incarnation int
 	exited      chan struct{}
-	// endRequested is true once this process was endRequested to end, and termAt when it got SIGTERM.
+	// endRequested is true once the current process was asked to end or killed. termAt is when it was sent SIGTERM,
+	// or zero.
 	endRequested bool
 	termAt       time.Time
-	// downtime is how long the host stays away after its end; over ends the supervision.
+	// downtime is the delay from the end of the current process to the next start. finished ends the supervision.
 	downtime time.Duration
 	finished bool
-	// failures notes processes that failures by themselves.
+	// failures describes the processes that ended unasked or could not be started.
 	failures []string
 	done     chan struct{}
 }
 
-// SettingsVariable tells a host where its settings lie.
+// SettingsVariable is the environment variable with the path of a host's settings file.
 const SettingsVariable = "PEARLATCH_SETTINGS"
 
-// newHostProcess prepares a host whose settings and log lie in the folder.
+// newHostProcess writes the settings file and creates the log file of a host in Options.Folder. supervise starts the
+// host.
 func newHostProcess(index int, o Options, settings string) (*hostProcess, error) {
 	p := &hostProcess{
 		index: index, program: o.Program, settings: filepath.Join(o.Folder, fmt.Sprintf("host-%d.yaml", index)), done: make(chan struct{}),
@@ -52,20 +55,20 @@
 	}
 	log, err := os.Create(filepath.Join(o.Folder, fmt.Sprintf("host-%d.log", index)))
 	if err != nil {
-		return nil, errors.Wrap(err, "log of a host")
+		return nil, errors.Wrap(err, "create host log file")
 	}
 	p.log = log
 	return p, nil
 }
 
 func (p *hostProcess) writeSettings(text string) error {
-	return errors.Wrap(os.WriteFile(p.settings, []byte(text), 0o600), "settings of a host")
+	return errors.Wrap(os.WriteFile(p.settings, []byte(text), 0o600), "write host settings file")
 }
 
-// supervise starts the host, and again after each end, until finish is called.
+// supervise starts the host, and restarts it after each end, until finish is called or a start fails.
 func (p *hostProcess) supervise() {
 	defer close(p.done)
-	// The signal at the parent's death goes by the thread that started the process.
+	// Pdeathsig is sent when the thread that started the process ends, so that thread must stay.
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
 	for {
@@ -78,16 +81,16 @@
 		if !p.endRequested {
 			p.failures = append(p.failures, fmt.Sprintf("host %d ended by itself: %v", p.index, err))
 		}
-		down, over := p.downtime, p.finished
+		downtime, finished := p.downtime, p.finished
 		p.mu.Unlock()
-		if over {
+		if finished {
 			return
 		}
-		time.Sleep(down)
+		time.Sleep(downtime)
 	}
 }
 
-// launch starts a process. It returns false if none can be started, or none is to be.
+// launch starts a process. It returns false if that fails, or if the host is finished.
 func (p *hostProcess) launch() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -97,7 +100,7 @@
 	p.command = exec.Command(p.program[0], p.program[1:]...)
 	p.command.Stdout, p.command.Stderr = p.log, p.log
 	p.command.Env = p.environment
-	// The host must not outlive a soak that is killed.
+	// Ends the host when the soak is killed.
 	p.command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	if err := p.command.Start(); err != nil {
 		p.failures = append(p.failures, fmt.Sprintf("host %d does not start: %v", p.index, err))
@@ -108,11 +111,12 @@
 	return true
 }
 
-// restartDelay is the pause before a process that ended is started again.
+// restartDelay is the least delay between the end of a process and the next start.
 const restartDelay = 100 * time.Millisecond
 
-// signal sends a signal to the present process. One that ends it makes the host stay away for down.
-func (p *hostProcess) signal(s syscall.Signal, down time.Duration) {
+// signal sends a signal to the current process. After SIGTERM and SIGKILL the host stays down for downtime, at least
+// for restartDelay. Once a failure is recorded, signal does nothing.
+func (p *hostProcess) signal(s syscall.Signal, downtime time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.command == nil || p.command.Process == nil || p.failures != nil {
@@ -120,36 +124,37 @@
 	}
 	switch s {
 	case syscall.SIGTERM:
-		p.endRequested, p.downtime = true, max(restartDelay, down)
+		p.endRequested, p.downtime = true, max(restartDelay, downtime)
 		p.termAt = time.Now()
 	case syscall.SIGKILL:
-		p.endRequested, p.downtime = true, max(restartDelay, down)
+		p.endRequested, p.downtime = true, max(restartDelay, downtime)
 	}
 	_ = p.command.Process.Signal(s) // it may have ended just now
 }
 
-// current returns which process of the host runs, and whether it was told to stop.
-func (p *hostProcess) current() (life int, stopping bool) {
+// current returns the incarnation of the host's process, and whether it was sent SIGTERM.
+func (p *hostProcess) current() (incarnation int, stopping bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.incarnation, !p.termAt.IsZero()
 }
 
-// openDescriptors returns how many descriptors the present process has open.
+// openDescriptors returns the number of file descriptors that the current process has open, or zero if that is not
+// known.
 func (p *hostProcess) openDescriptors() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.command == nil || p.command.Process == nil {
 		return 0
 	}
-	list, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", p.command.Process.Pid))
+	entries, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", p.command.Process.Pid))
 	if err != nil {
 		return 0
 	}
-	return len(list)
+	return len(entries)
 }
 
-// finish ends the host for good and returns what was wrong with its processes.
+// finish kills the host, waits for the end of supervise, and returns the recorded failures.
 func (p *hostProcess) finish() []string {
 	p.mu.Lock()
 	p.finished, p.endRequested = true, true
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -16,40 +16,41 @@
 	"pearlatch/internal/site"
 )
 
-// Options describe a soak. DefaultOptions is a start.
+// Options configure a soak. Start from DefaultOptions.
 type Options struct {
 	Site site.Options
-	// Program runs a host whose settings SettingsVariable names.
+	// Program is the command that runs a host. It reads its settings from the path in SettingsVariable.
 	Program []string
-	// Environment is added to that of a host.
+	// Environment is added to the environment of each host.
 	Environment []string
-	// Callers is how many callers each database has.
+	// Callers is the number of callers of each database.
 	Callers int
-	// Faults is how long faults may begin, and Recovery how long hosts may take to serve again after
-	// the last one.
+	// Faults is the duration within which faults begin, and Recovery the time after the last fault within which
+	// all hosts must serve again.
 	Faults, Recovery time.Duration
-	// Folder takes the settings and the logs.
+	// Folder is where the settings and logs of hosts are written.
 	Folder string
 }
 
-// DefaultOptions returns a soak that ends within half a minute.
+// DefaultOptions returns the options of a soak that ends within half a minute.
 func DefaultOptions() Options {
 	return Options{Site: site.DefaultOptions(), Callers: 6, Faults: 6 * time.Second, Recovery: 40 * time.Second}
 }
 
-// Report is what came of a run.
+// Report is the result of a run.
 type Report struct {
 	Seed   uint64
 	Faults []Fault
-	// Findings are the broken promises. The run was well if there are none.
+	// Findings are the violated guarantees. The run passed if there are none.
 	Findings []string
-	// Served, Refused and Unknown count the operations by what their callers were told.
+	// Served, Refused and Unknown count the operations by outcome. That of an operation without a definite answer
+	// is unknown.
 	Served, Refused, Unknown int64
-	// Promotions counts the changes of primary.
+	// Promotions counts the promotions that took effect.
 	Promotions int
 }
 
-// run is a soak under way.
+// run is the state of a running soak.
 type run struct {
 	options   Options
 	site      *site.Site
@@ -59,30 +60,31 @@
 	configs   *configChecker
 
 	served, refused, unknown atomic.Int64
-	// replicaWiped is true while a member may hold nothing of what was acknowledged.
+	// replicaWiped is true while a replica may lack acknowledged writes because it was wiped.
 	replicaWiped atomic.Bool
 
 	mu sync.Mutex
-	// unplannedFaults counts the unplanned faults under way; calmSince is when the last one ended.
+	// unplannedFaults counts the current unplanned faults. unplannedChangedAt is when it last changed.
 	unplannedFaults    int
 	unplannedChangedAt time.Time
 }
 
-// database is what callers connect to.
+// database is a database that callers connect to, with the freshness class of its route and the ledger of its group.
 type database struct {
 	name   string
 	class  freshness.Class
 	ledger *ledger
 }
 
-// routeTimeout bounds a statement.
+// routeTimeout is the timeout of all routes.
 const routeTimeout = 800 * time.Millisecond
 
-// Run plays the faults of a schedule. An error means that the soak itself did not work.
+// Run starts a site with its hosts and callers, injects the faults, and checks the guarantees. The seed determines the
+// load. Run returns an error if the site or its hosts don't start; violated guarantees are in the report.
 func Run(ctx context.Context, o Options, seed uint64, faults []Fault) (*Report, error) {
 	s, err := site.Start(o.Site)
 	if err != nil {
-		return nil, errors.Wrap(err, "start the model")
+		return nil, errors.Wrap(err, "start site model")
 	}
 	defer s.Close()
 	r := &run{options: o, site: s, balancer: newBalancer(s)}
@@ -92,11 +94,11 @@
 	}
 	defer r.finish()
 	if !r.awaitServing(ctx, startTimeout) {
-		return nil, errors.New("the hosts did not come to serve before the first fault")
+		return nil, errors.New("not every host served every database before the first fault")
 	}
-	files := r.openDescriptors()
+	descriptors := r.openDescriptors()
 	r.play(ctx, seed, faults)
-	r.checkRecovery(ctx, files)
+	r.checkRecovery(ctx, descriptors)
 	r.finish()
 	report := &Report{
 		Seed: seed, Faults: faults, Findings: s.History().Findings(),
@@ -109,13 +111,14 @@
 }
 
 const (
-	// startTimeout bounds the time until all hosts serve.
+	// startTimeout bounds the time until all hosts serve after the start.
 	startTimeout = 30 * time.Second
-	// settleDelay is how long callers go on after the faults.
+	// settleDelay is how long callers continue after the last fault.
 	settleDelay = 2 * time.Second
 )
 
-// createDatabases gives each group three databases, one for each freshness.
+// createDatabases creates three databases for each group, one for each freshness class, sets the apply lag of the
+// members, and writes the first configuration.
 func (r *run) createDatabases() {
 	for i, g := range r.site.Groups() {
 		l := newLedger(g, r.site.History())
@@ -132,7 +135,7 @@
 	r.configs.configure()
 }
 
-// config returns the configuration, with the extra route or without.
+// config returns a configuration with a route for each database, and one for extraDatabase if extra is true.
 func (r *run) config(extra bool) gateway.Config {
 	c := gateway.Config{
 		TransactionIdleTimeout: 3 * time.Second, Routes: map[string]gateway.Route{}, Groups: map[string]gateway.GroupConfig{},
@@ -152,7 +155,7 @@
 	return c
 }
 
-// configure changes the configuration several times in a row.
+// configure changes the configuration the given number of times in a row.
 func (r *run) configure(times int) {
 	for range times {
 		r.configs.configure()
@@ -171,21 +174,21 @@
 	return nil
 }
 
-// play runs callers and faults.
+// play runs callers and injects the faults, and returns settleDelay after the last fault ended.
 func (r *run) play(ctx context.Context, seed uint64, faults []Fault) {
-	working, stop := context.WithCancel(ctx)
-	callers := r.startCallers(working, seed)
-	var troubles sync.WaitGroup
+	callersCtx, stop := context.WithCancel(ctx)
+	callers := r.startCallers(callersCtx, seed)
+	var injections sync.WaitGroup
 	for _, f := range faults {
-		troubles.Go(func() { r.inject(ctx, f) })
+		injections.Go(func() { r.inject(ctx, f) })
 	}
-	troubles.Wait()
+	injections.Wait()
 	pause.For(ctx, settleDelay)
 	stop()
 	callers.Wait()
 }
 
-// startCallers starts callers, which end with ctx.
+// startCallers starts the callers, the balancer and the checker of configurations. All of them end with ctx.
 func (r *run) startCallers(ctx context.Context, seed uint64) *sync.WaitGroup {
 	var callers sync.WaitGroup
 	callers.Go(func() { r.balancer.run(ctx) })
@@ -202,7 +205,7 @@
 	return &callers
 }
 
-// addUnplannedFaults notes that an unplanned fault began, or ended.
+// addUnplannedFaults adds change to the number of current unplanned faults.
 func (r *run) addUnplannedFaults(change int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -210,24 +213,24 @@
 	r.unplannedChangedAt = time.Now()
 }
 
-// quietAt reports whether there has been no unplanned fault for a while before the time and since.
+// quietAt reports whether there has been no unplanned fault from quietDelay before the given time until now.
 func (r *run) quietAt(at time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.unplannedFaults == 0 && at.Sub(r.unplannedChangedAt) > quietDelay
 }
 
-// quietDelay is how long after an unplanned fault its effects may still cut requests.
+// quietDelay is how long after an unplanned fault its effects may still interrupt requests.
 const quietDelay = 3 * time.Second
 
-// recordError records that the soak could not do what it meant to.
+// recordError records an error of the soak itself as a finding. It does nothing if err is nil.
 func (r *run) recordError(err error) {
 	if err != nil {
 		r.site.History().Broken("SOAK: %v", err)
 	}
 }
 
-// countOutcome counts an operation by its last answer.
+// countOutcome counts an operation by the outcome of its last request.
 func (r *run) countOutcome(a answer) {
 	switch {
 	case a.served():
@@ -239,10 +242,11 @@
 	}
 }
 
-// recordInterrupted notes a request that got no answer. Around planned work that must not happen.
+// recordInterrupted records a request that ended without an answer as a finding, if the host was shutting down and no
+// unplanned fault can be the cause. A planned shutdown must not interrupt requests. Timeouts are left out.
 func (r *run) recordInterrupted(c *caller, a answer) {
-	life, stopping := r.processes[c.host].current()
-	if life == c.incarnation && stopping && !isTimeout(a.err) && r.quietAt(a.began) {
+	incarnation, stopping := r.processes[c.host].current()
+	if incarnation == c.incarnation && stopping && !isTimeout(a.err) && r.quietAt(a.began) {
 		r.site.History().Broken("LOST: request %s was cut by host %d, which stops: %v", a.id, c.host, a.err)
 	}
 }
@@ -255,8 +259,9 @@
 	return n
 }
 
-// checkRecovery waits until all is well, and compares what callers were told with what the members hold.
-func (r *run) checkRecovery(ctx context.Context, filesBefore int) {
+// checkRecovery waits until all hosts serve and have the newest configuration. It then compares the ledgers with the
+// logs of the primaries, and the number of open descriptors with the one before the faults.
+func (r *run) checkRecovery(ctx context.Context, descriptorsBefore int) {
 	h := r.site.History()
 	if !r.awaitServing(ctx, r.options.Recovery) {
 		h.Broken("RECOVER: not every host serves every database %s after the last fault", r.options.Recovery)
@@ -270,23 +275,23 @@
 		}
 		r.databases[i*databasesPerGroup].ledger.checkLog(committed)
 	}
-	if now := r.openDescriptors(); now > maxDescriptorGrowth*filesBefore {
-		h.Broken("LEAK: the hosts have %d descriptors open, %d before the faults", now, filesBefore)
+	if now := r.openDescriptors(); now > maxDescriptorGrowth*descriptorsBefore {
+		h.Broken("LEAK: the hosts have %d descriptors open, %d before the faults", now, descriptorsBefore)
 	}
 }
 
 const (
 	databasesPerGroup = 3
-	// maxDescriptorGrowth is how many times as many descriptors hosts may have open after the faults: links
-	// between hosts are opened on demand.
+	// maxDescriptorGrowth bounds the open descriptors after the faults, as a multiple of those before. Hosts may have
+	// more of them after the faults, since connections between hosts are opened on demand.
 	maxDescriptorGrowth = 4
 )
 
-// finish ends the hosts.
+// finish kills all hosts and records their unexpected exits as findings. Further calls do nothing.
 func (r *run) finish() {
 	for _, p := range r.processes {
-		for _, each := range p.finish() {
-			r.site.History().Broken("EXIT: %s", each)
+		for _, failure := range p.finish() {
+			r.site.History().Broken("EXIT: %s", failure)
 		}
 	}
 	r.processes = nil
--- a/internal/soak/serve.go
+++ b/internal/soak/serve.go
@@ -10,26 +10,27 @@
 	"pearlatch/internal/site"
 )
 
-// Progress tells how a site fares.
+// Progress is a periodic report of a running site.
 type Progress struct {
-	// Elapsed is since callers began.
+	// Elapsed is the time since callers started.
 	Elapsed time.Duration
-	// Served, Refused and Unknown count operations since the last report.
+	// Served, Refused and Unknown count the operations since the last report, as in Report.
 	Served, Refused, Unknown int64
-	// Primaries are the members that lead, by group, or empty strings.
+	// Primaries holds the primary of each group, in the order of the groups; empty if there is none.
 	Primaries []string
-	// Findings are the broken promises so far.
+	// Findings are the violated guarantees since the start.
 	Findings []string
 }
 
-// progressInterval is the pause between two reports.
+// progressInterval is the pause between two progress reports.
 const progressInterval = time.Second
 
-// Serve runs a site with a load, and its faults, until ctx ends. It reports how the site fares.
+// Serve runs a site with its load and its faults until ctx ends, and calls report every second. It returns an error
+// if the site or its hosts don't start.
 func Serve(ctx context.Context, p *Plan, report func(Progress)) error {
 	s, err := site.Start(p.Options.Site)
 	if err != nil {
-		return errors.Wrap(err, "start the model")
+		return errors.Wrap(err, "start site model")
 	}
 	defer s.Close()
 	r := &run{options: p.Options, site: s, balancer: newBalancer(s)}
@@ -39,7 +40,7 @@
 	}
 	defer r.finish()
 	if !r.awaitServing(ctx, startTimeout) {
-		return errors.New("the hosts did not come to serve")
+		return errors.New("not every host served every database after the start")
 	}
 	done := make(chan struct{})
 	go func() {
@@ -56,16 +57,16 @@
 		for _, g := range s.Groups() {
 			now.Primaries = append(now.Primaries, g.Leader())
 		}
-		told := now
-		told.Served, told.Refused, told.Unknown = now.Served-before.Served, now.Refused-before.Refused, now.Unknown-before.Unknown
+		delta := now
+		delta.Served, delta.Refused, delta.Unknown = now.Served-before.Served, now.Refused-before.Refused, now.Unknown-before.Unknown
 		before = now
-		report(told)
+		report(delta)
 	}
 	<-done
 	return nil
 }
 
-// playUntilDone plays callers and faults until ctx ends.
+// playUntilDone runs callers and injects the faults until ctx ends.
 func (r *run) playUntilDone(ctx context.Context, seed uint64, faults []Fault) {
 	callers := r.startCallers(ctx, seed)
 	for _, f := range faults {
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -10,8 +10,8 @@
 	"pearlatch/platform"
 )
 
-// TestMain runs a host in place of the tests where the variable for its settings is set: a soak starts
-// this program again for each host.
+// TestMain runs a host instead of the tests if SettingsVariable is set: a soak runs this test binary for each of its
+// hosts.
 func TestMain(m *testing.M) {
 	path := os.Getenv(SettingsVariable)
 	if path == "" {
@@ -19,11 +19,11 @@
 	}
 	s, err := platform.LoadSettings(path)
 	if err == nil {
-		change := func(*gateway.Ports) {}
+		addFlaw := func(*gateway.Ports) {}
 		if flaw := flaws[os.Getenv(flawVariable)]; flaw != nil {
-			change = flaw
+			addFlaw = flaw
 		}
-		err = process.RunWith(s, path, os.Stdout, change)
+		err = process.RunWith(s, path, os.Stdout, addFlaw)
 	}
 	if err != nil {
 		_, _ = os.Stderr.WriteString(err.Error() + "\n")
@@ -31,13 +31,14 @@
 	}
 }
 
-// runSchedule plays a schedule and reports what it finds.
+// runSchedule runs a soak with the faults and fails the test for each finding. The environment variable
+// PEARLATCH_SOAK_FOLDER names a folder in which to keep the settings and logs of the hosts.
 func runSchedule(t *testing.T, seed uint64, faults []Fault) *Report {
 	t.Helper()
 	o := DefaultOptions()
 	o.Program, o.Folder = []string{os.Args[0]}, t.TempDir()
-	if kept := os.Getenv("PEARLATCH_SOAK_FOLDER"); kept != "" {
-		o.Folder = kept
+	if folder := os.Getenv("PEARLATCH_SOAK_FOLDER"); folder != "" {
+		o.Folder = folder
 	}
 	report, err := Run(context.Background(), o, seed, faults)
 	if err != nil {
@@ -50,36 +51,36 @@
 	return report
 }
 
-// Without faults, nothing may be refused or broken.
+// Without faults, no request may be refused and no guarantee violated.
 func TestSiteWithoutFaults(t *testing.T) {
 	if r := runSchedule(t, 1, nil); r.Served == 0 {
 		t.Error("nothing was served")
 	}
 }
 
-// A short soak of seeds that have come up before, each with a line on what it met.
+// Repeats seeds of earlier soaks, each with the situation that it produces.
 func TestSeeds(t *testing.T) {
 	for _, seed := range []uint64{
-		4, // a dark member that loses answers, then a frozen host and late orders
-		7, // hosts that stop and are killed while a member is down and another one is cut off
-		// A leaving primary had handed over, and its heir was out of the holder's reach for a moment:
-		// the holder took the old one for lost, and nobody served the group any more.
+		4, // an unreachable member that loses answers, then a frozen host and late promotions
+		7, // hosts that are shut down and killed while one member is down and another is cut off
+		// A leaving primary completed its switchover while the coordinator could not reach the new primary
+		// for a moment. The coordinator took the old primary for lost, and the group had no primary any more.
 		109,
 	} {
 		runSchedule(t, seed, scheduleWithoutRestores(seed, DefaultOptions().Faults))
 	}
 }
 
-// The store comes back from copies while hosts die and the configuration changes.
+// The store is restored from older copies while hosts are killed and the configuration changes.
 func TestSeedsWithStoreRestores(t *testing.T) {
 	for _, seed := range []uint64{
-		2, // it comes back twice
+		2, // two restores
 	} {
 		runSchedule(t, seed, Schedule(seed, DefaultOptions().Faults))
 	}
 }
 
-// Faults that don't matter are dropped from a schedule that fails, and the others stay.
+// Shrink removes the faults that a failure doesn't depend on, and keeps the others in order.
 func TestShrink(t *testing.T) {
 	faults := []Fault{{Kind: KillHost}, {Kind: StoreAway}, {Kind: CutMember}, {Kind: LagMember}}
 	left := Shrink(faults, func(faults []Fault) bool {
@@ -94,7 +95,7 @@
 	}
 }
 
-// A seed stands for the same faults each time it is played.
+// The same seed must always give the same schedule, so that a failed run can be repeated.
 func TestScheduleRepeats(t *testing.T) {
 	for seed := range uint64(50) {
 		a, b := Schedule(seed, 6e9), Schedule(seed, 6e9)
