--- a/core/config/yaml.go
+++ b/core/config/yaml.go
@@ -122,9 +122,9 @@
 // Field is a field of an edited section. It holds a value or, if Lists is not nil, a list of
 // sections.
 type Field struct {
-	Name  string
-	Value string
-	Lists [][]Field
+	Name     string
+	Value    string
+	Sections [][]Field
 }
 
 // EncodeEdited returns a document as YAML with an edit applied.
@@ -176,11 +176,11 @@
 		if dash != "" {
 			indent = level
 		}
-		if f.Lists == nil {
+		if f.Sections == nil {
 			e.line(indent, "%s%s: %q", dash, name, f.Value)
 		} else {
 			e.line(indent, "%s%s:", dash, name)
-			for _, section := range f.Lists {
+			for _, section := range f.Sections {
 				e.fields(level+2, section)
 			}
 		}
--- a/core/group/relief.go
+++ b/core/group/relief.go
@@ -9,9 +9,9 @@
 	// minSwitchoverInterval is the minimum time between two switchovers because
 	// of overload. Each one aborts the open transactions.
 	minSwitchoverInterval = 8 * time.Second
-	// minOverloadWaits is how many statements must have waited within a round
+	// minSaturationWaits is how many statements must have waited within a round
 	// for the primary to count as saturated. Fewer are taken for a burst.
-	minOverloadWaits = 8
+	minSaturationWaits = 8
 )
 
 // PrimaryLoad describes the load of a primary in one round of probes.
@@ -31,7 +31,7 @@
 // number of running statements alone does not show it, since a primary with
 // short statements may be probed in the idle moment between two of them while
 // others wait.
-func (l PrimaryLoad) saturated() bool { return l.Running >= l.Slots || l.Waits >= minOverloadWaits }
+func (l PrimaryLoad) saturated() bool { return l.Running >= l.Slots || l.Waits >= minSaturationWaits }
 
 // OverloadDetector decides when an overloaded primary is to be replaced because
 // no replica is fresh enough to take reads off it. A promoted replica is up to
--- a/core/kv/view_test.go
+++ b/core/kv/view_test.go
@@ -13,8 +13,8 @@
 	return Update{Snapshot{items, at}, true}
 }
 
-// deltaUpdate returns an update with changes up to a revision.
-func deltaUpdate(at Revision, items ...Item) Update {
+// partialUpdate returns an update with changes up to a revision.
+func partialUpdate(at Revision, items ...Item) Update {
 	return Update{Snapshot{items, at}, false}
 }
 
@@ -40,8 +40,8 @@
 		{"a smaller number in the same epoch", fullUpdate(30, item("config", "2", 30)), ErrStale, [3]string{"3", "x", "1"}, false},
 		{"a later epoch restored from an older backup", fullUpdate(NewRevision(1, 30), item("config", "2", NewRevision(1, 20)), item("plain", "w", NewRevision(1, 21)), item("same", "1", NewRevision(1, 12))), nil, [3]string{"3", "w", ""}, true},
 		{"a later epoch with a new write of the operator", fullUpdate(NewRevision(1, 33), item("config", "4", NewRevision(1, 33)), item("plain", "x", NewRevision(1, 21))), nil, [3]string{"4", "x", ""}, true},
-		{"delayed changes of an earlier epoch", deltaUpdate(NewRevision(-1, 50), item("config", "4", NewRevision(-1, 50))), ErrStale, [3]string{"3", "x", "1"}, false},
-		{"only changes of a later epoch", deltaUpdate(NewRevision(1, 33), item("config", "4", NewRevision(1, 33))), ErrGap, [3]string{"3", "x", "1"}, false},
+		{"delayed changes of an earlier epoch", partialUpdate(NewRevision(-1, 50), item("config", "4", NewRevision(-1, 50))), ErrStale, [3]string{"3", "x", "1"}, false},
+		{"only changes of a later epoch", partialUpdate(NewRevision(1, 33), item("config", "4", NewRevision(1, 33))), ErrGap, [3]string{"3", "x", "1"}, false},
 		{"the known number in a later epoch", fullUpdate(NewRevision(2, 37), item("config", "5", NewRevision(2, 37))), nil, [3]string{"5", "", ""}, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -64,10 +64,10 @@
 
 // A host that missed a restore of the store requests from another host the changes after its revision. It must receive a
 // full update, since changes of a later epoch do not continue an earlier one.
-func TestDeltaDoesNotSpanEpochs(t *testing.T) {
+func TestPartialUpdateDoesNotSpanEpochs(t *testing.T) {
 	v := NewView(nil)
 	apply(t, v, fullUpdate(37, item("a", "1", 37)))
-	apply(t, v, deltaUpdate(38, item("b", "1", 38)))
+	apply(t, v, partialUpdate(38, item("b", "1", 38)))
 	if u := v.Since(37); u.Full || len(u.Items) != 1 {
 		t.Errorf("%+v", u)
 	}
@@ -75,7 +75,7 @@
 	if u := v.Since(38); !u.Full || len(u.Items) != 1 {
 		t.Errorf("%+v", u)
 	}
-	apply(t, v, deltaUpdate(NewRevision(1, 21), item("c", "1", NewRevision(1, 21))))
+	apply(t, v, partialUpdate(NewRevision(1, 21), item("c", "1", NewRevision(1, 21))))
 	if u := v.Since(NewRevision(1, 20)); u.Full || len(u.Items) != 1 {
 		t.Errorf("%+v", u)
 	}
@@ -96,11 +96,11 @@
 	for i := range fresh {
 		for range 2 { // each key is written twice
 			at++
-			apply(t, v, deltaUpdate(at, item(fmt.Sprint("new-", i), "1", at)))
+			apply(t, v, partialUpdate(at, item(fmt.Sprint("new-", i), "1", at)))
 		}
 	}
 	at++
-	apply(t, v, deltaUpdate(at, Item{Key: "old-7", Revision: at, Removed: true}))
+	apply(t, v, partialUpdate(at, Item{Key: "old-7", Revision: at, Removed: true}))
 	u := v.Since(old)
 	if u.Full || len(u.Items) != fresh+1 || !slices.IsSortedFunc(u.Items, compareRevisions) {
 		t.Errorf("full %t, %d items, want %d", u.Full, len(u.Items), fresh+1)
@@ -117,7 +117,7 @@
 	for _, v := range []*View{source, follower} {
 		apply(t, v, fullUpdate(5, item("a", "1", 5)))
 	}
-	apply(t, follower, deltaUpdate(6, item("short", "1", 6)))
+	apply(t, follower, partialUpdate(6, item("short", "1", 6)))
 	apply(t, source, fullUpdate(7, item("a", "1", 5)))
 	apply(t, follower, source.Since(follower.Revision()))
 	if i, ok := follower.Item("short"); ok {
@@ -133,8 +133,8 @@
 	at := Revision(1)
 	for i := range 6 * minKeptChanges {
 		key := fmt.Sprint("k-", i)
-		apply(t, v, deltaUpdate(at+1, item(key, "1", at+1)))
-		apply(t, v, deltaUpdate(at+2, Item{Key: key, Revision: at + 2, Removed: true}))
+		apply(t, v, partialUpdate(at+1, item(key, "1", at+1)))
+		apply(t, v, partialUpdate(at+2, Item{Key: key, Revision: at + 2, Removed: true}))
 		at += 2
 	}
 	if u := v.Since(2); !u.Full || len(u.Items) != 1 {
--- a/core/membership/rank.go
+++ b/core/membership/rank.go
@@ -22,7 +22,7 @@
 	ranked := slices.Clone(hosts)
 	weights := make(map[string]uint64, len(ranked))
 	for _, h := range ranked {
-		weights[h.ID] = weight(group, h.ID)
+		weights[h.ID] = pairHash(group, h.ID)
 	}
 	slices.SortFunc(ranked, func(a, b Host) int {
 		if a.Leaving != b.Leaving {
@@ -45,8 +45,8 @@
 	return -1
 }
 
-// weight returns the rendezvous weight of a host for a group.
-func weight(group, host string) uint64 {
+// pairHash returns the rendezvous pairHash of a host for a group.
+func pairHash(group, host string) uint64 {
 	var d xxhash.Digest
 	d.Reset()
 	_, _ = d.WriteString(group)
--- a/core/membership/table.go
+++ b/core/membership/table.go
@@ -282,13 +282,13 @@
 // self.
 func selectNeighbours(self Host, live []Host) []Host {
 	hosts := slices.Clone(live)
-	slices.SortFunc(hosts, func(a, b Host) int { return cmp.Compare(weight("", a.ID), weight("", b.ID)) })
+	slices.SortFunc(hosts, func(a, b Host) int { return cmp.Compare(pairHash("", a.ID), pairHash("", b.ID)) })
 	position := slices.IndexFunc(hosts, func(h Host) bool { return h.ID == self.ID })
 	neighbours := []Host{}
 	for i := 1; i <= ringSuccessors && i < len(hosts); i++ {
 		neighbours = append(neighbours, hosts[(position+i)%len(hosts)])
 	}
-	slices.SortFunc(hosts, func(a, b Host) int { return cmp.Compare(weight(self.ID, b.ID), weight(self.ID, a.ID)) })
+	slices.SortFunc(hosts, func(a, b Host) int { return cmp.Compare(pairHash(self.ID, b.ID), pairHash(self.ID, a.ID)) })
 	for _, h := range hosts {
 		if len(neighbours) == ringSuccessors+randomNeighbours {
 			break
@@ -397,7 +397,7 @@
 	var sum uint64
 	for id, e := range t.entries {
 		if e.status.State != Dead {
-			sum += weight(id, leavingText(e.status.Host.Leaving))
+			sum += pairHash(id, leavingText(e.status.Host.Leaving))
 		}
 	}
 	return sum
--- a/core/pool/member.go
+++ b/core/pool/member.go
@@ -31,19 +31,19 @@
 	// idle holds the connections that are not in use, the most recently used
 	// last.
 	idle []*Conn
-	// open is the number of connections, idle and in use.
-	open int
-	// dials is the number of connections that are being opened, by account.
-	dials map[string]int
+	// connCount is the number of connections, idle and in use.
+	connCount int
+	// opening is the number of connections that are being opened, by account.
+	opening map[string]int
 	// inUse is the number of connections in use, and running how many of them
 	// run a statement or are about to.
 	inUse, running int
 	// latency is the moving average of statement durations, or zero if there is
 	// none yet.
 	latency time.Duration
-	// dialBlockedUntil is when the next connection may be opened after the
+	// openBlockedUntil is when the next connection may be opened after the
 	// member had none left or could not be reached.
-	dialBlockedUntil time.Time
+	openBlockedUntil time.Time
 	window           Window
 	burst            burst
 	// removed is true once the member was removed from the pool. Its
@@ -53,9 +53,9 @@
 
 // Load is the load of a host's connections to a member.
 type Load struct {
-	// Open is the number of connections: InUse of them are in use, of which
+	// ConnCount is the number of connections: InUse of them are in use, of which
 	// Running run statements, and Idle are not in use.
-	Open, InUse, Running, Idle int
+	ConnCount, InUse, Running, Idle int
 	// Window is how many statements of the host may run on the member at once.
 	Window int
 	// Latency is the moving average of statement durations, or zero if there is
@@ -65,7 +65,7 @@
 
 // Load returns the current load of the connections.
 func (m *Member) Load() Load {
-	return Load{Open: m.open, InUse: m.inUse, Running: m.running, Idle: len(m.idle), Window: m.window.Limit(), Latency: m.latency}
+	return Load{ConnCount: m.connCount, InUse: m.inUse, Running: m.running, Idle: len(m.idle), Window: m.window.Limit(), Latency: m.latency}
 }
 
 // ID returns the member's identifier.
@@ -86,14 +86,14 @@
 // shrinks the window. hosts is the number of hosts that share the member.
 func (m *Member) RecordOverload(now time.Time, hosts int) { m.window.Shrink(now, hosts) }
 
-// UnblockDials lets connections to the member be opened at once, since it has
+// UnblockOpening lets connections to the member be opened at once, since it has
 // just answered.
-func (m *Member) UnblockDials() { m.dialBlockedUntil = time.Time{} }
+func (m *Member) UnblockOpening() { m.openBlockedUntil = time.Time{} }
 
-// dialCount returns the number of connections that are being opened.
-func (m *Member) dialCount() int {
+// openingCount returns the number of connections that are being opened.
+func (m *Member) openingCount() int {
 	n := 0
-	for _, each := range m.dials {
+	for _, each := range m.opening {
 		n += each
 	}
 	return n
--- a/core/pool/open.go
+++ b/core/pool/open.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// maxDials bounds the connections that a host opens to a member at once.
+// maxOpening bounds the connections that a host opens to a member at once.
 // Opening a connection occupies one of the member's slots. If all hosts restart
 // together, statements would otherwise wait until every host has opened its
 // share.
-const maxDials = 1
+const maxOpening = 1
 
 // MaxConns returns how many connections the host may have to the member.
 func (p *Pool) MaxConns(m *Member) int {
@@ -25,8 +25,8 @@
 func (p *Pool) openForWaiters(waiters []*Waiter, now time.Time) {
 	dialing := map[string]int{} // by account
 	for _, m := range p.sorted {
-		m.burst.grow(now, len(waiters) > 0 && len(m.idle) == 0 && m.open >= p.MaxConns(m))
-		for account, n := range m.dials {
+		m.burst.grow(now, len(waiters) > 0 && len(m.idle) == 0 && m.connCount >= p.MaxConns(m))
+		for account, n := range m.opening {
 			dialing[account] += n
 		}
 	}
@@ -39,21 +39,21 @@
 			dialing[w.Request.Account]--
 			continue
 		}
-		if m := p.dialTarget(w.Request, waiting, now); m != nil {
+		if m := p.openTarget(w.Request, waiting, now); m != nil {
 			p.openOrReplace(m, w.Request.Account, waiting)
 		}
 	}
 }
 
-// dialTarget returns the member on which another connection would serve the
+// openTarget returns the member on which another connection would serve the
 // request soonest, or nil.
-func (p *Pool) dialTarget(r Request, waiting map[string]bool, now time.Time) *Member {
+func (p *Pool) openTarget(r ConnRequest, waiting map[string]bool, now time.Time) *Member {
 	m := p.cheapest(r, now, func(m *Member) bool {
 		// If the account has an idle connection, the statement waits for the window.
-		return m.idleIndex(r.Account) < 0 && p.canOpen(m, waiting) && !now.Before(m.dialBlockedUntil) &&
-			m.running+m.dialCount() <= max(1, m.slots)
+		return m.idleIndex(r.Account) < 0 && p.canOpen(m, waiting) && !now.Before(m.openBlockedUntil) &&
+			m.running+m.openingCount() <= max(1, m.slots)
 	})
-	if m == nil || m.dialCount() >= maxDials {
+	if m == nil || m.openingCount() >= maxOpening {
 		return nil
 	}
 	return m
@@ -62,7 +62,7 @@
 // canOpen reports whether a connection to the member may be opened, possibly in
 // place of an idle connection of an account without waiting statements.
 func (p *Pool) canOpen(m *Member, waiting map[string]bool) bool {
-	return m.open+m.dialCount() < p.MaxConns(m) || m.open+m.dialCount() <= p.MaxConns(m) && victim(m, waiting) >= 0
+	return m.connCount+m.openingCount() < p.MaxConns(m) || m.connCount+m.openingCount() <= p.MaxConns(m) && victim(m, waiting) >= 0
 }
 
 // victim returns the index of the least recently used idle connection among
@@ -74,18 +74,18 @@
 // openOrReplace opens a connection, and first closes an idle one if there is no
 // room.
 func (p *Pool) openOrReplace(m *Member, account string, waiting map[string]bool) {
-	if m.open+m.dialCount() >= p.MaxConns(m) {
+	if m.connCount+m.openingCount() >= p.MaxConns(m) {
 		if i := victim(m, waiting); i >= 0 {
 			p.closeConn(m.removeIdle(i))
-			m.open--
+			m.connCount--
 		}
 	}
-	p.startDial(m, account)
+	p.startOpen(m, account)
 }
 
-// startDial instructs the owner to open a connection.
-func (p *Pool) startDial(m *Member, account string) {
-	m.dials[account]++
+// startOpen instructs the owner to open a connection.
+func (p *Pool) startOpen(m *Member, account string) {
+	m.opening[account]++
 	p.actions = append(p.actions, Open{m.id, account})
 }
 
@@ -93,25 +93,25 @@
 // the account had an idle connection to it. Otherwise reads would stay with the
 // first member to which a connection was opened, usually the primary, until its
 // connections run out.
-func (p *Pool) openPreferred(r Request, chosen *Member, now time.Time) {
+func (p *Pool) openPreferred(r ConnRequest, chosen *Member, now time.Time) {
 	preferred := p.cheapest(r, now, func(m *Member) bool {
-		return m == chosen || m.dialCount() == 0 && m.idleIndex(r.Account) < 0 && m.open < p.view.Share(m.id) && !now.Before(m.dialBlockedUntil)
+		return m == chosen || m.openingCount() == 0 && m.idleIndex(r.Account) < 0 && m.connCount < p.view.Share(m.id) && !now.Before(m.openBlockedUntil)
 	})
 	if preferred != nil && preferred != chosen {
-		p.startDial(preferred, r.Account)
+		p.startOpen(preferred, r.Account)
 	}
 }
 
 // Prewarm opens a connection to the member for an account if none exists or is
 // being opened.
 func (p *Pool) Prewarm(m *Member, account string, now time.Time) {
-	if m.Unconnected() && p.MaxConns(m) > 0 && !now.Before(m.dialBlockedUntil) {
-		p.startDial(m, account)
+	if m.Unconnected() && p.MaxConns(m) > 0 && !now.Before(m.openBlockedUntil) {
+		p.startOpen(m, account)
 	}
 }
 
-// BeginDial records that the owner opens a connection without an Open action.
-func (p *Pool) BeginDial(m *Member, account string) { m.dials[account]++ }
+// BeginOpen records that the owner opens a connection without an Open action.
+func (p *Pool) BeginOpen(m *Member, account string) { m.opening[account]++ }
 
 // Available reports whether the member could serve an account now, or once a
 // connection has been opened.
@@ -119,24 +119,24 @@
 	if !m.window.Allows(m.running, now) {
 		return false
 	}
-	return m.idleIndex(account) >= 0 || p.canOpen(m, nil) && !now.Before(m.dialBlockedUntil)
+	return m.idleIndex(account) >= 0 || p.canOpen(m, nil) && !now.Before(m.openBlockedUntil)
 }
 
-// dialEnded records that a connection of the account is no longer being opened.
-func (m *Member) dialEnded(account string) {
-	if m.dials[account]--; m.dials[account] <= 0 {
-		delete(m.dials, account)
+// openingEnded records that a connection of the account is no longer being opened.
+func (m *Member) openingEnded(account string) {
+	if m.opening[account]--; m.opening[account] <= 0 {
+		delete(m.opening, account)
 	}
 }
 
 // Opened adds a connection that was opened, as an idle one. If the member was
 // removed, it returns nil and the caller must close the connection.
 func (p *Pool) Opened(m *Member, account string, now time.Time) *Conn {
-	m.dialEnded(account)
+	m.openingEnded(account)
 	if m.removed {
 		return nil
 	}
-	m.open++
+	m.connCount++
 	c := &Conn{Account: account, member: m, lastUsed: now}
 	m.idle = append(m.idle, c)
 	return c
@@ -145,15 +145,15 @@
 // OpenFailed records that a connection could not be opened. full is true if the
 // member had no connection left, and false if it could not be reached.
 func (p *Pool) OpenFailed(m *Member, account string, full bool, now time.Time) {
-	m.dialEnded(account)
+	m.openingEnded(account)
 	if !full {
-		m.dialBlockedUntil = now.Add(dialBackoff)
+		m.openBlockedUntil = now.Add(unreachableBackoff)
 		return
 	}
 	m.burst.reset(now)
-	m.dialBlockedUntil = now.Add(fullBackoff)
+	m.openBlockedUntil = now.Add(fullBackoff)
 }
 
 // OpenAbandoned records that a connection was not opened, for a reason that
 // does not affect the next attempt.
-func (p *Pool) OpenAbandoned(m *Member, account string) { m.dialEnded(account) }
+func (p *Pool) OpenAbandoned(m *Member, account string) { m.openingEnded(account) }
--- a/core/pool/pool.go
+++ b/core/pool/pool.go
@@ -12,9 +12,9 @@
 	// fullBackoff is how long no connection is opened after the member had none
 	// left: the duration of a few statements.
 	fullBackoff = 60 * time.Millisecond
-	// dialBackoff is how long no connection is opened after the member could
+	// unreachableBackoff is how long no connection is opened after the member could
 	// not be reached.
-	dialBackoff = 200 * time.Millisecond
+	unreachableBackoff = 200 * time.Millisecond
 	// avoidPenalty is added to the cost of a member that has just failed the
 	// statement. It is as long as a member stays suspect.
 	avoidPenalty = 500 * time.Millisecond
@@ -59,7 +59,7 @@
 
 // Add adds a member that runs at most slots statements at once.
 func (p *Pool) Add(id string, slots int) *Member {
-	m := &Member{id: id, slots: slots, dials: map[string]int{}}
+	m := &Member{id: id, slots: slots, opening: map[string]int{}}
 	p.members[id] = m
 	p.sorted = append(p.sorted, m)
 	slices.SortFunc(p.sorted, func(a, b *Member) int { return cmp.Compare(a.id, b.id) })
@@ -80,7 +80,7 @@
 // CloseIdle closes the idle connections to a member.
 func (p *Pool) CloseIdle(m *Member) {
 	for _, c := range m.idle {
-		m.open--
+		m.connCount--
 		p.closeConn(c)
 	}
 	m.idle = nil
@@ -89,7 +89,7 @@
 // Take takes the connection that serves the request soonest, or returns nil if
 // none is idle. If another member would be preferred but the account has no
 // connection to it, Take opens one there for the next statement.
-func (p *Pool) Take(r Request, now time.Time) *Conn {
+func (p *Pool) Take(r ConnRequest, now time.Time) *Conn {
 	c := p.takeIdle(r, now)
 	if c != nil {
 		p.openPreferred(r, c.member, now)
@@ -99,7 +99,7 @@
 
 // takeIdle takes the idle connection that serves the request soonest, or
 // returns nil. Connections that the member has closed are removed.
-func (p *Pool) takeIdle(r Request, now time.Time) *Conn {
+func (p *Pool) takeIdle(r ConnRequest, now time.Time) *Conn {
 	for {
 		best := p.cheapest(r, now, func(m *Member) bool { return m.window.Allows(m.running, now) && m.idleIndex(r.Account) >= 0 })
 		if best == nil {
@@ -112,7 +112,7 @@
 			c.running = true
 			return c
 		}
-		best.open--
+		best.connCount--
 		p.closeConn(c)
 	}
 }
@@ -129,11 +129,11 @@
 
 // Unconnected reports whether no connection to the member exists or is being
 // opened.
-func (m *Member) Unconnected() bool { return m.open+m.dialCount() == 0 }
+func (m *Member) Unconnected() bool { return m.connCount+m.openingCount() == 0 }
 
 // cheapest returns the member with the lowest cost among those that may serve
 // the request and for which eligible returns true, or nil.
-func (p *Pool) cheapest(r Request, now time.Time, eligible func(*Member) bool) *Member {
+func (p *Pool) cheapest(r ConnRequest, now time.Time, eligible func(*Member) bool) *Member {
 	var best *Member
 	var bestCost time.Duration
 	for _, m := range p.sorted {
@@ -155,7 +155,7 @@
 func (p *Pool) cost(m *Member, now time.Time) time.Duration {
 	at := p.view.Info(m.id, now)
 	return placement.Member{
-		Latency: m.latency, Running: m.running + m.dialCount(), SameZone: at.SameZone, IsPrimary: at.Leads, Suspect: at.Suspect,
+		Latency: m.latency, Running: m.running + m.openingCount(), SameZone: at.SameZone, IsPrimary: at.IsPrimary, Suspect: at.Suspect,
 	}.Cost()
 }
 
@@ -166,7 +166,7 @@
 	c.clearRunning()
 	c.lastUsed = now
 	if m.removed || !p.view.KeepsIdle(m.id, now) {
-		m.open--
+		m.connCount--
 		p.closeConn(c)
 		return
 	}
@@ -181,7 +181,7 @@
 func (p *Pool) Discard(c *Conn) {
 	c.member.inUse--
 	c.clearRunning()
-	c.member.open--
+	c.member.connCount--
 	p.closeConn(c)
 }
 
@@ -199,7 +199,7 @@
 			}
 		}
 		p.actions = append(p.actions, Assign{w, c})
-		p.CancelWait(w)
+		p.Dequeue(w)
 	}
 	p.openForWaiters(unserved, now)
 }
--- a/core/pool/pool_test.go
+++ b/core/pool/pool_test.go
@@ -18,11 +18,11 @@
 
 var _ View = (*fakeView)(nil)
 
-func (v *fakeView) CanServe(id string, r Request, _ time.Time) bool {
+func (v *fakeView) CanServe(id string, r ConnRequest, _ time.Time) bool {
 	return r.PrimaryOnly && id == "p" || !r.PrimaryOnly && !v.lagging[id]
 }
 func (v *fakeView) Info(id string, _ time.Time) MemberInfo {
-	return MemberInfo{SameZone: true, Leads: id == "p"}
+	return MemberInfo{SameZone: true, IsPrimary: id == "p"}
 }
 func (v *fakeView) KeepsIdle(string, time.Time) bool { return true }
 func (v *fakeView) Share(string) int                 { return v.share }
@@ -46,8 +46,10 @@
 	return h
 }
 
-func readRequest(account string) Request  { return Request{Account: account} }
-func writeRequest(account string) Request { return Request{Account: account, PrimaryOnly: true} }
+func readRequest(account string) ConnRequest { return ConnRequest{Account: account} }
+func writeRequest(account string) ConnRequest {
+	return ConnRequest{Account: account, PrimaryOnly: true}
+}
 
 // runActions carries out the pool's actions, like a member that has room for
 // every connection. It returns the actions as text, and the connection that
@@ -73,7 +75,7 @@
 
 // acquire returns a connection for the request, opening one if necessary, and
 // the actions that were carried out.
-func (h *harness) acquire(r Request) (*Conn, []string) {
+func (h *harness) acquire(r ConnRequest) (*Conn, []string) {
 	h.t.Helper()
 	r.ArrivedAt = h.now
 	if c := h.pool.Take(r, h.now); c != nil {
@@ -220,7 +222,7 @@
 	if c := h.pool.Take(readRequest("bakery"), h.now); c != nil {
 		t.Error("a removed member got a statement")
 	}
-	if m := busy.Member(); h.pool.Opened(m, "late", h.now) != nil || m.Load().Open != 0 {
+	if m := busy.Member(); h.pool.Opened(m, "late", h.now) != nil || m.Load().ConnCount != 0 {
 		t.Errorf("load %+v", m.Load())
 	}
 }
@@ -229,8 +231,8 @@
 // forwarded to other hosts.
 func TestLostPrimaryForwards(t *testing.T) {
 	h := newHarness(t, 4, "p")
-	w := h.pool.Enqueue(Request{PrimaryOnly: true, Forwardable: true})
-	stays := h.pool.Enqueue(Request{PrimaryOnly: true, Account: "bakery"})
+	w := h.pool.Enqueue(ConnRequest{PrimaryOnly: true, Forwardable: true})
+	stays := h.pool.Enqueue(ConnRequest{PrimaryOnly: true, Account: "bakery"})
 	h.pool.Dispatch(h.now, true)
 	for _, o := range h.pool.DrainActions() {
 		if a, ok := o.(Assign); ok && (a.Waiter != w || a.Conn != nil) {
@@ -269,7 +271,7 @@
 		h.view.share = c.share
 		h.now = h.now.Add(c.idle)
 		h.pool.Trim(h.now, c.hosts, func(*Member) int { return c.warm })
-		if got := h.pool.members["r"].Load().Open; got != c.want {
+		if got := h.pool.members["r"].Load().ConnCount; got != c.want {
 			t.Errorf("%s: %d connections are left, want %d", c.name, got, c.want)
 		}
 	}
--- a/core/pool/queue.go
+++ b/core/pool/queue.go
@@ -8,12 +8,12 @@
 
 // Enqueue adds a statement to the queue. An Assign action of a later call hands
 // it a connection.
-func (p *Pool) Enqueue(r Request) *Waiter {
+func (p *Pool) Enqueue(r ConnRequest) *Waiter {
 	w := &Waiter{r}
 	i := sort.Search(len(p.waiters), func(i int) bool {
 		o := p.waiters[i].Request
-		if o.Priority != r.Priority {
-			return o.Priority > r.Priority
+		if o.Rank != r.Rank {
+			return o.Rank > r.Rank
 		}
 		return o.ArrivedAt.After(r.ArrivedAt)
 	})
@@ -21,8 +21,8 @@
 	return w
 }
 
-// CancelWait removes a statement from the queue.
-func (p *Pool) CancelWait(w *Waiter) {
+// Dequeue removes a statement from the queue.
+func (p *Pool) Dequeue(w *Waiter) {
 	p.waiters = slices.DeleteFunc(p.waiters, func(o *Waiter) bool { return o == w })
 }
 
@@ -43,7 +43,7 @@
 	out := slices.Clone(p.waiters)
 	for from := 0; from < len(out); {
 		to := from + 1
-		for to < len(out) && out[to].Request.Priority == out[from].Request.Priority {
+		for to < len(out) && out[to].Request.Rank == out[from].Request.Rank {
 			to++
 		}
 		if now.Sub(out[from].Request.ArrivedAt) > lifoThreshold {
--- a/core/pool/queue_test.go
+++ b/core/pool/queue_test.go
@@ -13,7 +13,7 @@
 	now := time.UnixMilli(10_000)
 	p := New(nil)
 	add := func(name string, priority int, ago time.Duration) {
-		p.Enqueue(Request{Avoid: name, Priority: priority, ArrivedAt: now.Add(-ago)})
+		p.Enqueue(ConnRequest{Avoid: name, Rank: priority, ArrivedAt: now.Add(-ago)})
 	}
 	names := func() []string {
 		var out []string
--- a/core/pool/request.go
+++ b/core/pool/request.go
@@ -6,8 +6,8 @@
 	"pearlatch/core/group"
 )
 
-// Request describes the connection that a statement needs.
-type Request struct {
+// ConnRequest describes the connection that a statement needs.
+type ConnRequest struct {
 	// Account is the client account of the statement, or empty where clients
 	// have no accounts.
 	Account string
@@ -20,9 +20,9 @@
 	// Avoid is the identifier of a member that has just failed the statement,
 	// or empty.
 	Avoid string
-	// Priority is the rank of the statement in the queue. The most important
+	// Rank is the rank of the statement in the queue. The most important
 	// statements have 0.
-	Priority int
+	Rank int
 	// ArrivedAt is when the statement arrived.
 	ArrivedAt time.Time
 	// Deadline is until when the statement may wait.
@@ -30,14 +30,14 @@
 }
 
 // Waiter is a statement that waits for a connection.
-type Waiter struct{ Request Request }
+type Waiter struct{ Request ConnRequest }
 
 // MemberInfo is what the host knows of a member's location, role and health.
 type MemberInfo struct {
 	// SameZone is true if the member is in the host's availability zone.
 	SameZone bool
-	// Leads is true for the primary.
-	Leads bool
+	// IsPrimary is true for the primary.
+	IsPrimary bool
 	// Suspect is true if the member recently failed to answer.
 	Suspect bool
 }
@@ -46,7 +46,7 @@
 // them.
 type View interface {
 	// CanServe reports whether the member may serve the request now.
-	CanServe(member string, r Request, now time.Time) bool
+	CanServe(member string, r ConnRequest, now time.Time) bool
 	// Info returns what the host knows of the member.
 	Info(member string, now time.Time) MemberInfo
 	// KeepsIdle reports whether unused connections to the member are kept open.
--- a/core/pool/trim.go
+++ b/core/pool/trim.go
@@ -21,14 +21,14 @@
 		if hosts > ManyHosts {
 			timeout = manyHostsIdleTimeout
 		}
-		if m.open > share {
+		if m.connCount > share {
 			timeout = burstIdleTimeout
 		}
-		if p.view.KeepsIdle(m.id, now) && (now.Sub(c.lastUsed) < timeout || m.open <= warm) {
+		if p.view.KeepsIdle(m.id, now) && (now.Sub(c.lastUsed) < timeout || m.connCount <= warm) {
 			kept = append(kept, c)
 			continue
 		}
-		m.open--
+		m.connCount--
 		p.closeConn(c)
 	}
 	clear(m.idle[len(kept):])
@@ -39,8 +39,8 @@
 // Opening one occupies a slot of the member for as long as two or three
 // statements, which does no harm then.
 func (p *Pool) openSpare(m *Member, now time.Time, warm int) {
-	if len(p.waiters) > 0 || m.dialCount() > 0 || m.open >= warm || !p.view.CanServe(m.id, Request{}, now) || now.Before(m.dialBlockedUntil) {
+	if len(p.waiters) > 0 || m.openingCount() > 0 || m.connCount >= warm || !p.view.CanServe(m.id, ConnRequest{}, now) || now.Before(m.openBlockedUntil) {
 		return
 	}
-	p.startDial(m, "")
+	p.startOpen(m, "")
 }
--- a/core/serving/local_reads_test.go
+++ b/core/serving/local_reads_test.go
@@ -32,7 +32,7 @@
 // With a serving host in each of five availability zones, the other hosts forward reads within their
 // zone and keep no replica connections. If they did, a serving host would be left with one connection
 // to a replica for the callers of forty hosts.
-func TestNoLocalReadsWhereZoneHasServer(t *testing.T) {
+func TestNoLocalReadsWhereZoneHasServingHost(t *testing.T) {
 	hosts := testHosts(180, 5)
 	table := newTable(hosts)
 	for _, h := range hosts {
--- a/core/serving/plan.go
+++ b/core/serving/plan.go
@@ -11,16 +11,16 @@
 	// which every host serves its own callers: one for a transaction that is idle between
 	// statements and one for everything else.
 	minDirectConnections = 2
-	// minServerConnections is the least number of connections to a member per serving host
+	// minServingConnections is the least number of connections to a member per serving host
 	// where a few hosts serve for all. It allows for several transactions that are idle
 	// between statements while the member's two or three slots stay busy.
-	minServerConnections = 8
-	// minServers is the least number of serving hosts, if the connections allow it, where
+	minServingConnections = 8
+	// minServingHosts is the least number of serving hosts, if the connections allow it, where
 	// one in each availability zone would be fewer. The loss of one leaves two.
-	minServers = 3
+	minServingHosts = 3
 )
 
-// ServerCount returns how many hosts serve a group. connections is the number of
+// ServingHostCount returns how many hosts serve a group. connections is the number of
 // connections that one member accepts, and zones the number of availability zones of the
 // hosts.
 //
@@ -29,11 +29,11 @@
 // 64 hosts in 5 zones and 94 connections, two or three serving hosts in each zone served no
 // more (worth over three days 0.903 and 0.900, against 0.909), since each of them opens its
 // own connections.
-func ServerCount(connections, hosts, zones int) int {
+func ServingHostCount(connections, hosts, zones int) int {
 	if allServe(connections, hosts) {
 		return max(1, hosts)
 	}
-	servers := min(max(zones, minServers), connections/minServerConnections)
+	servers := min(max(zones, minServingHosts), connections/minServingConnections)
 	return min(max(1, servers), hosts)
 }
 
@@ -44,8 +44,8 @@
 
 // Plan says which hosts serve a group, as seen by one host. The zero value means that all hosts serve.
 type Plan struct {
-	// ServerCount is how many hosts serve for all, or zero if every host serves its own callers.
-	ServerCount int
+	// DedicatedServers is how many hosts serve for all, or zero if every host serves its own callers.
+	DedicatedServers int
 	// ServedByOthers is true if other hosts serve and this one does not.
 	ServedByOthers bool
 	// Ranked holds hosts in the order in which they serve the group: the first ServerCount of them
@@ -69,8 +69,8 @@
 		return Plan{}
 	}
 	ranked := t.Ranked(group)
-	p := Plan{ServerCount: min(ServerCount(connections, active, zones), len(ranked)), Ranked: ranked}
-	servers := ranked[:p.ServerCount]
+	p := Plan{DedicatedServers: min(ServingHostCount(connections, active, zones), len(ranked)), Ranked: ranked}
+	servers := ranked[:p.DedicatedServers]
 	p.ServedByOthers = !slices.ContainsFunc(servers, func(h membership.Host) bool { return h.ID == self.ID })
 	if p.ServedByOthers {
 		p.LocalReadConnections = t.localReadConnections(self.Zone, servers, connections)
--- a/core/serving/serving_test.go
+++ b/core/serving/serving_test.go
@@ -26,13 +26,13 @@
 	return t
 }
 
-// serversOf returns the hosts that serve a group where not all hosts serve.
-func serversOf(t *Table, group string, connections int) []membership.Host {
+// servingHostsOf returns the hosts that serve a group where not all hosts serve.
+func servingHostsOf(t *Table, group string, connections int) []membership.Host {
 	p := t.Plan(membership.Host{}, group, connections)
-	return p.Ranked[:p.ServerCount]
+	return p.Ranked[:p.DedicatedServers]
 }
 
-func TestServerCount(t *testing.T) {
+func TestServingHostCount(t *testing.T) {
 	for _, c := range []struct {
 		name                             string
 		connections, hosts, zones, count int
@@ -46,18 +46,18 @@
 		{"one host", 21, 1, 1, 1},
 		{"no known hosts", 21, 0, 0, 1},
 	} {
-		if got := ServerCount(c.connections, c.hosts, c.zones); got != c.count {
+		if got := ServingHostCount(c.connections, c.hosts, c.zones); got != c.count {
 			t.Errorf("%s: %d serving hosts, want %d", c.name, got, c.count)
 		}
 	}
 }
 
 // Without a serving host in their zone, hosts would forward every statement to another zone.
-func TestOneServerPerZone(t *testing.T) {
+func TestOneServingHostPerZone(t *testing.T) {
 	table := newTable(testHosts(60, 5))
 	for i := range 50 {
 		zones := map[string]int{}
-		for _, h := range serversOf(table, fmt.Sprint("group-", i), 92) {
+		for _, h := range servingHostsOf(table, fmt.Sprint("group-", i), 92) {
 			zones[h.Zone]++
 		}
 		for zone, n := range zones {
@@ -73,20 +73,20 @@
 
 // A leaving host must not change the other serving hosts of a group, since each change
 // opens a new set of connections to three members.
-func TestLeavingHostKeepsOtherServers(t *testing.T) {
+func TestLeavingHostKeepsOtherServingHosts(t *testing.T) {
 	hosts := testHosts(60, 3)
 	table := newTable(hosts)
 	for i := range 50 {
 		group := fmt.Sprint("group-", i)
 		table.Update(hosts)
-		before := serversOf(table, group, 32)
+		before := servingHostsOf(table, group, 32)
 		updated := make([]membership.Host, len(hosts))
 		copy(updated, hosts)
 		for j := range updated {
 			updated[j].Leaving = updated[j].ID == before[0].ID
 		}
 		table.Update(updated)
-		after := serversOf(table, group, 32)
+		after := servingHostsOf(table, group, 32)
 		kept := 0
 		for _, h := range after {
 			for _, o := range before[1:] {
@@ -105,7 +105,7 @@
 }
 
 func TestForwardingOrderPrefersOwnZone(t *testing.T) {
-	servers := serversOf(newTable(testHosts(60, 3)), "g", 60)
+	servers := servingHostsOf(newTable(testHosts(60, 3)), "g", 60)
 	first := map[string]int{}
 	for _, self := range testHosts(60, 3) {
 		ordered := ForwardingOrder(self, servers)
--- a/core/serving/table.go
+++ b/core/serving/table.go
@@ -11,7 +11,7 @@
 
 // rankedPerZone is how many hosts of each availability zone a Table ranks for a group: the three
 // that serve if there is only one zone, and as many replacements.
-const rankedPerZone = 2 * minServers
+const rankedPerZone = 2 * minServingHosts
 
 // Table keeps, for each group that it was asked about, the highest-ranked hosts to serve it. Ranks
 // come from rendezvous hashing, so a host that joins or leaves does not change the order of the
--- a/core/statement/unit.go
+++ b/core/statement/unit.go
@@ -61,19 +61,19 @@
 	Read // read
 )
 
-// Expect tells how the end of the answer to a unit is recognized.
-type Expect int
+// ReplyEnd tells how the end of the answer to a unit is recognized.
+type ReplyEnd int
 
 // The ends of an answer.
 const (
-	// ExpectReady means that the answer ends with ReadyForQuery or
+	// EndsWithReady means that the answer ends with ReadyForQuery or
 	// CopyInResponse.
-	ExpectReady Expect = iota // ready
-	// ExpectNothing means that no answer follows, as in the middle of COPY.
-	ExpectNothing // nothing
-	// ExpectReplies means that the answer ends after Unit.Replies replies, as
+	EndsWithReady ReplyEnd = iota // ready
+	// EndsWithoutReply means that no answer follows, as in the middle of COPY.
+	EndsWithoutReply // nothing
+	// EndsAfterReplies means that the answer ends after Unit.Replies replies, as
 	// after Flush.
-	ExpectReplies // counted
+	EndsAfterReplies // counted
 )
 
 // Unit is a sequence of protocol messages that is answered as a whole.
@@ -82,8 +82,8 @@
 	Kind Kind
 	// Data holds the messages as they are sent to the member.
 	Data []byte
-	// Expect tells how the end of the answer is recognized.
-	Expect Expect
+	// ReplyEnd tells how the end of the answer is recognized.
+	ReplyEnd ReplyEnd
 	// Replies is the number of replies due if Expect is ExpectReplies.
 	Replies int
 	// Prepared lists the named statements that Data refers to, each once.
--- a/core/statement/unit_string.go
+++ b/core/statement/unit_string.go
@@ -27,16 +27,16 @@
 	// An "invalid array index" compiler error signifies that the constant values have changed.
 	// Re-run the stringer command to generate them again.
 	var x [1]struct{}
-	_ = x[ExpectReady-0]
-	_ = x[ExpectNothing-1]
-	_ = x[ExpectReplies-2]
+	_ = x[EndsWithReady-0]
+	_ = x[EndsWithoutReply-1]
+	_ = x[EndsAfterReplies-2]
 }
 
 const _Expect_name = "readynothingcounted"
 
 var _Expect_index = [...]uint8{0, 5, 12, 19}
 
-func (i Expect) String() string {
+func (i ReplyEnd) String() string {
 	idx := int(i) - 0
 	if i < 0 || idx >= len(_Expect_index)-1 {
 		return "Expect(" + strconv.FormatInt(int64(i), 10) + ")"
--- a/internal/gateway/connections.go
+++ b/internal/gateway/connections.go
@@ -41,7 +41,7 @@
 // acquireConn returns a connection for the request. It waits for one until the deadline of the request or
 // until ctx ends, and then returns errNoConnection. It returns errReroute if the statement is to be
 // forwarded to a host that may reach the primary.
-func (g *Group) acquireConn(ctx context.Context, r pool.Request) (*pooledConn, error) {
+func (g *Group) acquireConn(ctx context.Context, r pool.ConnRequest) (*pooledConn, error) {
 	g.mu.Lock()
 	if r.Forwardable && g.primaryUnreachableLocked() {
 		g.mu.Unlock()
@@ -71,7 +71,7 @@
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.pool.CancelWait(w)
+	g.pool.Dequeue(w)
 	delete(g.waiting, w)
 	select {
 	case p := <-assigned: // assigned just before the wait was canceled
@@ -91,7 +91,7 @@
 
 // enqueue adds a request to the waiting ones. The channel receives its connection, or nil if the
 // statement is to be rerouted. g.mu must be held.
-func (g *Group) enqueue(r pool.Request) (*pool.Waiter, <-chan *pooledConn) {
+func (g *Group) enqueue(r pool.ConnRequest) (*pool.Waiter, <-chan *pooledConn) {
 	assigned := make(chan *pooledConn, 1)
 	w := g.pool.Enqueue(r)
 	g.waiting[w] = assigned
--- a/internal/gateway/group.go
+++ b/internal/gateway/group.go
@@ -160,8 +160,8 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.maxStaleness = maxStaleness
-	if p.ServerCount > 0 {
-		hosts = p.ServerCount
+	if p.DedicatedServers > 0 {
+		hosts = p.DedicatedServers
 	}
 	g.maxConnections, g.hostCount = max(1, c.Connections), max(1, hosts)
 	if p.ServedByOthers != g.plan.ServedByOthers {
--- a/internal/gateway/local_replica.go
+++ b/internal/gateway/local_replica.go
@@ -14,7 +14,7 @@
 // canReadLocally reports whether a read that would be forwarded should run on a local replica instead. This saves a
 // hop between hosts and between availability zones, and avoids a host that may have failed. The replica must be
 // fresh enough, not suspect, and below its connection limit.
-func (g *Group) canReadLocally(need pool.Request) bool {
+func (g *Group) canReadLocally(need pool.ConnRequest) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := g.now()
--- a/internal/gateway/operation.go
+++ b/internal/gateway/operation.go
@@ -13,7 +13,7 @@
 type operation struct {
 	group             *Group
 	route             Route
-	need              pool.Request
+	need              pool.ConnRequest
 	writes            bool
 	prepared          *PreparedStatement
 	needsPrimaryCheck bool
@@ -34,7 +34,7 @@
 		return operation{}, err
 	}
 	g := target.group
-	op := operation{group: g, route: target.route, writes: writes, need: pool.Request{Account: target.account.Name, Priority: target.route.Priority, ArrivedAt: arrived}}
+	op := operation{group: g, route: target.route, writes: writes, need: pool.ConnRequest{Account: target.account.Name, Rank: target.route.Priority, ArrivedAt: arrived}}
 	if s.origin == nil && s.host.shouldForward(g) {
 		op.shouldForward = true
 		return op, nil
--- a/internal/gateway/pool_view.go
+++ b/internal/gateway/pool_view.go
@@ -12,7 +12,7 @@
 var _ pool.View = poolView{}
 
 // CanServe implements pool.View.
-func (v poolView) CanServe(id string, r pool.Request, now time.Time) bool {
+func (v poolView) CanServe(id string, r pool.ConnRequest, now time.Time) bool {
 	m := v.g.members[id]
 	return m != nil && v.g.eligible(m, r, now)
 }
@@ -20,7 +20,7 @@
 // Info implements pool.View.
 func (v poolView) Info(id string, now time.Time) pool.MemberInfo {
 	m := v.g.members[id]
-	return pool.MemberInfo{SameZone: m.Zone == v.g.zone, Leads: id == v.g.primaryID, Suspect: now.Before(m.suspectUntil)}
+	return pool.MemberInfo{SameZone: m.Zone == v.g.zone, IsPrimary: id == v.g.primaryID, Suspect: now.Before(m.suspectUntil)}
 }
 
 // KeepsIdle implements pool.View.
@@ -39,7 +39,7 @@
 func (v poolView) Alive(c *pool.Conn) bool { return v.g.conns[c].conn.Alive() }
 
 // eligible reports whether the member may serve the request now. g.mu must be held.
-func (g *Group) eligible(m *member, r pool.Request, now time.Time) bool {
+func (g *Group) eligible(m *member, r pool.ConnRequest, now time.Time) bool {
 	if r.PrimaryOnly {
 		return m.ID == g.primaryID && m.mayServeAsPrimary(now, g.maxDrain)
 	}
--- a/internal/gateway/primary.go
+++ b/internal/gateway/primary.go
@@ -157,7 +157,7 @@
 		defer g.mu.Unlock()
 		return g.conns[g.pool.TakeAnyIdle(m.poolMember)], nil
 	}
-	g.pool.BeginDial(m.poolMember, hostAccount)
+	g.pool.BeginOpen(m.poolMember, hostAccount)
 	g.mu.Unlock()
 	conn, err := g.dialer.Dial(ctx, target, hostAccount)
 	g.mu.Lock()
@@ -383,7 +383,7 @@
 	g.setPrimary(a.member.ID, "asked")
 	if m := g.members[a.member.ID]; m != nil && a.relayedBy == "" {
 		m.suspectUntil = time.Time{}
-		m.poolMember.UnblockDials()
+		m.poolMember.UnblockOpening()
 	}
 	g.dispatch()
 	return true
--- a/internal/gateway/serving.go
+++ b/internal/gateway/serving.go
@@ -64,7 +64,7 @@
 	defer g.mu.Unlock()
 	return g.servingHosts.Of(version, func() servingHosts {
 		var out servingHosts
-		ranked, k := g.plan.Ranked, g.plan.ServerCount
+		ranked, k := g.plan.Ranked, g.plan.DedicatedServers
 		for _, o := range h.fleet.FirstUsable(ranked, k) {
 			if out.fallback = out.fallback || o.ID == h.settings.Host; o.ID != h.settings.Host {
 				out.servers = append(out.servers, o)
@@ -109,7 +109,7 @@
 	switch {
 	case plan.ServedByOthers:
 		return nil
-	case plan.ServerCount == 0:
+	case plan.DedicatedServers == 0:
 		return h.fleet.AllOthers()
 	}
 	return slices.DeleteFunc(slices.Clone(plan.Ranked), func(o membership.Host) bool { return o.ID == h.settings.Host })
@@ -186,4 +186,4 @@
 }
 
 // hasDedicatedServers reports whether a few hosts serve the group for all callers. g.mu must be held.
-func (g *Group) hasDedicatedServers() bool { return g.plan.ServerCount > 0 }
+func (g *Group) hasDedicatedServers() bool { return g.plan.DedicatedServers > 0 }
--- a/internal/gateway/state.go
+++ b/internal/gateway/state.go
@@ -83,7 +83,7 @@
 		out.Members = append(out.Members, MemberState{
 			ID: m.ID, Zone: m.Zone, Leaving: m.Leaving, Missing: !m.missingSince.IsZero(),
 			Suspect: now.Before(m.suspectUntil), Applied: m.applied, LastReplyAge: elapsedSince(now, m.statementAnsweredAt),
-			Connections: load.Open, InUse: load.InUse, Running: load.Running, Idle: load.Idle,
+			Connections: load.ConnCount, InUse: load.InUse, Running: load.Running, Idle: load.Idle,
 			Window: load.Window, Latency: load.Latency,
 		})
 	}
--- a/io/caller/builder.go
+++ b/io/caller/builder.go
@@ -104,11 +104,11 @@
 		return true, b.query(f)
 	case postgres.TypeSync:
 		b.data = append(b.data, f...)
-		b.unit.Expect = statement.ExpectReady
+		b.unit.ReplyEnd = statement.EndsWithReady
 		return true, nil
 	case postgres.TypeFlush:
 		b.data = append(b.data, f...)
-		b.unit.Expect = statement.ExpectReplies
+		b.unit.ReplyEnd = statement.EndsAfterReplies
 		return b.unit.Replies > 0, nil
 	case postgres.TypeParse:
 		return false, b.parse(f)
@@ -133,12 +133,12 @@
 	switch f.Type() {
 	case postgres.TypeCopyData:
 		b.data = append(b.data, f...)
-		b.unit.Expect = statement.ExpectNothing
+		b.unit.ReplyEnd = statement.EndsWithoutReply
 		return true, nil
 	case postgres.TypeCopyDone, postgres.TypeCopyFail:
 		b.data = append(b.data, f...)
 		b.copying = false
-		b.unit.Expect = statement.ExpectReady
+		b.unit.ReplyEnd = statement.EndsWithReady
 		// After an extended COPY the answer ends only when Sync has arrived.
 		return !b.extended, nil
 	case postgres.TypeFlush, postgres.TypeSync:
@@ -157,7 +157,7 @@
 	b.extended = false
 	b.apply(statement.Classify(sql))
 	b.data = append(b.data, f...)
-	b.unit.Expect = statement.ExpectReady
+	b.unit.ReplyEnd = statement.EndsWithReady
 	return nil
 }
 
--- a/io/caller/session.go
+++ b/io/caller/session.go
@@ -250,8 +250,8 @@
 	}
 	// A simple COPY that fails half way ends at once; the caller's remaining data
 	// is dropped.
-	simpleCopy := u.Expect == statement.ExpectNothing && !s.builder.extended
-	if u.Expect == statement.ExpectReady || simpleCopy {
+	simpleCopy := u.ReplyEnd == statement.EndsWithoutReply && !s.builder.extended
+	if u.ReplyEnd == statement.EndsWithReady || simpleCopy {
 		out = postgres.AppendReady(out, s.status)
 	}
 	return s.send(out)
@@ -259,7 +259,7 @@
 
 // refuseLost answers units after the transaction was lost, until its end.
 func (s *session) refuseLost(u *statement.Unit) error {
-	if u.Expect != statement.ExpectReady {
+	if u.ReplyEnd != statement.EndsWithReady {
 		return nil
 	}
 	var out []byte
--- a/io/operator/forms.go
+++ b/io/operator/forms.go
@@ -83,7 +83,7 @@
 			members = append(members, row)
 		}
 	}
-	fields = append(fields, config.Field{Name: "members", Lists: members})
+	fields = append(fields, config.Field{Name: "members", Sections: members})
 	s.edited(w, r, doc, config.Edit{Group: sectionName(r), Fields: fields})
 }
 
--- a/io/peer/unit.go
+++ b/io/peer/unit.go
@@ -24,7 +24,7 @@
 	}
 	w.uint("kind", uint64(m.unit.Kind))
 	w.bytes("data", m.unit.Data)
-	w.uint("expect", uint64(m.unit.Expect))
+	w.uint("expect", uint64(m.unit.ReplyEnd))
 	w.uint("replies", uint64(m.unit.Replies))
 	w.bool("begins", m.unit.ControlsTransaction)
 	w.bool("pins", m.unit.Pins)
@@ -52,7 +52,7 @@
 	case "data":
 		return r.bytes(&m.unit.Data)
 	case "expect":
-		return readNumber(r, &m.unit.Expect)
+		return readNumber(r, &m.unit.ReplyEnd)
 	case "replies":
 		return readNumber(r, &m.unit.Replies)
 	case "begins":
--- a/io/upstream/answer.go
+++ b/io/upstream/answer.go
@@ -58,7 +58,7 @@
 
 // wraps reports whether the unit must be wrapped.
 func (x *Exchange) wraps(u *statement.Unit) bool {
-	return !x.replica && !x.open && u.Kind == statement.Read && !u.ControlsTransaction && u.Expect == statement.ExpectReady
+	return !x.replica && !x.open && u.Kind == statement.Read && !u.ControlsTransaction && u.ReplyEnd == statement.EndsWithReady
 }
 
 // run sends a unit and reads its answer.
@@ -73,7 +73,7 @@
 	if err != nil {
 		return statement.Outcome{}, errors.Wrap(errRead, err.Error())
 	}
-	if u.Expect == statement.ExpectNothing {
+	if u.ReplyEnd == statement.EndsWithoutReply {
 		return statement.Outcome{CopyIn: true}, nil
 	}
 	a := &answering{unit: u, sink: sink, extra: extra, held: -1, left: u.Replies}
@@ -152,7 +152,7 @@
 				a.held = start
 			}
 		}
-		if a.unit.Expect == statement.ExpectReplies && a.counted(frame) {
+		if a.unit.ReplyEnd == statement.EndsAfterReplies && a.counted(frame) {
 			return statement.Outcome{Status: postgres.StatusInTx}, nil
 		}
 		if err := x.passOn(a); err != nil {
--- a/io/upstream/ledger.go
+++ b/io/upstream/ledger.go
@@ -26,7 +26,7 @@
 // Within a transaction of the caller's own the identifier has no meaning: the
 // caller decides by its COMMIT.
 func (x *Exchange) once(u *statement.Unit) bool {
-	return u.RequestID != "" && !x.open && !u.ControlsTransaction && u.Expect == statement.ExpectReady
+	return u.RequestID != "" && !x.open && !u.ControlsTransaction && u.ReplyEnd == statement.EndsWithReady
 }
 
 // runOnce runs a unit under its request identifier, or passes on the outcome of
