--- a/core/serving/plan.go
+++ b/core/serving/plan.go
@@ -20,7 +20,7 @@
 	minServingHosts = 3
 )
 
-// ServingHostCount returns how many hosts serve a group. connections is the number of
+// HostCount returns how many hosts serve a group. connections is the number of
 // connections that one member accepts, and zones the number of availability zones of the
 // hosts.
 //
@@ -29,7 +29,7 @@
 // 64 hosts in 5 zones and 94 connections, two or three serving hosts in each zone served no
 // more (worth over three days 0.903 and 0.900, against 0.909), since each of them opens its
 // own connections.
-func ServingHostCount(connections, hosts, zones int) int {
+func HostCount(connections, hosts, zones int) int {
 	if allServe(connections, hosts) {
 		return max(1, hosts)
 	}
@@ -69,7 +69,7 @@
 		return Plan{}
 	}
 	ranked := t.Ranked(group)
-	p := Plan{DedicatedServers: min(ServingHostCount(connections, active, zones), len(ranked)), Ranked: ranked}
+	p := Plan{DedicatedServers: min(HostCount(connections, active, zones), len(ranked)), Ranked: ranked}
 	servers := ranked[:p.DedicatedServers]
 	p.ServedByOthers = !slices.ContainsFunc(servers, func(h membership.Host) bool { return h.ID == self.ID })
 	if p.ServedByOthers {
--- a/core/serving/serving_test.go
+++ b/core/serving/serving_test.go
@@ -32,7 +32,7 @@
 	return p.Ranked[:p.DedicatedServers]
 }
 
-func TestServingHostCount(t *testing.T) {
+func TestHostCount(t *testing.T) {
 	for _, c := range []struct {
 		name                             string
 		connections, hosts, zones, count int
@@ -46,7 +46,7 @@
 		{"one host", 21, 1, 1, 1},
 		{"no known hosts", 21, 0, 0, 1},
 	} {
-		if got := ServingHostCount(c.connections, c.hosts, c.zones); got != c.count {
+		if got := HostCount(c.connections, c.hosts, c.zones); got != c.count {
 			t.Errorf("%s: %d serving hosts, want %d", c.name, got, c.count)
 		}
 	}
