--- a/cmd/pearlatch-lab/capacity.go
+++ b/cmd/pearlatch-lab/capacity.go
@@ -36,10 +36,10 @@
 	if err != nil {
 		return errors.Wrap(err, "capacity")
 	}
-	var slopes []capacity.Slope
+	var slopes []capacity.Series
 	if err := json.Unmarshal(text, &slopes); err != nil {
 		return errors.Wrapf(err, "capacity: %s", c.Args.File)
 	}
-	fmt.Print(capacity.Markdown(capacity.Compute(capacity.Planned(), slopes), slopes))
+	fmt.Print(capacity.Markdown(capacity.Compute(capacity.PlannedFleet(), slopes), slopes))
 	return nil
 }
--- a/core/config/validate.go
+++ b/core/config/validate.go
@@ -38,26 +38,26 @@
 		return
 	}
 	if !namePattern.MatchString(name) {
-		m.Wrong("name", "%q must be made of lower-case letters, digits, '-' and '_'", name)
+		m.AddMistake("name", "%q must be made of lower-case letters, digits, '-' and '_'", name)
 	}
 	if seen[name] {
-		m.Wrong("name", "%q is used twice", name)
+		m.AddMistake("name", "%q is used twice", name)
 	}
 	seen[name] = true
 }
 
 func validateGroup(g *Group, m *yamlmap.Map, addrs map[netip.AddrPort]bool) {
 	if n := len(g.Members); n == 0 || n%2 == 0 || n > MaxMembers {
-		m.Wrong("members", "must be an odd number of at most %d members, so that a majority is clear; there are %d", MaxMembers, n)
+		m.AddMistake("members", "must be an odd number of at most %d members, so that a majority is clear; there are %d", MaxMembers, n)
 	}
 	if g.Slots < 1 {
-		m.Wrong("slots", "must be at least 1")
+		m.AddMistake("slots", "must be at least 1")
 	}
 	if minimum := MinConnections(len(g.Members), g.Slots); g.Connections < minimum {
-		m.Wrong("connections", "must be at least %d: two control connections a member, one spare, and one for each slot; it is %d", minimum, g.Connections)
+		m.AddMistake("connections", "must be at least %d: two control connections a member, one spare, and one for each slot; it is %d", minimum, g.Connections)
 	}
 	if g.Timing.Silence <= g.Timing.ProbeInterval {
-		m.Wrong("timing", "silence (%s) must exceed probe_interval (%s)", g.Timing.Silence, g.Timing.ProbeInterval)
+		m.AddMistake("timing", "silence (%s) must exceed probe_interval (%s)", g.Timing.Silence, g.Timing.ProbeInterval)
 	}
 	validateMembers(g, m, addrs)
 }
@@ -72,7 +72,7 @@
 		checkName(member, names, g.Members[i].Name)
 		addr := g.Members[i].Addr
 		if addr.IsValid() && addrs[addr] {
-			member.Wrong("address", "%s is used twice", addr)
+			member.AddMistake("address", "%s is used twice", addr)
 		}
 		addrs[addr] = true
 		if !g.Members[i].Leaving {
@@ -80,23 +80,23 @@
 		}
 	}
 	if len(g.Members) > 0 && staying == 0 {
-		m.Wrong("members", "all members are leaving: at least one must stay")
+		m.AddMistake("members", "all members are leaving: at least one must stay")
 	}
 }
 
 func validateRoute(d *Document, r *Route, m *yamlmap.Map) {
 	g, known := d.Group(r.Group)
 	if r.Group != "" && !known {
-		m.Wrong("group", "there is no group %q", r.Group)
+		m.AddMistake("group", "there is no group %q", r.Group)
 	}
 	if r.MaxCallers < 1 {
-		m.Wrong("max_callers", "must be at least 1")
+		m.AddMistake("max_callers", "must be at least 1")
 	}
 	if r.Patience >= r.Deadline {
-		m.Wrong("patience", "must be below the deadline (%s)", r.Deadline)
+		m.AddMistake("patience", "must be below the deadline (%s)", r.Deadline)
 	}
 	if age, ok := r.Reads.(freshness.MaxAge); ok && known && age.Age <= g.Timing.ProbeInterval {
-		m.Wrong("reads", "the age %s is not above the probe_interval %s of group %q: no replica could ever show that it is fresh enough",
+		m.AddMistake("reads", "the age %s is not above the probe_interval %s of group %q: no replica could ever show that it is fresh enough",
 			age.Age, g.Timing.ProbeInterval, g.Name)
 	}
 }
--- a/core/config/yaml.go
+++ b/core/config/yaml.go
@@ -16,7 +16,7 @@
 	root := yamlmap.Parse(text, &mistakes)
 	doc := &Document{}
 	if v := root.Int("version", 0); len(mistakes) == 0 && v != SchemaVersion {
-		root.Wrong("version", "must be %d", SchemaVersion)
+		root.AddMistake("version", "must be %d", SchemaVersion)
 	}
 	sections := sections{}
 	for _, m := range root.List("groups") {
@@ -27,7 +27,7 @@
 		sections.routes = append(sections.routes, m)
 		doc.Routes = append(doc.Routes, parseRoute(m))
 	}
-	root.Done()
+	root.RejectUnknown()
 	if len(mistakes) == 0 || !sections.empty() {
 		validate(doc, sections)
 	}
@@ -55,12 +55,12 @@
 	for _, member := range m.List("members") {
 		g.Members = append(g.Members, parseMember(member))
 	}
-	m.Done()
+	m.RejectUnknown()
 	return g
 }
 
 func parseMember(m *yamlmap.Map) Member {
-	defer m.Done()
+	defer m.RejectUnknown()
 	return Member{
 		Name:    m.String("name", true),
 		Addr:    m.AddrPort("address"),
@@ -70,7 +70,7 @@
 }
 
 func parseTiming(m *yamlmap.Map) Timing {
-	defer m.Done()
+	defer m.RejectUnknown()
 	d := DefaultTiming()
 	return Timing{
 		ProbeInterval:  m.Duration("probe_interval", d.ProbeInterval),
@@ -81,7 +81,7 @@
 }
 
 func parseRoute(m *yamlmap.Map) Route {
-	defer m.Done()
+	defer m.RejectUnknown()
 	r := Route{
 		Name:              m.String("name", true),
 		Group:             m.String("group", true),
@@ -97,7 +97,7 @@
 	if text := m.String("reads", false); text != "" {
 		class, err := freshness.ParseClass(text)
 		if err != nil {
-			m.Wrong("reads", "%v", err)
+			m.AddMistake("reads", "%v", err)
 		} else {
 			r.Reads = class
 		}
--- a/internal/capacity/capacity_test.go
+++ b/internal/capacity/capacity_test.go
@@ -20,8 +20,8 @@
 		{[]Point{{1, 12}, {2, 14}, {4, 18}}, 10, 2, 0},
 		{[]Point{{0, 0}, {1, 2}, {2, 1}}, 0.5, 0.5, 0.5},
 	} {
-		f := Slope{Points: c.points}.Fit()
-		if math.Abs(f.Base-c.base) > 1e-9 || math.Abs(f.Step-c.step) > 1e-9 || math.Abs(f.Spread-c.spread) > 1e-9 {
+		f := Series{Points: c.points}.Fit()
+		if math.Abs(f.Intercept-c.base) > 1e-9 || math.Abs(f.Slope-c.step) > 1e-9 || math.Abs(f.MaxDeviation-c.spread) > 1e-9 {
 			t.Errorf("Fit(%v) = %+v, want base %g, step %g, spread %g", c.points, f, c.base, c.step, c.spread)
 		}
 	}
@@ -32,10 +32,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var slopes []Slope
+	var slopes []Series
 	if err := json.Unmarshal(text, &slopes); err != nil {
 		t.Fatal(err)
 	}
-	got := Markdown(Compute(Planned(), slopes), slopes)
+	got := Markdown(Compute(PlannedFleet(), slopes), slopes)
 	goldie.New(t).Assert(t, "table", []byte(got))
 }
--- a/internal/capacity/fleet.go
+++ b/internal/capacity/fleet.go
@@ -2,22 +2,22 @@
 
 // Fleet is the size to design for.
 type Fleet struct {
-	Hosts, Groups, Zones   float64
-	Callers, StatementsS   float64
-	ChangesPerDay          float64
-	RestartsPerDay         float64
-	MembersPerGroup        float64
-	DocumentKilobytes      float64
-	ConnectionsPerGroup    float64
-	WritingSessionsPerHost float64
+	Hosts, Groups, Zones         float64
+	Callers, StatementsPerSecond float64
+	ChangesPerDay                float64
+	RestartsPerDay               float64
+	MembersPerGroup              float64
+	DocumentKilobytes            float64
+	ConnectionsPerGroup          float64
+	WritingSessionsPerHost       float64
 }
 
-// Planned is the fleet of the users' plan for two years. The document's size is
+// PlannedFleet is the fleet of the users' plan for two years. The document's size is
 // what 2,500 groups with two routes each take; the sessions that wrote recently
 // are those of a tenth of the callers.
-func Planned() Fleet {
+func PlannedFleet() Fleet {
 	return Fleet{
-		Hosts: 1100, Groups: 2500, Zones: 6, Callers: 6.5e6, StatementsS: 1.1e6,
+		Hosts: 1100, Groups: 2500, Zones: 6, Callers: 6.5e6, StatementsPerSecond: 1.1e6,
 		ChangesPerDay: 5000, RestartsPerDay: 1300, MembersPerGroup: 3,
 		DocumentKilobytes: 1000, ConnectionsPerGroup: 25, WritingSessionsPerHost: 591,
 	}
@@ -35,24 +35,24 @@
 
 // Statuses of a row.
 const (
-	Measured   = "measured"
-	Derived    = "derived"
-	NotCarried = "not yet carried"
+	Measured = "measured"
+	Derived  = "derived"
+	NotMet   = "not yet carried"
 )
 
 const (
 	secondsPerDay = 86400
 	kilo          = 1e3
 	mega          = 1e6
-	// unevenness is how many times the average number of groups the busiest host
+	// busiestHostFactor is how many times the average number of groups the busiest host
 	// owns, by rendezvous hashing of 2,500 groups over 1,100 hosts.
-	unevenness = 4
-	// copies is how many revisions of the document a host keeps: the newest, the
+	busiestHostFactor = 4
+	// keptRevisions is how many revisions of the document a host keeps: the newest, the
 	// one in force if it is another, and four to make deltas from.
-	copies = 6
-	// fanOut is how many hosts a host tells of a new revision at once, and how
+	keptRevisions = 6
+	// forwardFanOut is how many hosts a host tells of a new revision at once, and how
 	// many tell it.
-	fanOut = 3
+	forwardFanOut = 3
 	// idleProbeSeconds and defaultProbeSeconds are the pauses between probes of a
 	// member of an idle group, and of a busy one by default.
 	idleProbeSeconds    = 2
@@ -68,5 +68,5 @@
 	Unit                string
 	Budget              string
 	Status              string
-	Carrier             string
+	Mechanism           string
 }
--- a/internal/capacity/slope.go
+++ b/internal/capacity/slope.go
@@ -8,8 +8,8 @@
 	Y float64 `json:"y"`
 }
 
-// Slope is a measured quantity against a size.
-type Slope struct {
+// Series is a measured quantity against a size.
+type Series struct {
 	// Name identifies the slope.
 	Name string `json:"name"`
 	// PerUnit says what one step of X is, and Unit what Y is.
@@ -20,16 +20,16 @@
 
 // Fit is a straight line through the points of a slope.
 type Fit struct {
-	// Base is the value at size zero, and Step what each unit adds.
-	Base, Step float64
-	// Spread is the largest distance of a point from the line, as a share of the
+	// Intercept is the value at size zero, and Slope what each unit adds.
+	Intercept, Slope float64
+	// MaxDeviation is the largest distance of a point from the line, as a share of the
 	// largest value. A large one says that the quantity is not linear.
-	Spread float64
+	MaxDeviation float64
 }
 
 // Fit returns the line of least squares. A single point gives a line through
 // zero.
-func (s Slope) Fit() Fit {
+func (s Series) Fit() Fit {
 	n := float64(len(s.Points))
 	if n == 0 {
 		return Fit{}
@@ -40,21 +40,21 @@
 		sxx, sxy = sxx+p.X*p.X, sxy+p.X*p.Y
 		top = max(top, math.Abs(p.Y))
 	}
-	f := Fit{Step: sy / max(sx, 1)}
+	f := Fit{Slope: sy / max(sx, 1)}
 	if d := n*sxx - sx*sx; d != 0 {
-		f.Step = (n*sxy - sx*sy) / d
-		f.Base = (sy - f.Step*sx) / n
+		f.Slope = (n*sxy - sx*sy) / d
+		f.Intercept = (sy - f.Slope*sx) / n
 	}
 	for _, p := range s.Points {
 		if top > 0 {
-			f.Spread = max(f.Spread, math.Abs(p.Y-f.At(p.X))/top)
+			f.MaxDeviation = max(f.MaxDeviation, math.Abs(p.Y-f.At(p.X))/top)
 		}
 	}
 	return f
 }
 
 // At returns the line's value at a size.
-func (f Fit) At(x float64) float64 { return f.Base + f.Step*x }
+func (f Fit) At(x float64) float64 { return f.Intercept + f.Slope*x }
 
 // Names of the slopes that the table is worked out from.
 const (
--- a/internal/eventlog/logger.go
+++ b/internal/eventlog/logger.go
@@ -11,17 +11,17 @@
 )
 
 const (
-	// queueLines is how many lines wait for the output: a second's worth of the
+	// queueSize is how many lines wait for the output: a second's worth of the
 	// most that a host writes under overload.
-	queueLines = 1024
+	queueSize = 1024
 	// eventBurst and eventRate bound the lines of one event: a storm of one kind
 	// must not push out the others. An operator reads a fraction of that.
 	eventBurst = 200
 	eventRate  = 100 // lines a second
-	// reportPause is the pause between two reports of what was dropped.
-	reportPause = time.Second
-	// closeTime bounds the wait for the output at the end.
-	closeTime = 200 * time.Millisecond
+	// reportInterval is the pause between two reports of what was dropped.
+	reportInterval = time.Second
+	// closeTimeout bounds the wait for the output at the end.
+	closeTimeout = 200 * time.Millisecond
 )
 
 // EventField is the field that names the kind of a line.
@@ -48,14 +48,14 @@
 
 // bucket holds how many lines an event may still write now.
 type bucket struct {
-	left    float64
-	touched time.Time
+	tokens     float64
+	refilledAt time.Time
 }
 
 // New returns a logger that writes to out until Close.
 func New(out io.Writer, now func() time.Time) *Logger {
 	l := &Logger{
-		out: out, now: now, lines: make(chan []byte, queueLines), closing: make(chan struct{}), done: make(chan struct{}),
+		out: out, now: now, lines: make(chan []byte, queueSize), closing: make(chan struct{}), done: make(chan struct{}),
 		buckets: map[string]*bucket{}, dropped: map[string]int64{}, total: map[string]int64{},
 	}
 	go l.write()
@@ -75,7 +75,7 @@
 	select {
 	case l.lines <- b.Bytes():
 	default:
-		l.drop(event)
+		l.countDropped(event)
 	}
 	return nil
 }
@@ -98,21 +98,21 @@
 	now := l.now()
 	b := l.buckets[event]
 	if b == nil {
-		b = &bucket{left: eventBurst, touched: now}
+		b = &bucket{tokens: eventBurst, refilledAt: now}
 		l.buckets[event] = b
 	}
-	b.left = min(eventBurst, b.left+now.Sub(b.touched).Seconds()*eventRate)
-	b.touched = now
-	if b.left < 1 {
+	b.tokens = min(eventBurst, b.tokens+now.Sub(b.refilledAt).Seconds()*eventRate)
+	b.refilledAt = now
+	if b.tokens < 1 {
 		l.dropped[event]++
 		l.total[event]++
 		return false
 	}
-	b.left--
+	b.tokens--
 	return true
 }
 
-func (l *Logger) drop(event string) {
+func (l *Logger) countDropped(event string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.dropped[event]++
@@ -133,30 +133,30 @@
 // write moves lines to the output.
 func (l *Logger) write() {
 	defer close(l.done)
-	report := time.NewTicker(reportPause)
+	report := time.NewTicker(reportInterval)
 	defer report.Stop()
 	for {
 		select {
 		case line := <-l.lines:
-			l.put(line)
+			l.writeLine(line)
 		case <-report.C:
 			l.report()
 		case <-l.closing:
-			l.rest()
+			l.flush()
 			return
 		}
 	}
 }
 
-// put writes a line. There is nowhere to report a failure of the output to.
-func (l *Logger) put(line []byte) { _, _ = l.out.Write(line) }
+// writeLine writes a line. There is nowhere to report a failure of the output to.
+func (l *Logger) writeLine(line []byte) { _, _ = l.out.Write(line) }
 
-// rest writes what waits at the end.
-func (l *Logger) rest() {
+// flush writes what waits at the end.
+func (l *Logger) flush() {
 	for {
 		select {
 		case line := <-l.lines:
-			l.put(line)
+			l.writeLine(line)
 		default:
 			return
 		}
@@ -172,7 +172,7 @@
 	for event, n := range dropped {
 		var b bytes.Buffer
 		if err := log.NewJSONLogger(&b).Log(EventField, "lines_dropped", "of", event, "count", n); err == nil {
-			l.put(b.Bytes())
+			l.writeLine(b.Bytes())
 		}
 	}
 }
@@ -182,6 +182,6 @@
 	close(l.closing)
 	select {
 	case <-l.done:
-	case <-time.After(closeTime):
+	case <-time.After(closeTimeout):
 	}
 }
--- a/internal/eventlog/logger_test.go
+++ b/internal/eventlog/logger_test.go
@@ -30,12 +30,12 @@
 
 // Nobody reads the standard output: the pipe is full and a write never returns. A
 // statement that logs its failure must go on at once, and the loss must be counted.
-func TestStuckOutputHoldsNobodyUp(t *testing.T) {
+func TestBlockedOutputDoesNotBlockLogging(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r, w := io.Pipe() // unread, so that the first write blocks
 		l := New(w, time.Now)
 		started := time.Now()
-		const lines = 4 * queueLines
+		const lines = 4 * queueSize
 		for i := range lines {
 			if i%eventBurst == 0 {
 				time.Sleep(3 * time.Second) // so that the rate is not what bounds it
@@ -47,7 +47,7 @@
 		if waited := time.Since(started) - (lines+eventBurst-1)/eventBurst*3*time.Second; waited != 0 {
 			t.Errorf("logging waited for %s", waited)
 		}
-		if n := l.Dropped()["statement_failed"]; n < lines-queueLines-1 {
+		if n := l.Dropped()["statement_failed"]; n < lines-queueSize-1 {
 			t.Errorf("%d lines counted as dropped", n)
 		}
 		l.Close()
@@ -57,7 +57,7 @@
 
 // Under overload thousands of statements are refused a second. Their lines must not
 // push out the one that says which primary was lost.
-func TestOneEventDoesNotPushOutAnother(t *testing.T) {
+func TestFrequentEventDoesNotDisplaceOthers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var out syncBuffer
 		l := New(&out, time.Now)
@@ -65,7 +65,7 @@
 			_ = l.Log(EventField, "statement_failed")
 		}
 		_ = l.Log(EventField, "primary_lost", "member", "a")
-		time.Sleep(2 * reportPause)
+		time.Sleep(2 * reportInterval)
 		l.Close()
 		text := out.String()
 		if n := strings.Count(text, "statement_failed"); n > eventBurst+eventRate*3 {
--- a/internal/fleet/entry.go
+++ b/internal/fleet/entry.go
@@ -8,9 +8,9 @@
 	"pearlatch/core/membership"
 )
 
-// Entry returns the value of a host's entry in the store: its availability zone, its address for other hosts, if it
+// FormatEntry returns the value of a host's entry in the store: its availability zone, its address for other hosts, if it
 // has one, and that it leaves or its strength.
-func Entry(h membership.Host) []byte {
+func FormatEntry(h membership.Host) []byte {
 	if !h.Peer.IsValid() {
 		return []byte(h.Zone)
 	}
@@ -20,16 +20,16 @@
 		// Hosts of the version before read no further word. A host that leaves has no claims, whatever its strength.
 		text += " " + leavingMark
 	case h.Cores > 0:
-		text += " " + strengthMark + strconv.FormatFloat(h.Cores, 'g', -1, 64)
+		text += " " + coresPrefix + strconv.FormatFloat(h.Cores, 'g', -1, 64)
 	}
 	return []byte(text)
 }
 
-// strengthMark precedes a host's strength in its entry.
-const strengthMark = "cores="
+// coresPrefix precedes a host's strength in its entry.
+const coresPrefix = "cores="
 
-// MostCores is the largest strength that is believed.
-const MostCores = 1 << 12
+// MaxCores is the largest strength that is believed.
+const MaxCores = 1 << 12
 
 // leavingMark ends the entry of a host that is about to stop.
 const leavingMark = "leaving"
@@ -40,8 +40,8 @@
 	zone, rest, _ := strings.Cut(string(value), " ")
 	addr, mark, _ := strings.Cut(rest, " ")
 	h := membership.Host{ID: id, Zone: zone, Leaving: mark == leavingMark}
-	if text, ok := strings.CutPrefix(mark, strengthMark); ok {
-		if cores, err := strconv.ParseFloat(text, 64); err == nil && cores > 0 && cores <= MostCores {
+	if text, ok := strings.CutPrefix(mark, coresPrefix); ok {
+		if cores, err := strconv.ParseFloat(text, 64); err == nil && cores > 0 && cores <= MaxCores {
 			h.Cores = cores
 		}
 	}
--- a/internal/fleet/hosts.go
+++ b/internal/fleet/hosts.go
@@ -20,22 +20,22 @@
 	version atomic.Uint64
 
 	mu sync.Mutex
-	// seen are the entries that the list was last worked out from at appliedAt, and noted is true if one changed since.
-	seen      entries
-	noted     bool
-	appliedAt time.Time
+	// entries are the entries that the list was last worked out from at appliedAt, and noted is true if one changed since.
+	entries        knownEntries
+	entriesChanged bool
+	appliedAt      time.Time
 	// table holds the hosts listed in the store, this one included.
 	table serving.Table
 	peers map[string]*peer
-	// feeds and others are what table says of them, as of their versions.
-	feeds           Versioned[serving.UpdateSources]
-	others, ordered Versioned[[]membership.Host]
-	// listed counts the changes of table.
-	listed uint64
+	// updateSources and others are what table says of them, as of their versions.
+	updateSources           Versioned[serving.UpdateSources]
+	others, forwardingOrder Versioned[[]membership.Host]
+	// tableVersion counts the changes of table.
+	tableVersion uint64
 }
 
 // New returns what the host self knows at its start.
-func New(self membership.Host) *Hosts { return &Hosts{self: self, seen: entries{}} }
+func New(self membership.Host) *Hosts { return &Hosts{self: self, entries: knownEntries{}} }
 
 // Self returns this host.
 func (f *Hosts) Self() membership.Host { return f.self }
@@ -50,8 +50,8 @@
 	value   T
 }
 
-// Of returns the value for the version, which it works out anew if need be. Versions begin at one.
-func (v *Versioned[T]) Of(version uint64, work func() T) T {
+// Get returns the value for the version, which it works out anew if need be. Versions begin at one.
+func (v *Versioned[T]) Get(version uint64, work func() T) T {
 	if v.version != version {
 		v.version, v.value = version, work()
 	}
@@ -60,25 +60,25 @@
 
 // peer is what is known of another host beyond its entry.
 type peer struct {
-	// process names the process that answered last, or is empty.
-	process string
+	// processID names the processID that answered last, or is empty.
+	processID string
 	// suspect is true from a failure to the next answer. The host is only used when
 	// no other one answers, and asked in the background.
 	suspect bool
 }
 
-// set takes over the list of hosts and reports whether it changed. f.mu is held.
-func (f *Hosts) set(hosts []membership.Host) (changed bool) {
+// setTable takes over the list of hosts and reports whether it changed. f.mu is held.
+func (f *Hosts) setTable(hosts []membership.Host) (changed bool) {
 	changed = f.table.Update(hosts)
 	if changed {
-		f.listed++
+		f.tableVersion++
 		f.version.Add(1)
 	}
 	return changed
 }
 
-// Known reports whether any host is listed.
-func (f *Hosts) Known() bool {
+// AnyListed reports whether any host is listed.
+func (f *Hosts) AnyListed() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.table.Len() > 0
@@ -98,15 +98,15 @@
 	return f.table.Plan(f.self, group, connections)
 }
 
-// Consider names the groups of which Candidate tells.
-func (f *Hosts) Consider(groups []string) {
+// TrackCandidates names the groups of which Candidate tells.
+func (f *Hosts) TrackCandidates(groups []string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.table.TrackCandidates(f.self, groups)
 }
 
-// Candidate reports whether this host is among those with the first claims to a group.
-func (f *Hosts) Candidate(group string) bool {
+// IsCandidate reports whether this host is among those with the first claims to a group.
+func (f *Hosts) IsCandidate(group string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.table.IsCandidate(group)
@@ -119,25 +119,25 @@
 	f.table.Forget(group)
 }
 
-// Feeds says from whom this host learns the store's news.
-func (f *Hosts) Feeds() serving.UpdateSources {
+// UpdateSources says from whom this host learns the store's news.
+func (f *Hosts) UpdateSources() serving.UpdateSources {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.feeds.Of(f.listed, func() serving.UpdateSources { return f.table.UpdateSources(f.self) })
+	return f.updateSources.Get(f.tableVersion, func() serving.UpdateSources { return f.table.UpdateSources(f.self) })
 }
 
-// AllOthers returns all other hosts that stay, in the order in which this one turns to them.
-func (f *Hosts) AllOthers() []membership.Host {
+// ForwardingOrder returns all other hosts that stay, in the order in which this one turns to them.
+func (f *Hosts) ForwardingOrder() []membership.Host {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.ordered.Of(f.listed, func() []membership.Host { return serving.ForwardingOrder(f.self, f.table.OtherHosts(f.self)) })
+	return f.forwardingOrder.Get(f.tableVersion, func() []membership.Host { return serving.ForwardingOrder(f.self, f.table.OtherHosts(f.self)) })
 }
 
-// Some returns a few other hosts at random, of those that are not suspect.
-func (f *Hosts) Some(n int) []membership.Host {
+// Sample returns a few other hosts at random, of those that are not suspect.
+func (f *Hosts) Sample(n int) []membership.Host {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	others := f.others.Of(f.listed, func() []membership.Host { return f.table.OtherHosts(f.self) })
+	others := f.others.Get(f.tableVersion, func() []membership.Host { return f.table.OtherHosts(f.self) })
 	var out []membership.Host
 	first := rand.IntN(max(1, len(others)))
 	step := coprimeStep(len(others))
@@ -165,8 +165,8 @@
 	return 1
 }
 
-// Place returns how many hosts that answer take a group's duty before this one.
-func (f *Hosts) Place(group string) int {
+// CoordinatorRank returns how many hosts that answer take a group's duty before this one.
+func (f *Hosts) CoordinatorRank(group string) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	place := 0
@@ -193,29 +193,29 @@
 	return p
 }
 
-// Process returns the name of the host's process, or the empty string.
-func (f *Hosts) Process(id string) string {
+// ProcessID returns the name of the host's process, or the empty string.
+func (f *Hosts) ProcessID(id string) string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.peer(id).process
+	return f.peer(id).processID
 }
 
-// Answered records an answer of a host's process. It returns false if the host had
+// RecordAnswer records an answer of a host's process. It returns false if the host had
 // been answering before.
-func (f *Hosts) Answered(id, process string) (regained bool) {
+func (f *Hosts) RecordAnswer(id, process string) (regained bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	p := f.peer(id)
 	regained = p.suspect
-	p.process, p.suspect = process, false
+	p.processID, p.suspect = process, false
 	if regained {
 		f.version.Add(1)
 	}
 	return regained
 }
 
-// Failed records that a host did not answer. It returns true if it had answered before.
-func (f *Hosts) Failed(id string) (lost bool) {
+// RecordFailure records that a host did not answer. It returns true if it had answered before.
+func (f *Hosts) RecordFailure(id string) (lost bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	p := f.peer(id)
@@ -227,9 +227,9 @@
 	return lost
 }
 
-// Suspect reports whether a host that is still listed has failed to answer, and its
+// SuspectAddress reports whether a host that is still listed has failed to answer, and its
 // address.
-func (f *Hosts) Suspect(id string) (netip.AddrPort, bool) {
+func (f *Hosts) SuspectAddress(id string) (netip.AddrPort, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	h, ok := f.table.Host(id)
@@ -272,8 +272,8 @@
 	return out
 }
 
-// Suspects returns how many hosts are suspect.
-func (f *Hosts) Suspects() int {
+// SuspectCount returns how many hosts are suspect.
+func (f *Hosts) SuspectCount() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	n := 0
--- a/internal/follow/feeder.go
+++ b/internal/follow/feeder.go
@@ -13,57 +13,57 @@
 )
 
 const (
-	// newsPause is the longest pause between two messages of a feed. It tells the
+	// heartbeatInterval is the longest pause between two messages of a feed. It tells the
 	// other side that the feed lives.
-	newsPause = 400 * time.Millisecond
-	// mostFeeds is how many hosts a host passes news on to: those below it in the tree of feeds, and as many again that
+	heartbeatInterval = 400 * time.Millisecond
+	// maxFeeds is how many hosts a host passes news on to: those below it in the tree of feeds, and as many again that
 	// have lost their own source. mostLists is to how many at a time it sends the whole list, so that the last of them has
 	// it before it takes the feed for lost.
-	mostFeeds = 48
-	mostLists = 8
-	// namedHosts is how many hosts are named to one that is turned away.
-	namedHosts = 4
-	// turnedAwayAge is the age of the news in the message that turns a host away. Hosts of a version that does not know of
+	maxFeeds       = 48
+	maxFullUpdates = 8
+	// maxReferrals is how many hosts are named to one that is turned away.
+	maxReferrals = 4
+	// referralAge is the age of the news in the message that turns a host away. Hosts of a version that does not know of
 	// that turn to another source because of it.
-	turnedAwayAge = time.Hour
+	referralAge = time.Hour
 )
 
 // Feeder passes on what a host knows. Use NewFeeder.
 type Feeder struct {
-	known *Knowledge
+	view  *StoreView
 	fleet *fleet.Hosts
 	// stopping reports whether the host is about to end.
 	stopping func() bool
-	// feeds counts the hosts that news are passed on to, and lists the whole lists that are being sent.
-	feeds, lists atomic.Int64
+	// feeds counts the hosts that news are passed on to, and fullUpdates the whole fullUpdates that are being sent.
+	feeds, fullUpdates atomic.Int64
 }
 
 // NewFeeder returns a Feeder of what is known. stopping reports whether the host is about to end.
-func NewFeeder(known *Knowledge, f *fleet.Hosts, stopping func() bool) *Feeder {
-	return &Feeder{known: known, fleet: f, stopping: stopping}
+func NewFeeder(known *StoreView, f *fleet.Hosts, stopping func() bool) *Feeder {
+	return &Feeder{view: known, fleet: f, stopping: stopping}
 }
 
 // Feed passes on what changed in the store after the revision until ctx ends or send
 // fails.
-func (f *Feeder) Feed(ctx context.Context, after kv.Revision, send func(News) error) error {
-	if f.feeds.Add(1) > mostFeeds {
+func (f *Feeder) Feed(ctx context.Context, after kv.Revision, send func(StoreUpdate) error) error {
+	if f.feeds.Add(1) > maxFeeds {
 		f.feeds.Add(-1)
-		return f.turnAway(send)
+		return f.redirect(send)
 	}
 	defer f.feeds.Add(-1)
 	for {
 		if f.stopping() {
-			return errNoNews
+			return errNoUpdates
 		}
-		news, changed, err := f.known.After(after)
+		news, changed, err := f.view.UpdateSince(after)
 		if err != nil {
 			return err
 		}
-		if err := f.pass(news, send); err != nil {
+		if err := f.sendUpdate(news, send); err != nil {
 			return err
 		}
 		after = max(after, news.Revision)
-		pause := time.NewTimer(newsPause)
+		pause := time.NewTimer(heartbeatInterval)
 		select {
 		case <-changed:
 		case <-pause.C:
@@ -75,34 +75,34 @@
 	}
 }
 
-// pass sends news, unless they are one whole list more than this host sends at a time.
-func (f *Feeder) pass(news News, send func(News) error) error {
+// sendUpdate sends news, unless they are one whole list more than this host sends at a time.
+func (f *Feeder) sendUpdate(news StoreUpdate, send func(StoreUpdate) error) error {
 	if !news.Full {
 		return send(news)
 	}
-	defer f.lists.Add(-1)
-	if f.lists.Add(1) > mostLists {
-		return f.turnAway(send)
+	defer f.fullUpdates.Add(-1)
+	if f.fullUpdates.Add(1) > maxFullUpdates {
+		return f.redirect(send)
 	}
 	return send(news)
 }
 
-// errTurnedAway ends a feed to a host that is to ask elsewhere.
-var errTurnedAway = errors.New("news are passed on to too many hosts")
+// errTooManyFeeds ends a feed to a host that is to ask elsewhere.
+var errTooManyFeeds = errors.New("news are passed on to too many hosts")
 
-// turnAway names other hosts that have the news, if any are known.
-func (f *Feeder) turnAway(send func(News) error) error {
+// redirect names other hosts that have the news, if any are known.
+func (f *Feeder) redirect(send func(StoreUpdate) error) error {
 	var elsewhere []netip.AddrPort
-	for _, o := range f.fleet.Some(namedHosts) {
+	for _, o := range f.fleet.Sample(maxReferrals) {
 		elsewhere = append(elsewhere, o.Peer)
 	}
 	if len(elsewhere) > 0 {
-		if err := send(News{Elsewhere: elsewhere, Age: turnedAwayAge}); err != nil {
+		if err := send(StoreUpdate{Referrals: elsewhere, Age: referralAge}); err != nil {
 			return err
 		}
 	}
-	return errTurnedAway
+	return errTooManyFeeds
 }
 
-// errNoNews means that a host has nothing to pass on, or is about to end.
-var errNoNews = errors.New("no news to pass on")
+// errNoUpdates means that a host has nothing to pass on, or is about to end.
+var errNoUpdates = errors.New("no news to pass on")
--- a/internal/follow/follower.go
+++ b/internal/follow/follower.go
@@ -14,20 +14,20 @@
 )
 
 const (
-	// sourcePause is the pause after all sources of news failed.
-	sourcePause = 100 * time.Millisecond
-	// SourcePauseMax bounds that pause for hosts that ask the store themselves, when the sources
+	// initialBackoff is the pause after all sources of news failed.
+	initialBackoff = 100 * time.Millisecond
+	// MaxStoreBackoff bounds that pause for hosts that ask the store themselves, when the sources
 	// keep failing.
-	SourcePauseMax = 400 * time.Millisecond
-	// followerPauseMax bounds it for all others. While the store is away they wait for the hosts that
+	MaxStoreBackoff = 400 * time.Millisecond
+	// maxHostBackoff bounds it for all others. While the store is away they wait for the hosts that
 	// ask it: at 195 hosts, an outage of six seconds cost 4,000 calls in which each looked for
 	// the store by itself, and seven feeds opened and dropped for each of these. It is within
 	// the time that hosts have to recover in.
-	followerPauseMax = 3 * time.Second
-	// askedElsewhere is how many of the hosts are tried that a busy one has named.
-	askedElsewhere = 2
-	// preferAgain is how long a host keeps to a source that it does not prefer.
-	preferAgain = 3 * time.Second
+	maxHostBackoff = 3 * time.Second
+	// maxReferralsTried is how many of the hosts are tried that a busy one has named.
+	maxReferralsTried = 2
+	// preferredRetryDelay is how long a host keeps to a source that it does not prefer.
+	preferredRetryDelay = 3 * time.Second
 )
 
 // Settings are what a Follower needs to know at its start.
@@ -35,8 +35,8 @@
 	// Self is the host's address for other hosts, and Seeds are those of some, which may be gone.
 	Self  netip.AddrPort
 	Seeds []netip.AddrPort
-	// Hosts precedes the hosts' entries in the store.
-	Hosts string
+	// HostsPrefix precedes the hosts' entries in the store.
+	HostsPrefix string
 }
 
 // Follower keeps a host's knowledge of the store up to date, from the store itself or from
@@ -47,24 +47,24 @@
 	// peers is nil for a host that learns from no other.
 	peers Peers
 	fleet *fleet.Hosts
-	known *Knowledge
+	view  *StoreView
 	// apply takes news over.
-	apply func(News) error
+	apply func(StoreUpdate) error
 	log   func(event string, fields ...any)
 	now   func() time.Time
 
-	// at is the index of the source in use, and since when it is in use.
-	at    int
-	since time.Time
+	// sourceIndex is the index of the source in use, and since when it is in use.
+	sourceIndex int
+	sourceSince time.Time
 	// failures counts sources that failed in a row, and reason says why the last of them did.
 	failures int
 	reason   string
-	// pause is how long the preferred source is given once all have failed.
-	pause time.Duration
-	// missed is true after a watch failed: what it missed is to be asked for. The store was last asked for changes at
+	// backoff is how long the preferred source is given once all have failed.
+	backoff time.Duration
+	// watchFailed is true after a watch failed: what it watchFailed is to be asked for. The store was last asked for changes at
 	// watchedAt.
-	missed    bool
-	watchedAt time.Time
+	watchFailed bool
+	watchedAt   time.Time
 }
 
 // Ports are a Follower's ways to the outside.
@@ -73,15 +73,15 @@
 	// Peers is nil for a host that learns from no other.
 	Peers Peers
 	// Apply takes news over.
-	Apply func(News) error
+	Apply func(StoreUpdate) error
 	Log   func(event string, fields ...any)
 }
 
 // New returns a Follower that does not run yet.
-func New(s Settings, p Ports, f *fleet.Hosts, known *Knowledge, now func() time.Time) *Follower {
+func New(s Settings, p Ports, f *fleet.Hosts, known *StoreView, now func() time.Time) *Follower {
 	return &Follower{
-		settings: s, store: p.Store, peers: p.Peers, apply: p.Apply, log: p.Log, fleet: f, known: known, now: now,
-		since: now(), pause: sourcePause,
+		settings: s, store: p.Store, peers: p.Peers, apply: p.Apply, log: p.Log, fleet: f, view: known, now: now,
+		sourceSince: now(), backoff: initialBackoff,
 	}
 }
 
@@ -92,59 +92,59 @@
 	}
 	for ctx.Err() == nil {
 		sources := f.Sources()
-		f.at %= len(sources)
-		if f.at == 0 && f.failures > 0 {
-			f.hold(ctx, sources[0])
+		f.sourceIndex %= len(sources)
+		if f.sourceIndex == 0 && f.failures > 0 {
+			f.followPreferred(ctx, sources[0])
 			continue
 		}
-		f.turn(ctx, sources[f.at], 0)
+		f.followSource(ctx, sources[f.sourceIndex], 0)
 	}
 }
 
-// hold keeps to the preferred source for a while after all have failed, though its news may be old: it
+// followPreferred keeps to the preferred source for a while after all have failed, though its news may be old: it
 // is the first to tell when the store is back.
-func (f *Follower) hold(ctx context.Context, s Source) {
-	until := f.now().Add(f.pause + rand.N(f.pause/2))
-	if f.turn(ctx, s, until.Sub(f.now())) {
+func (f *Follower) followPreferred(ctx context.Context, s Source) {
+	until := f.now().Add(f.backoff + rand.N(f.backoff/2))
+	if f.followSource(ctx, s, until.Sub(f.now())) {
 		return
 	}
-	longest := followerPauseMax
-	if _, asks := s.(FromStore); asks {
-		longest = SourcePauseMax
+	longest := maxHostBackoff
+	if _, asks := s.(StoreSource); asks {
+		longest = MaxStoreBackoff
 	}
-	f.pause = min(2*f.pause, longest)
+	f.backoff = min(2*f.backoff, longest)
 	pause.For(ctx, until.Sub(f.now()))
 }
 
-// turn follows a source for a while, for as long as patience though its news are old. It returns false
+// followSource follows a source for a while, for as long as patience though its news are old. It returns false
 // if the source failed, and goes on to the next one.
-func (f *Follower) turn(ctx context.Context, s Source, patience time.Duration) bool {
+func (f *Follower) followSource(ctx context.Context, s Source, patience time.Duration) bool {
 	err := s.follow(ctx, f, patience)
 	if busy := (*busyError)(nil); errors.As(err, &busy) {
-		if f.turnElsewhere(ctx, busy.elsewhere) {
+		if f.followReferrals(ctx, busy.referrals) {
 			return true
 		}
 	}
 	if err != nil {
 		f.logFailure(ctx, s, err)
 		f.failures++
-		f.at++
-		f.since = f.now()
+		f.sourceIndex++
+		f.sourceSince = f.now()
 		return false
 	}
-	f.heard(s)
-	if f.at > 0 && f.now().Sub(f.since) > preferAgain {
-		f.at, f.since = 0, f.now()
+	f.recordSuccess(s)
+	if f.sourceIndex > 0 && f.now().Sub(f.sourceSince) > preferredRetryDelay {
+		f.sourceIndex, f.sourceSince = 0, f.now()
 	}
 	return true
 }
 
-// turnElsewhere follows one of the hosts that a busy one has named for a while, and returns false if none has news.
-func (f *Follower) turnElsewhere(ctx context.Context, hosts []netip.AddrPort) bool {
-	f.at++ // they are no preferred ones
-	defer func() { f.at-- }()
-	for _, a := range hosts[:min(len(hosts), askedElsewhere)] {
-		if s := (FromHost{a}); s.follow(ctx, f, 0) == nil {
+// followReferrals follows one of the hosts that a busy one has named for a while, and returns false if none has news.
+func (f *Follower) followReferrals(ctx context.Context, hosts []netip.AddrPort) bool {
+	f.sourceIndex++ // they are no preferred ones
+	defer func() { f.sourceIndex-- }()
+	for _, a := range hosts[:min(len(hosts), maxReferralsTried)] {
+		if s := (HostSource{a}); s.follow(ctx, f, 0) == nil {
 			return true
 		}
 	}
@@ -168,7 +168,7 @@
 
 // reasonOf names what kind of error a source failed with.
 func reasonOf(err error) string {
-	for _, known := range []error{kv.ErrStale, kv.ErrGap, errStaleNews, errNoNews, ErrCompacted} {
+	for _, known := range []error{kv.ErrStale, kv.ErrGap, errStaleUpdates, errNoUpdates, ErrCompacted} {
 		if errors.Is(err, known) {
 			return known.Error()
 		}
@@ -176,10 +176,10 @@
 	return "it does not answer"
 }
 
-// heard records that a source brought news that are not old.
-func (f *Follower) heard(s Source) {
+// recordSuccess records that a source brought news that are not old.
+func (f *Follower) recordSuccess(s Source) {
 	if f.failures > 0 {
 		f.log("source_regained", "source", s.String(), "failures", f.failures)
 	}
-	f.failures, f.pause = 0, sourcePause
+	f.failures, f.backoff = 0, initialBackoff
 }
--- a/internal/follow/join.go
+++ b/internal/follow/join.go
@@ -17,29 +17,29 @@
 func (f *Follower) join(ctx context.Context) {
 	j := joining.New(f.settings.Self, f.settings.Seeds, rand.Float64)
 	started, reads, asked := f.now(), 0, 0
-	for ctx.Err() == nil && f.known.Revision() == 0 {
+	for ctx.Err() == nil && f.view.Revision() == 0 {
 		var err error
-		var from Source = FromStore{}
+		var from Source = StoreSource{}
 		switch step := j.Next().(type) {
 		case joining.ReadStore:
 			reads++
 			err = f.listAll(ctx)
 		case joining.ListHosts:
 			var hosts []netip.AddrPort
-			if hosts, err = f.countHosts(ctx); err == nil {
+			if hosts, err = f.listHostAddrs(ctx); err == nil {
 				j.SetListedHosts(hosts)
 			}
 		case joining.AskHost:
 			asked++
-			from = FromHost{step.Addr}
+			from = HostSource{step.Addr}
 			err = from.follow(ctx, f, 0)
 			if busy := (*busyError)(nil); errors.As(err, &busy) {
-				j.Redirect(busy.elsewhere)
+				j.Redirect(busy.referrals)
 			}
 		case joining.Backoff:
 			pause.For(ctx, step.For)
 		}
-		if err != nil && f.known.Revision() == 0 {
+		if err != nil && f.view.Revision() == 0 {
 			f.logFailure(ctx, from, err)
 			f.failures++
 		}
@@ -48,9 +48,9 @@
 	f.log("joined", "took_ms", f.now().Sub(started).Milliseconds(), "store_reads", reads, "hosts_asked", asked)
 }
 
-// countHosts returns the addresses of the hosts that the store lists, as of some seconds ago at most.
-func (f *Follower) countHosts(ctx context.Context) ([]netip.AddrPort, error) {
-	list, err := f.list(ctx, kv.Range{Prefix: f.settings.Hosts, AllowStale: true})
+// listHostAddrs returns the addresses of the hosts that the store lists, as of some seconds ago at most.
+func (f *Follower) listHostAddrs(ctx context.Context) ([]netip.AddrPort, error) {
+	list, err := f.list(ctx, kv.Range{Prefix: f.settings.HostsPrefix, AllowStale: true})
 	if err != nil {
 		return nil, err
 	}
--- a/internal/follow/news.go
+++ b/internal/follow/news.go
@@ -10,20 +10,20 @@
 	"pearlatch/core/kv"
 )
 
-// News is what changed in the store, as another host passes it on.
-type News struct {
+// StoreUpdate is what changed in the store, as another host passes it on.
+type StoreUpdate struct {
 	kv.Update
 	// Age is how long ago the store itself was heard of.
 	Age time.Duration
-	// Elsewhere is not empty if the host passes on to too many others already. Then there are no news, and these hosts
+	// Referrals is not empty if the host passes on to too many others already. Then there are no news, and these hosts
 	// have them.
-	Elsewhere []netip.AddrPort
+	Referrals []netip.AddrPort
 }
 
 // Feed is a stream of the store's news from another host.
 type Feed interface {
 	// Next waits for news, at most for the given time.
-	Next(atMost time.Duration) (News, error)
+	Next(atMost time.Duration) (StoreUpdate, error)
 	Close()
 }
 
--- a/internal/follow/source.go
+++ b/internal/follow/source.go
@@ -16,13 +16,13 @@
 	feedTimeout = 1100 * time.Millisecond
 	// feedOpenTimeout bounds the opening of a feed.
 	feedOpenTimeout = 300 * time.Millisecond
-	// staleNews is how old another host's news may be. The hosts that watch the store
+	// maxUpdateAge is how old another host's news may be. The hosts that watch the store
 	// hear of it every watchWait, and pass that on after newsPause at most.
-	staleNews = 1800 * time.Millisecond
-	// newsTransit is what the age of news grows by on its way, above what it takes. Two
+	maxUpdateAge = 1800 * time.Millisecond
+	// maxTransitDelay is what the age of news grows by on its way, above what it takes. Two
 	// hosts that have both lost the store and follow each other would otherwise make
 	// the same news younger and younger, by the time that they are under way.
-	newsTransit = 50 * time.Millisecond
+	maxTransitDelay = 50 * time.Millisecond
 )
 
 // Source is where a host learns what is in the store. Its implementations are
@@ -35,22 +35,22 @@
 }
 
 type (
-	// FromStore is the store itself.
-	FromStore struct{}
-	// FromHost is another host.
-	FromHost struct{ Addr netip.AddrPort }
+	// StoreSource is the store itself.
+	StoreSource struct{}
+	// HostSource is another host.
+	HostSource struct{ Addr netip.AddrPort }
 )
 
-func (FromStore) String() string { return "store" }
+func (StoreSource) String() string { return "store" }
 
-func (s FromHost) String() string { return s.Addr.String() }
+func (s HostSource) String() string { return s.Addr.String() }
 
-func (FromStore) follow(ctx context.Context, f *Follower, _ time.Duration) error {
+func (StoreSource) follow(ctx context.Context, f *Follower, _ time.Duration) error {
 	return f.followStore(ctx)
 }
 
-func (s FromHost) follow(ctx context.Context, f *Follower, patience time.Duration) error {
-	spare, after := f.at > 0, f.known.Revision()
+func (s HostSource) follow(ctx context.Context, f *Follower, patience time.Duration) error {
+	spare, after := f.sourceIndex > 0, f.view.Revision()
 	call, cancel := context.WithTimeout(ctx, feedOpenTimeout)
 	defer cancel()
 	feed, err := f.peers.Feed(call, s.Addr, after)
@@ -64,25 +64,25 @@
 		if err != nil {
 			return err
 		}
-		if len(news.Elsewhere) > 0 {
-			return &busyError{news.Elsewhere}
+		if len(news.Referrals) > 0 {
+			return &busyError{news.Referrals}
 		}
-		news.Age += newsTransit
+		news.Age += maxTransitDelay
 		if err := f.apply(news); err != nil {
 			return err
 		}
 		followed := f.now().Sub(started)
 		switch {
-		case news.Age <= staleNews:
-			f.heard(s)
+		case news.Age <= maxUpdateAge:
+			f.recordSuccess(s)
 			patience = 0
 		case followed >= patience:
-			return errStaleNews
+			return errStaleUpdates
 		}
-		if spare && followed > preferAgain {
+		if spare && followed > preferredRetryDelay {
 			return nil
 		}
-		if now := f.fleet.Version(); now != version && !spare && f.prefersAnother(s) {
+		if now := f.fleet.Version(); now != version && !spare && f.shouldSwitchSource(s) {
 			return nil
 		}
 	}
@@ -90,44 +90,44 @@
 }
 
 // busyError means that a host passes news on to too many others, and names some that have them.
-type busyError struct{ elsewhere []netip.AddrPort }
+type busyError struct{ referrals []netip.AddrPort }
 
 func (*busyError) Error() string { return "the host passes news on to too many others" }
 
-// prefersAnother reports whether the host is to learn from another source, now that it has a place of its own among the
+// shouldSwitchSource reports whether the host is to learn from another source, now that it has a place of its own among the
 // listed hosts. Until then all of those that start would turn to the few that are listed.
-func (f *Follower) prefersAnother(s Source) bool {
-	return f.fleet.Feeds().Listed && f.Sources()[0] != s
+func (f *Follower) shouldSwitchSource(s Source) bool {
+	return f.fleet.UpdateSources().Listed && f.Sources()[0] != s
 }
 
-// errStaleNews means that a host has not heard of the store lately either.
-var errStaleNews = errors.New("the news is old")
+// errStaleUpdates means that a host has not heard of the store lately either.
+var errStaleUpdates = errors.New("the news is old")
 
 // Sources returns where the host learns what is in the store, the preferred one first.
 func (f *Follower) Sources() []Source {
-	if f.peers == nil || !f.fleet.Known() {
-		return []Source{FromStore{}}
+	if f.peers == nil || !f.fleet.AnyListed() {
+		return []Source{StoreSource{}}
 	}
-	feeds := f.fleet.Feeds()
+	feeds := f.fleet.UpdateSources()
 	var addrs []netip.AddrPort
 	for _, each := range feeds.Hosts {
 		addrs = append(addrs, each.Peer)
 	}
 	if feeds.StoreFirst {
-		return append([]Source{FromStore{}}, toSources(addrs)...)
+		return append([]Source{StoreSource{}}, hostSources(addrs)...)
 	}
-	out := toSources(addrs)
+	out := hostSources(addrs)
 	if len(out) == 0 || serving.ShouldReadStore(f.fleet.Size(), rand.Float64()) {
-		out = append(out, FromStore{})
+		out = append(out, StoreSource{})
 	}
 	return out
 }
 
-func toSources(addrs []netip.AddrPort) []Source {
+func hostSources(addrs []netip.AddrPort) []Source {
 	var out []Source
 	for _, a := range addrs {
 		if a.IsValid() {
-			out = append(out, FromHost{a})
+			out = append(out, HostSource{a})
 		}
 	}
 	return out
--- a/internal/gateway/coordinator.go
+++ b/internal/gateway/coordinator.go
@@ -174,7 +174,7 @@
 	h := d.host
 	h.mu.Lock()
 	entry, _ := h.storeView.Item(h.coordinatorKey(d.group.name))
-	revision, recent := h.storeView.Revision(), h.storeView.Recent()
+	revision, recent := h.storeView.Revision(), h.storeView.IsRecent()
 	h.mu.Unlock()
 	holder = string(entry.Value)
 	d.mu.Lock()
@@ -192,12 +192,14 @@
 		d.vacantSince = now
 		return false
 	}
-	wait := leadership.ClaimDelay(d.host.fleet.Place(d.group.name), d.host.storeView.Lag())
+	wait := leadership.ClaimDelay(d.host.fleet.CoordinatorRank(d.group.name), d.host.storeView.Lag())
 	return now.Sub(d.vacantSince) >= wait && !now.Before(d.nextAcquireAt)
 }
 
 // isCandidate reports whether the host is among the highest-ranked hosts, which acquire a group's vacant role first.
-func (h *Host) isCandidate(name string) bool { return h.ports.Peers == nil || h.fleet.Candidate(name) }
+func (h *Host) isCandidate(name string) bool {
+	return h.ports.Peers == nil || h.fleet.IsCandidate(name)
+}
 
 // mayCoordinate reports whether the host may acquire coordinator roles.
 func (h *Host) mayCoordinate() bool { return !h.stopping.Load() && h.synced.Load() }
@@ -221,7 +223,7 @@
 	go func() {
 		w := &groupMonitor{coordinator: d}
 		w.revokeLeases(ctx, true)
-		d.host.quotas.Lost(d.group.name)
+		d.host.quotas.StopGranting(d.group.name)
 		w.handBack()
 		d.loseRole("stopping")
 	}()
@@ -282,7 +284,7 @@
 	d.held, d.primaryStatus = false, primaryStatus{}
 	d.mu.Unlock()
 	if held {
-		d.host.quotas.Lost(d.group.name)
+		d.host.quotas.StopGranting(d.group.name)
 		d.log("duty_lost", "why", why)
 	}
 }
--- a/internal/gateway/coordinator_lease.go
+++ b/internal/gateway/coordinator_lease.go
@@ -164,5 +164,5 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.renewalsUnbroken, d.renewedAt = true, requested
-	d.host.quotas.Renewed(d.group.name, requested)
+	d.host.quotas.ExtendGranting(d.group.name, requested)
 }
--- a/internal/gateway/fakefleet_test.go
+++ b/internal/gateway/fakefleet_test.go
@@ -284,20 +284,20 @@
 	return nil
 }
 
-func (p *fakePeers) RequestQuota(ctx context.Context, to netip.AddrPort, r quotas.Request) (quotas.Reply, error) {
+func (p *fakePeers) RequestQuota(ctx context.Context, to netip.AddrPort, r quotas.Request) (quotas.Response, error) {
 	h, err := p.reach(ctx, to)
 	if err != nil {
-		return quotas.Reply{}, err
+		return quotas.Response{}, err
 	}
-	return h.Quotas().Answer(r), nil
+	return h.Quotas().HandleRequest(r), nil
 }
 
-func (p *fakePeers) TellQuota(ctx context.Context, to netip.AddrPort, r quotas.TellRequest) (quotas.TellReply, error) {
+func (p *fakePeers) TellQuota(ctx context.Context, to netip.AddrPort, r quotas.ReportRequest) (quotas.ReportResponse, error) {
 	h, err := p.reach(ctx, to)
 	if err != nil {
-		return quotas.TellReply{}, err
+		return quotas.ReportResponse{}, err
 	}
-	return h.Quotas().Tell(r), nil
+	return h.Quotas().HandleReportRequest(r), nil
 }
 
 // fakeStream delivers the requests of one session to another host.
@@ -352,9 +352,9 @@
 		return nil, err
 	}
 	run, cancel := context.WithCancel(context.Background())
-	f := &fakeFeed{news: make(chan follow.News), done: make(chan error, 1), cancel: cancel}
+	f := &fakeFeed{news: make(chan follow.StoreUpdate), done: make(chan error, 1), cancel: cancel}
 	go func() {
-		f.done <- h.Feed(run, after, func(n follow.News) error {
+		f.done <- h.Feed(run, after, func(n follow.StoreUpdate) error {
 			if _, err := p.reach(run, to); err != nil {
 				return err
 			}
@@ -371,21 +371,21 @@
 
 // fakeFeed receives the updates that another host sends.
 type fakeFeed struct {
-	news   chan follow.News
+	news   chan follow.StoreUpdate
 	done   chan error
 	cancel func()
 }
 
-func (f *fakeFeed) Next(timeout time.Duration) (follow.News, error) {
+func (f *fakeFeed) Next(timeout time.Duration) (follow.StoreUpdate, error) {
 	timer := time.NewTimer(timeout)
 	defer timer.Stop()
 	select {
 	case n := <-f.news:
 		return n, nil
 	case err := <-f.done:
-		return follow.News{}, err
+		return follow.StoreUpdate{}, err
 	case <-timer.C:
-		return follow.News{}, context.DeadlineExceeded
+		return follow.StoreUpdate{}, context.DeadlineExceeded
 	}
 }
 
--- a/internal/gateway/forward.go
+++ b/internal/gateway/forward.go
@@ -169,7 +169,7 @@
 // declined.
 func (s *Session) send(ctx context.Context, server membership.Host, stream Stream, r *PeerRequest, deadline time.Time) (*PeerReply, error) {
 	h := s.host
-	r.To = h.fleet.Process(server.ID)
+	r.To = h.fleet.ProcessID(server.ID)
 	callCtx, cancel := context.WithTimeout(ctx, deadline.Sub(h.now())+peerReplyMargin)
 	defer cancel()
 	sent := h.now()
@@ -269,7 +269,7 @@
 
 // peerFailed records that another host did not answer, and starts probing it.
 func (h *Host) peerFailed(id string, err error) {
-	if !h.fleet.Failed(id) {
+	if !h.fleet.RecordFailure(id) {
 		return
 	}
 	h.log("peer_lost", "peer", id, "err", err)
@@ -281,8 +281,8 @@
 func (h *Host) probeUntilRegained(id string) {
 	ctx, cancel := contextUntil(context.Background(), h.ended)
 	defer cancel()
-	for next := serving.PeerRetryDelay(0, 1); pause.For(ctx, next); next = serving.PeerRetryDelay(next, h.fleet.Suspects()) {
-		addr, suspect := h.fleet.Suspect(id)
+	for next := serving.PeerRetryDelay(0, 1); pause.For(ctx, next); next = serving.PeerRetryDelay(next, h.fleet.SuspectCount()) {
+		addr, suspect := h.fleet.SuspectAddress(id)
 		if !suspect {
 			return
 		}
@@ -299,7 +299,7 @@
 
 // peerAnswered records that another host answered.
 func (h *Host) peerAnswered(id, process string) {
-	if h.fleet.Answered(id, process) {
+	if h.fleet.RecordAnswer(id, process) {
 		h.log("peer_regained", "peer", id, "process", process)
 	}
 }
--- a/internal/gateway/groups.go
+++ b/internal/gateway/groups.go
@@ -50,7 +50,7 @@
 	g := newGroup(name, h)
 	h.groups[name] = g
 	g.updateMembers(memberChange{members: h.members.list(name)})
-	g.configure(h.config.Groups[name], h.maxStaleness[name], h.servingPlan(name), h.fleet.Seen())
+	g.configure(h.config.Groups[name], h.maxStaleness[name], h.servingPlan(name), h.fleet.RecentCount())
 	select {
 	case h.groupCreated <- struct{}{}:
 	default:
--- a/internal/gateway/groups_test.go
+++ b/internal/gateway/groups_test.go
@@ -69,7 +69,7 @@
 			continue
 		}
 		entry := kv.Item{Key: h.coordinatorKey(name), Value: []byte(h.settings.Host), Revision: 2}
-		if err := h.applyChanges(follow.News{Update: kv.Update{Snapshot: kv.Snapshot{Revision: 2, Items: []kv.Item{entry}}}}); err != nil {
+		if err := h.applyChanges(follow.StoreUpdate{Update: kv.Update{Snapshot: kv.Snapshot{Revision: 2, Items: []kv.Item{entry}}}}); err != nil {
 			t.Fatal(err)
 		}
 		if h.existingGroup(name) == nil {
--- a/internal/gateway/host.go
+++ b/internal/gateway/host.go
@@ -97,7 +97,7 @@
 	groups       map[string]*Group
 	groupCreated chan struct{}
 	// storeView is the host's view of the store. follower updates it, and feeder sends the changes to other hosts.
-	storeView *follow.Knowledge
+	storeView *follow.StoreView
 	follower  *follow.Follower
 	feeder    *follow.Feeder
 	// knownRevision is the revision of storeView, which groups read without h.mu.
@@ -112,7 +112,7 @@
 	// formerRecords holds, by group, the newest record known from before the last restore of the store.
 	formerRecords map[string]leadership.StoredRecord
 
-	quotas *quotas.Keeper
+	quotas *quotas.Enforcer
 	// quotaGranterEntries holds the last known entry of each group's coordinator role, also after the entry has expired:
 	// its holder remains the granter of quotas until there is another one.
 	quotaGranterEntries map[string]kv.Item
@@ -150,15 +150,15 @@
 		groups: map[string]*Group{}, groupCreated: make(chan struct{}, 1), members: newMemberTable(), storeRead: make(chan struct{}), configured: make(chan struct{}), reconfigured: make(chan struct{}),
 		stopped: make(chan struct{}), ended: make(chan struct{}), coordinators: map[string]*coordinator{}, processID: fmt.Sprintf("%s-%08x", s.Host, rand.Uint32()),
 	}
-	h.storeView = follow.NewKnowledge(h.isLaterValue, now)
+	h.storeView = follow.NewStoreView(h.isLaterValue, now)
 	h.coordinatorLease.host = h
 	h.fleet = fleet.New(membership.Host{ID: s.Host, Zone: s.Zone, Peer: s.Peer, Cores: s.Cores})
 	h.feeder = follow.NewFeeder(h.storeView, h.fleet, h.stopping.Load)
-	h.follower = follow.New(follow.Settings{Self: s.Peer, Seeds: s.Seeds, Hosts: h.hostsPrefix()}, follow.Ports{
+	h.follower = follow.New(follow.Settings{Self: s.Peer, Seeds: s.Seeds, HostsPrefix: h.hostsPrefix()}, follow.Ports{
 		Store: p.Store, Peers: p.Peers, Apply: h.applyChanges, Log: h.log,
 	}, h.fleet, h.storeView, now)
 	h.quotaGranterEntries, h.formerRecords = map[string]kv.Item{}, map[string]leadership.StoredRecord{}
-	h.quotas = quotas.New(quotas.Settings{Host: s.Host, Process: h.processID, Terms: s.QuotaTolerance}, quotaFleet{h}, logger, now)
+	h.quotas = quotas.New(quotas.Settings{Host: s.Host, Process: h.processID, Tolerance: s.QuotaTolerance}, quotaFleet{h}, logger, now)
 	return h
 }
 
--- a/internal/gateway/host_entry.go
+++ b/internal/gateway/host_entry.go
@@ -48,7 +48,7 @@
 		}
 		next := hostEntryRenewInterval
 		if lease == 0 {
-			next = follow.SourcePauseMax
+			next = follow.MaxStoreBackoff
 		}
 		if !pause.For(ctx, next) {
 			break
@@ -137,5 +137,5 @@
 	h.mu.Lock()
 	known, _ := h.storeView.Item(key)
 	h.mu.Unlock()
-	return h.ports.Store.Commit(ctx, kv.Replace(key, known.Revision, fleet.Entry(self), lease))
+	return h.ports.Store.Commit(ctx, kv.Replace(key, known.Revision, fleet.FormatEntry(self), lease))
 }
--- a/internal/gateway/indirect_probe.go
+++ b/internal/gateway/indirect_probe.go
@@ -59,7 +59,7 @@
 		return out
 	case <-time.After(indirectProbeDelay):
 	}
-	hosts := w.host.fleet.Some(maxIndirectProbers)
+	hosts := w.host.fleet.Sample(maxIndirectProbers)
 	probeCtx, cancel := context.WithTimeout(ctx, indirectProbeTimeout)
 	defer cancel()
 	answers := make(chan controlResult, len(hosts))
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -28,8 +28,8 @@
 	RevokeLease(ctx context.Context, to netip.AddrPort, groupName, memberID string, planned bool) error
 	// RequestQuota asks the host for portions of accounts' quotas. TellQuota asks which portions the host holds and
 	// makes it follow the sender as granter.
-	RequestQuota(ctx context.Context, to netip.AddrPort, r quotas.Request) (quotas.Reply, error)
-	TellQuota(ctx context.Context, to netip.AddrPort, r quotas.TellRequest) (quotas.TellReply, error)
+	RequestQuota(ctx context.Context, to netip.AddrPort, r quotas.Request) (quotas.Response, error)
+	TellQuota(ctx context.Context, to netip.AddrPort, r quotas.ReportRequest) (quotas.ReportResponse, error)
 	follow.Peers
 }
 
--- a/internal/gateway/promotion_state.go
+++ b/internal/gateway/promotion_state.go
@@ -31,7 +31,7 @@
 	if err != nil {
 		return errors.Wrap(err, "renew fencing token")
 	}
-	d.host.quotas.Raised(d.group.name, int64(revision))
+	d.host.quotas.RaiseToken(d.group.name, int64(revision))
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.token = revision
--- a/internal/gateway/propagation_test.go
+++ b/internal/gateway/propagation_test.go
@@ -15,7 +15,7 @@
 func (f *fakeFleet) storeReaders() []*Host {
 	var out []*Host
 	for _, h := range f.all() {
-		if _, ok := h.follower.Sources()[0].(follow.FromStore); ok {
+		if _, ok := h.follower.Sources()[0].(follow.StoreSource); ok {
 			out = append(out, h)
 		}
 	}
@@ -28,7 +28,7 @@
 	second := func(h *Host) follow.Source { return h.follower.Sources()[1] }
 	for _, a := range f.storeReaders() {
 		for _, b := range f.storeReaders() {
-			if second(a) == follow.Source(follow.FromHost{Addr: b.settings.Peer}) && second(b) == follow.Source(follow.FromHost{Addr: a.settings.Peer}) {
+			if second(a) == follow.Source(follow.HostSource{Addr: b.settings.Peer}) && second(b) == follow.Source(follow.HostSource{Addr: a.settings.Peer}) {
 				return []*Host{a, b}
 			}
 		}
@@ -156,7 +156,7 @@
 		f.mu.Unlock()
 		s.setRefusing(false)
 		f.writeConfig(2, 20)
-		time.Sleep(follow.SourcePauseMax + 300*time.Millisecond)
+		time.Sleep(follow.MaxStoreBackoff + 300*time.Millisecond)
 		f.wantConfigInForce(t, 2)
 	})
 }
--- a/internal/gateway/quota.go
+++ b/internal/gateway/quota.go
@@ -12,7 +12,7 @@
 )
 
 // Quotas returns the keeper that enforces the quotas of client accounts on this host.
-func (h *Host) Quotas() *quotas.Keeper { return h.quotas }
+func (h *Host) Quotas() *quotas.Enforcer { return h.quotas }
 
 // quotaFleet gives the quota keeper access to other hosts. A shard of accounts is a group: the group's coordinator is
 // the granter of the accounts assigned to the group.
@@ -33,29 +33,29 @@
 	return string(entry.Value), int64(entry.Revision), ok
 }
 
-// Ask implements quotas.Fleet.
-func (f quotaFleet) Ask(ctx context.Context, host string, r quotas.Request) (quotas.Reply, error) {
+// RequestTokens implements quotas.Fleet.
+func (f quotaFleet) RequestTokens(ctx context.Context, host string, r quotas.Request) (quotas.Response, error) {
 	addr, ok := f.h.fleet.Address(host)
 	if !ok || f.h.ports.Peers == nil {
-		return quotas.Reply{}, errNoCoordinator
+		return quotas.Response{}, errNoCoordinator
 	}
 	return f.h.ports.Peers.RequestQuota(ctx, addr, r)
 }
 
-// Tell implements quotas.Fleet.
-func (f quotaFleet) Tell(ctx context.Context, host string, r quotas.TellRequest) (quotas.TellReply, error) {
+// RequestReport implements quotas.Fleet.
+func (f quotaFleet) RequestReport(ctx context.Context, host string, r quotas.ReportRequest) (quotas.ReportResponse, error) {
 	addr, ok := f.h.fleet.Address(host)
 	if !ok || f.h.ports.Peers == nil {
-		return quotas.TellReply{}, errNoCoordinator
+		return quotas.ReportResponse{}, errNoCoordinator
 	}
 	return f.h.ports.Peers.TellQuota(ctx, addr, r)
 }
 
-// Ended implements quotas.Fleet.
-func (f quotaFleet) Ended(err error) bool { return connRefused(err) }
+// IsProcessEnded implements quotas.Fleet.
+func (f quotaFleet) IsProcessEnded(err error) bool { return connRefused(err) }
 
-// Enter implements quotas.Fleet. It records all listed hosts, since the others will request quotas as well.
-func (f quotaFleet) Enter(ctx context.Context, shard, host string) ([]string, error) {
+// RecordGrantee implements quotas.Fleet. It records all listed hosts, since the others will request quotas as well.
+func (f quotaFleet) RecordGrantee(ctx context.Context, shard, host string) ([]string, error) {
 	f.h.mu.Lock()
 	d := f.h.coordinators[shard]
 	f.h.mu.Unlock()
@@ -82,7 +82,7 @@
 // quotaGranters returns the hosts that may regard themselves as the granter of the group's accounts, including this
 // one.
 func (d *coordinator) quotaGranters(last leadership.Record) []string {
-	before, granting := d.host.quotas.Before(d.group.name)
+	before, granting := d.host.quotas.FormerGranters(d.group.name)
 	if !granting {
 		before = last.QuotaGranters
 	}
@@ -101,14 +101,14 @@
 	first, token, renewedAt := !d.recordInherited, d.token, d.renewedAt
 	d.mu.Unlock()
 	if first {
-		d.host.quotas.Took(d.group.name, int64(token), renewedAt, grantees, granters)
+		d.host.quotas.StartGranting(d.group.name, int64(token), renewedAt, grantees, granters)
 	}
 }
 
 // takeQuota charges an operation to the account's quota, and may wait for the granter until the given time. It
 // returns an OverQuota failure if the quota is exhausted.
 func (h *Host) takeQuota(ctx context.Context, a *account.Account, until time.Time) *Failure {
-	ok, after := h.quotas.Begin(ctx, a, until)
+	ok, after := h.quotas.Admit(ctx, a, until)
 	if ok {
 		return nil
 	}
--- a/internal/gateway/restore_test.go
+++ b/internal/gateway/restore_test.go
@@ -209,7 +209,7 @@
 		s.restore(b)
 		time.Sleep(1500 * time.Millisecond)
 		for _, h := range f.all() {
-			update, _, err := h.storeView.After(0)
+			update, _, err := h.storeView.UpdateSince(0)
 			if err != nil || !update.Full {
 				t.Fatalf("%+v, %v", update, err)
 			}
--- a/internal/gateway/serving.go
+++ b/internal/gateway/serving.go
@@ -62,7 +62,7 @@
 	version := h.fleet.Version()
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.servingHosts.Of(version, func() servingHosts {
+	return g.servingHosts.Get(version, func() servingHosts {
 		var out servingHosts
 		ranked, k := g.plan.Ranked, g.plan.DedicatedServers
 		for _, o := range h.fleet.FirstUsable(ranked, k) {
@@ -110,7 +110,7 @@
 	case plan.ServedByOthers:
 		return nil
 	case plan.DedicatedServers == 0:
-		return h.fleet.AllOthers()
+		return h.fleet.ForwardingOrder()
 	}
 	return slices.DeleteFunc(slices.Clone(plan.Ranked), func(o membership.Host) bool { return o.ID == h.settings.Host })
 }
--- a/internal/gateway/store_changes.go
+++ b/internal/gateway/store_changes.go
@@ -12,7 +12,7 @@
 
 // applyChanges applies an update from the store or from another host. It may be called from several goroutines. The error is
 // that of the store view, which rejects stale and incomplete updates.
-func (h *Host) applyChanges(update follow.News) error {
+func (h *Host) applyChanges(update follow.StoreUpdate) error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	applied, err := h.storeView.Apply(update)
@@ -30,7 +30,7 @@
 	}
 	h.knownRevision.Store(int64(h.storeView.Revision()))
 	configured := h.applyConfig()
-	listed := h.fleet.Apply(h.now())
+	listed := h.fleet.UpdateList(h.now())
 	if h.config == nil {
 		return nil
 	}
@@ -70,7 +70,7 @@
 // applyHostEntry applies a change of a host's entry and ignores items of other keys.
 func (h *Host) applyHostEntry(i kv.Item) {
 	if id, ok := strings.CutPrefix(i.Key, h.hostsPrefix()); ok {
-		h.fleet.Note(id, i.Value, i.Removed, h.now())
+		h.fleet.RecordEntry(id, i.Value, i.Removed, h.now())
 	}
 }
 
@@ -106,7 +106,7 @@
 	close(h.reconfigured)
 	h.reconfigured = make(chan struct{})
 	h.log("config", "version", c.Version, "routes", len(c.Routes), "accounts", c.Accounts.Len(), "news_age_ms", h.storeView.Age().Milliseconds())
-	h.fleet.Consider(slices.Collect(maps.Keys(c.Groups)))
+	h.fleet.TrackCandidates(slices.Collect(maps.Keys(c.Groups)))
 	return true
 }
 
@@ -120,7 +120,7 @@
 	}
 	if replan {
 		for name, g := range h.groups {
-			g.configure(h.config.Groups[name], h.maxStaleness[name], h.servingPlan(name), h.fleet.Seen())
+			g.configure(h.config.Groups[name], h.maxStaleness[name], h.servingPlan(name), h.fleet.RecentCount())
 		}
 	}
 }
@@ -141,6 +141,6 @@
 }
 
 // Feed sends the store's changes after the revision to another host, until ctx ends or send fails.
-func (h *Host) Feed(ctx context.Context, after kv.Revision, send func(follow.News) error) error {
+func (h *Host) Feed(ctx context.Context, after kv.Revision, send func(follow.StoreUpdate) error) error {
 	return h.feeder.Feed(ctx, after, send)
 }
--- a/internal/gateway/store_changes_bench_test.go
+++ b/internal/gateway/store_changes_bench_test.go
@@ -53,11 +53,11 @@
 
 // hostWithManyGroups returns a host that knows n hosts and the given number of groups, and a function that returns the
 // update for a new entry of a host.
-func hostWithManyGroups(n, groups int) (*Host, func(name string, turn int) follow.News) {
+func hostWithManyGroups(n, groups int) (*Host, func(name string, turn int) follow.StoreUpdate) {
 	h := NewHost(Settings{Host: "host-0", Zone: "zone-0", Peer: netip.MustParseAddrPort("10.0.0.1:1")}, Ports{
 		Peers: &fakePeers{}, Decode: manyGroupsDecoder{}, Keys: Keys{Config: "config", MembersPrefix: "members/", OwnPrefix: "own/"},
 	}, testLogger(), time.Now)
-	update := follow.News{Update: kv.Update{Full: true, Snapshot: kv.Snapshot{Revision: 1, Items: []kv.Item{{Key: "config", Value: binary.BigEndian.AppendUint32(nil, uint32(groups)), Revision: 1}}}}}
+	update := follow.StoreUpdate{Update: kv.Update{Full: true, Snapshot: kv.Snapshot{Revision: 1, Items: []kv.Item{{Key: "config", Value: binary.BigEndian.AppendUint32(nil, uint32(groups)), Revision: 1}}}}}
 	entry := func(i int) []byte { return fmt.Appendf(nil, "zone-%d 10.0.0.1:1", i%5) }
 	for i := range n {
 		update.Items = append(update.Items, kv.Item{Key: fmt.Sprint("own/hosts/host-", i), Value: entry(i), Revision: 1})
@@ -71,9 +71,9 @@
 		panic(err)
 	}
 	revision := kv.Revision(1)
-	return h, func(name string, turn int) follow.News {
+	return h, func(name string, turn int) follow.StoreUpdate {
 		revision++
 		i := kv.Item{Key: "own/hosts/" + name, Value: entry(turn), Revision: revision}
-		return follow.News{Update: kv.Update{Snapshot: kv.Snapshot{Revision: revision, Items: []kv.Item{i}}}}
+		return follow.StoreUpdate{Update: kv.Update{Snapshot: kv.Snapshot{Revision: revision, Items: []kv.Item{i}}}}
 	}
 }
--- a/internal/host/settings.go
+++ b/internal/host/settings.go
@@ -73,12 +73,12 @@
 		s.OperatorLogin = parseCredential(m.Map("operator_login"))
 	}
 	if s.Host != "" && strings.ContainsAny(s.Host, "/: '\"") {
-		m.Wrong("host", "%q must not contain '/', ':', quotes or spaces", s.Host)
+		m.AddMistake("host", "%q must not contain '/', ':', quotes or spaces", s.Host)
 	}
 	if !m.Has("platform") || len(s.Platform) == 0 && len(wrong) == 0 {
-		m.Wrong("platform", "must list at least one endpoint of the form IP:PORT")
+		m.AddMistake("platform", "must list at least one endpoint of the form IP:PORT")
 	}
-	m.Done()
+	m.RejectUnknown()
 	if err := wrong.Err(); err != nil {
 		return nil, err
 	}
@@ -100,7 +100,7 @@
 	for _, text := range m.Strings(field) {
 		addr, err := netip.ParseAddrPort(text)
 		if err != nil {
-			m.Wrong(field, "%q is not of the form IP:PORT", text)
+			m.AddMistake(field, "%q is not of the form IP:PORT", text)
 			continue
 		}
 		out = append(out, addr)
@@ -118,16 +118,16 @@
 
 // parseCredential reads a user with a password or the file that holds it.
 func parseCredential(m *yamlmap.Map) Credential {
-	defer m.Done()
+	defer m.RejectUnknown()
 	c := Credential{User: m.String("user", true), Password: m.String("password", false)}
 	file := m.String("password_file", false)
 	switch {
 	case (c.Password == "") == (file == ""):
-		m.Wrong("password", "exactly one of password and password_file is required")
+		m.AddMistake("password", "exactly one of password and password_file is required")
 	case file != "":
 		text, err := os.ReadFile(file)
 		if err != nil {
-			m.Wrong("password_file", "%v", err)
+			m.AddMistake("password_file", "%v", err)
 		}
 		c.Password = strings.TrimRight(string(text), "\r\n")
 	}
@@ -135,7 +135,7 @@
 }
 
 func parseTLS(m *yamlmap.Map, s *Settings) {
-	defer m.Done()
+	defer m.RejectUnknown()
 	if m.Has("callers") {
 		s.CallerTLS = parseTLSFiles(m.Map("callers"), false)
 	}
@@ -148,7 +148,7 @@
 }
 
 func parseTLSFiles(m *yamlmap.Map, authority bool) TLSFiles {
-	defer m.Done()
+	defer m.RejectUnknown()
 	f := TLSFiles{Certificate: m.String("certificate", true), Key: m.String("key", true)}
 	if authority {
 		f.Authority = m.String("authority", true)
--- a/internal/lab/slopes.go
+++ b/internal/lab/slopes.go
@@ -32,12 +32,12 @@
 }
 
 // slopeMeasure measures one or several slopes.
-type slopeMeasure func(SlopesOptions) ([]capacity.Slope, error)
+type slopeMeasure func(SlopesOptions) ([]capacity.Series, error)
 
 // BenchSlopes measures what the capacity table is worked out from, each at
 // several sizes.
-func BenchSlopes(o SlopesOptions) ([]capacity.Slope, error) {
-	var out []capacity.Slope
+func BenchSlopes(o SlopesOptions) ([]capacity.Series, error) {
+	var out []capacity.Series
 	for _, measure := range []slopeMeasure{
 		markSlope, knownHostSlope, documentSlopes, callerSlope, statementSlopes, groupSlopes, streamSlope, fleetSlopes, takeoverSlope,
 	} {
@@ -47,7 +47,7 @@
 		}
 		for _, s := range slopes {
 			f := s.Fit()
-			fmt.Fprintf(o.Out, "%-40s base %10.4g, step %10.4g %s per %s, spread %.0f%%\n", s.Name, f.Base, f.Step, s.Unit, s.PerUnit, 100*f.Spread)
+			fmt.Fprintf(o.Out, "%-40s base %10.4g, step %10.4g %s per %s, spread %.0f%%\n", s.Name, f.Intercept, f.Slope, s.Unit, s.PerUnit, 100*f.MaxDeviation)
 		}
 		out = append(out, slopes...)
 	}
@@ -63,8 +63,8 @@
 	return float64(after - before)
 }
 
-func markSlope(SlopesOptions) ([]capacity.Slope, error) {
-	s := capacity.Slope{Name: capacity.MarkBytes, PerUnit: "session that wrote", Unit: "bytes"}
+func markSlope(SlopesOptions) ([]capacity.Series, error) {
+	s := capacity.Series{Name: capacity.MarkBytes, PerUnit: "session that wrote", Unit: "bytes"}
 	for _, n := range []int{20_000, 50_000, 100_000, 200_000} {
 		s.Points = append(s.Points, capacity.Point{X: float64(n), Y: heapOf(func() any {
 			var m freshness.SessionMarks
@@ -74,11 +74,11 @@
 			return &m
 		})})
 	}
-	return []capacity.Slope{s}, nil
+	return []capacity.Series{s}, nil
 }
 
-func knownHostSlope(SlopesOptions) ([]capacity.Slope, error) {
-	s := capacity.Slope{Name: capacity.KnownHostBytes, PerUnit: "host of the fleet", Unit: "bytes"}
+func knownHostSlope(SlopesOptions) ([]capacity.Series, error) {
+	s := capacity.Series{Name: capacity.KnownHostBytes, PerUnit: "host of the fleet", Unit: "bytes"}
 	for _, n := range []int{2000, 5000, 10_000, 20_000} {
 		s.Points = append(s.Points, capacity.Point{X: float64(n), Y: heapOf(func() any {
 			self := membership.Host{ID: "self", Zone: "a"}
@@ -92,13 +92,13 @@
 			return t
 		})})
 	}
-	return []capacity.Slope{s}, nil
+	return []capacity.Series{s}, nil
 }
 
-func documentSlopes(SlopesOptions) ([]capacity.Slope, error) {
-	cpu := capacity.Slope{Name: capacity.DocumentCPU, PerUnit: "kilobyte of the document", Unit: "ms"}
-	heap := capacity.Slope{Name: capacity.DocumentBytes, PerUnit: "byte of the document", Unit: "bytes"}
-	delta := capacity.Slope{Name: capacity.DeltaBytes, PerUnit: "kilobyte of the document", Unit: "bytes"}
+func documentSlopes(SlopesOptions) ([]capacity.Series, error) {
+	cpu := capacity.Series{Name: capacity.DocumentCPU, PerUnit: "kilobyte of the document", Unit: "ms"}
+	heap := capacity.Series{Name: capacity.DocumentBytes, PerUnit: "byte of the document", Unit: "bytes"}
+	delta := capacity.Series{Name: capacity.DeltaBytes, PerUnit: "kilobyte of the document", Unit: "bytes"}
 	for _, size := range []int{125_000, 250_000, 500_000, 1_000_000} {
 		b := &configBench{options: ConfigOptions{Bytes: size}, cluster: &Cluster{}, rng: rand.New(rand.NewPCG(1, 1))}
 		text, next := b.document(), b.document()
@@ -123,7 +123,7 @@
 		}
 		delta.Points = append(delta.Points, capacity.Point{X: kilobytes, Y: float64(len(d))})
 	}
-	return []capacity.Slope{cpu, heap, delta}, nil
+	return []capacity.Series{cpu, heap, delta}, nil
 }
 
 // plainSite is a site of two hosts without latencies.
@@ -150,8 +150,8 @@
 	return f(c)
 }
 
-func callerSlope(o SlopesOptions) ([]capacity.Slope, error) {
-	s := capacity.Slope{Name: capacity.CallerBytes, PerUnit: "idle caller", Unit: "bytes"}
+func callerSlope(o SlopesOptions) ([]capacity.Series, error) {
+	s := capacity.Series{Name: capacity.CallerBytes, PerUnit: "idle caller", Unit: "bytes"}
 	err := withCluster(plainSite(1, 1), o.Logger, func(c *Cluster) error {
 		url := c.URL(c.Owner(0), c.Topology.RouteName(BrowseRoute, 0))
 		for _, n := range []int{500, 1000, 2000, 4000} {
@@ -163,12 +163,12 @@
 		}
 		return nil
 	})
-	return []capacity.Slope{s}, err
+	return []capacity.Series{s}, err
 }
 
-func statementSlopes(o SlopesOptions) ([]capacity.Slope, error) {
-	same := capacity.Slope{Name: capacity.SameHostCPU, PerUnit: "statement", Unit: "us above the direct way"}
-	hop := capacity.Slope{Name: capacity.OneHopCPU, PerUnit: "statement", Unit: "us above the direct way"}
+func statementSlopes(o SlopesOptions) ([]capacity.Series, error) {
+	same := capacity.Series{Name: capacity.SameHostCPU, PerUnit: "statement", Unit: "us above the direct way"}
+	hop := capacity.Series{Name: capacity.OneHopCPU, PerUnit: "statement", Unit: "us above the direct way"}
 	for _, callers := range []int{4, 8, 16} {
 		r, err := BenchOverhead(OverheadOptions{Duration: 2 * time.Second, Callers: callers, Idle: 1, Out: io.Discard, Logger: o.Logger})
 		if err != nil {
@@ -177,16 +177,16 @@
 		same.Points = append(same.Points, capacity.Point{X: 1, Y: r.FreePaths[1].CPUUS - r.FreePaths[0].CPUUS})
 		hop.Points = append(hop.Points, capacity.Point{X: 1, Y: r.FreePaths[2].CPUUS - r.FreePaths[0].CPUUS})
 	}
-	return []capacity.Slope{same, hop}, nil
+	return []capacity.Series{same, hop}, nil
 }
 
 // groupSlopes measures idle groups. The stand-ins run in the same process: what
 // they cost alone is measured first and taken off the processor time. The
 // members' side of each probe stays in.
-func groupSlopes(o SlopesOptions) ([]capacity.Slope, error) {
-	heap := capacity.Slope{Name: capacity.GroupBytes, PerUnit: "group, its three stand-in members included", Unit: "bytes"}
-	cpu := capacity.Slope{Name: capacity.GroupCPU, PerUnit: "idle group, without what its stand-ins take alone", Unit: "% of a core"}
-	traffic := capacity.Slope{Name: capacity.GroupTraffic, PerUnit: "idle group", Unit: "bytes/s"}
+func groupSlopes(o SlopesOptions) ([]capacity.Series, error) {
+	heap := capacity.Series{Name: capacity.GroupBytes, PerUnit: "group, its three stand-in members included", Unit: "bytes"}
+	cpu := capacity.Series{Name: capacity.GroupCPU, PerUnit: "idle group, without what its stand-ins take alone", Unit: "% of a core"}
+	traffic := capacity.Series{Name: capacity.GroupTraffic, PerUnit: "idle group", Unit: "bytes/s"}
 	const settle, quiet = 2 * time.Second, 8 * time.Second
 	for i, n := range []int{1, 4, 8, 12} {
 		alone, err := standinsAlone(plainSite(n, byte(20+i)), quiet)
@@ -207,7 +207,7 @@
 			return nil, err
 		}
 	}
-	return []capacity.Slope{heap, cpu, traffic}, nil
+	return []capacity.Series{heap, cpu, traffic}, nil
 }
 
 // standinsAlone returns the processor time that a site's groups take without any
@@ -236,8 +236,8 @@
 }
 
 // streamSlope measures idle exchange streams between two hosts, both ends.
-func streamSlope(o SlopesOptions) ([]capacity.Slope, error) {
-	s := capacity.Slope{Name: capacity.StreamBytes, PerUnit: "idle stream, one end", Unit: "bytes"}
+func streamSlope(o SlopesOptions) ([]capacity.Series, error) {
+	s := capacity.Series{Name: capacity.StreamBytes, PerUnit: "idle stream, one end", Unit: "bytes"}
 	err := withCluster(plainSite(1, 30), o.Logger, func(c *Cluster) error {
 		owner := c.Owner(0)
 		for _, n := range []int{16, 32, 64} {
@@ -251,7 +251,7 @@
 		}
 		return nil
 	})
-	return []capacity.Slope{s}, err
+	return []capacity.Series{s}, err
 }
 
 // openStreams runs n exchanges at once, so that as many streams stay idle.
@@ -283,10 +283,10 @@
 var beginQuery = []byte("Q\x00\x00\x00\x14BEGIN READ ONLY\x00")
 
 // fleetSlopes measures fleets of several sizes at rest.
-func fleetSlopes(o SlopesOptions) ([]capacity.Slope, error) {
-	traffic := capacity.Slope{Name: capacity.FleetTraffic, PerUnit: "host of the fleet", Unit: "bytes/s"}
-	cpu := capacity.Slope{Name: capacity.FleetCPU, PerUnit: "host of the fleet", Unit: "% of a core"}
-	calls := capacity.Slope{Name: capacity.PlatformCalls, PerUnit: "host of the fleet", Unit: "calls/s of the whole fleet"}
+func fleetSlopes(o SlopesOptions) ([]capacity.Series, error) {
+	traffic := capacity.Series{Name: capacity.FleetTraffic, PerUnit: "host of the fleet", Unit: "bytes/s"}
+	cpu := capacity.Series{Name: capacity.FleetCPU, PerUnit: "host of the fleet", Unit: "% of a core"}
+	calls := capacity.Series{Name: capacity.PlatformCalls, PerUnit: "host of the fleet", Unit: "calls/s of the whole fleet"}
 	for i, n := range []int{16, 32, 64, 128} {
 		f, err := membershipRun(MembershipOptions{Duration: 6 * time.Second, Logger: o.Logger}, n, byte(100+10*i))
 		if err != nil {
@@ -297,12 +297,12 @@
 		cpu.Points = append(cpu.Points, capacity.Point{X: x, Y: f.CPUPercent})
 		calls.Points = append(calls.Points, capacity.Point{X: x, Y: f.PlatformCalls * x})
 	}
-	return []capacity.Slope{traffic, cpu, calls}, nil
+	return []capacity.Series{traffic, cpu, calls}, nil
 }
 
 // takeoverSlope measures how long writes fail after an owner's host has died.
-func takeoverSlope(o SlopesOptions) ([]capacity.Slope, error) {
-	s := capacity.Slope{Name: capacity.TakeoverDuration, PerUnit: "takeover", Unit: "ms"}
+func takeoverSlope(o SlopesOptions) ([]capacity.Series, error) {
+	s := capacity.Series{Name: capacity.TakeoverDuration, PerUnit: "takeover", Unit: "ms"}
 	t := plainSite(1, 40)
 	t.Hosts = 4
 	err := withCluster(t, o.Logger, func(c *Cluster) error {
@@ -324,5 +324,5 @@
 		}
 		return nil
 	})
-	return []capacity.Slope{s}, err
+	return []capacity.Series{s}, err
 }
--- a/internal/process/gateway.go
+++ b/internal/process/gateway.go
@@ -31,12 +31,12 @@
 // Run runs a host with the settings of a file until the process gets SIGTERM and has drained.
 // It writes its lines to out.
 func Run(s *platform.Settings, path string, out io.Writer) error {
-	return RunWith(s, path, out, func(*gateway.Ports) {})
+	return RunWithPorts(s, path, out, func(*gateway.Ports) {})
 }
 
-// RunWith is Run for a host whose ways to the outside are changed first. Tests put faults into a host
+// RunWithPorts is Run for a host whose ways to the outside are changed first. Tests put faults into a host
 // with it.
-func RunWith(s *platform.Settings, path string, out io.Writer, change func(*gateway.Ports)) error {
+func RunWithPorts(s *platform.Settings, path string, out io.Writer, change func(*gateway.Ports)) error {
 	lines := eventlog.New(out, boottime.Now)
 	defer lines.Close()
 	logger := log.With(lines, "ts", log.DefaultTimestampUTC)
@@ -54,7 +54,7 @@
 	defer stop()
 	hup := make(chan os.Signal, 1)
 	signal.Notify(hup, syscall.SIGHUP)
-	go reloadOn(hup, path, h, logger)
+	go reloadSettings(hup, path, h, logger)
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
@@ -66,7 +66,7 @@
 	cancel()
 	select {
 	case <-done:
-	case <-time.After(finishTime):
+	case <-time.After(finishTimeout):
 	}
 	_ = level.Info(logger).Log("event", "stop", "host", s.Gateway.Host)
 	return nil
@@ -100,7 +100,7 @@
 	s := g.settings
 	refresh := func() {
 		h.RefreshMetrics()
-		showDropped(g.registry, g.lines)
+		updateDroppedMetrics(g.registry, g.lines)
 	}
 	served := []struct {
 		what  string
@@ -127,30 +127,30 @@
 	return nil
 }
 
-// showDropped counts the log lines that were dropped among the metrics.
-func showDropped(r metrics.Registry, lines *eventlog.Logger) {
+// updateDroppedMetrics counts the log lines that were dropped among the metrics.
+func updateDroppedMetrics(r metrics.Registry, lines *eventlog.Logger) {
 	for event, n := range lines.Dropped() {
 		metrics.GetOrRegisterGauge(fmt.Sprintf("log_lines_dropped_total{event=%q}", event), r).Update(n)
 	}
 }
 
-// reloadPoll is the pause between two looks at the settings file, which may change
+// reloadPollInterval is the pause between two looks at the settings file, which may change
 // without a signal.
-const reloadPoll = 2 * time.Second
+const reloadPollInterval = 2 * time.Second
 
-// reloadOn reads the settings again at each signal and when the file has changed. A
+// reloadSettings reads the settings again at each signal and when the file has changed. A
 // file with mistakes changes nothing. Addresses and names hold until the process ends.
-func reloadOn(signals <-chan os.Signal, path string, h *gateway.Host, logger log.Logger) {
-	read := modified(path)
+func reloadSettings(signals <-chan os.Signal, path string, h *gateway.Host, logger log.Logger) {
+	read := modTime(path)
 	for {
 		select {
 		case <-signals:
-		case <-time.After(reloadPoll):
-			if modified(path).Equal(read) {
+		case <-time.After(reloadPollInterval):
+			if modTime(path).Equal(read) {
 				continue
 			}
 		}
-		read = modified(path)
+		read = modTime(path)
 		s, err := platform.LoadSettings(path)
 		if err == nil {
 			h.Reload(s.Gateway)
@@ -159,8 +159,8 @@
 	}
 }
 
-// modified returns when the file was changed last, or the zero time if it is missing.
-func modified(path string) time.Time {
+// modTime returns when the file was changed last, or the zero time if it is missing.
+func modTime(path string) time.Time {
 	info, err := os.Stat(path)
 	if err != nil {
 		return time.Time{}
@@ -182,15 +182,15 @@
 }
 
 const (
-	// rotationTime is how long the platform may take to see that a host is not
+	// readinessDelay is how long the platform may take to see that a host is not
 	// ready: two questions a second apart, and the way.
-	rotationTime = 2300 * time.Millisecond
-	// endMargin is kept between the end of the last session and that of the grace.
-	endMargin = 800 * time.Millisecond
-	// finishTime bounds what is given back to the store at the end.
-	finishTime = 300 * time.Millisecond
-	// drainPoll is the pause between two looks at what is left.
-	drainPoll = 50 * time.Millisecond
+	readinessDelay = 2300 * time.Millisecond
+	// graceMarginDelay is kept between the end of the last session and that of the grace.
+	graceMarginDelay = 800 * time.Millisecond
+	// finishTimeout bounds what is given back to the store at the end.
+	finishTimeout = 300 * time.Millisecond
+	// drainPollInterval is the pause between two looks at what is left.
+	drainPollInterval = 50 * time.Millisecond
 )
 
 // drainGateway waits until callers are sent elsewhere, then ends sessions as they
@@ -198,11 +198,11 @@
 func drainGateway(h *gateway.Host, callers *platform.Callers, grace time.Duration) {
 	started := time.Now()
 	h.Stop()
-	time.Sleep(min(rotationTime, grace/3))
-	for time.Since(started) < grace-endMargin {
+	time.Sleep(min(readinessDelay, grace/3))
+	for time.Since(started) < grace-graceMarginDelay {
 		if callers.CloseIdle()+int(h.ForwardedCount()) == 0 {
 			return
 		}
-		time.Sleep(drainPoll)
+		time.Sleep(drainPollInterval)
 	}
 }
--- a/internal/quotas/ask.go
+++ b/internal/quotas/ask.go
@@ -7,11 +7,11 @@
 	"pearlatch/core/quota"
 )
 
-// ask asks the granter of a shard, if there is something to ask and no question under way. The shard's lock is
+// sendRequest asks the granter of a shard, if there is something to sendRequest and no question under way. The shard's lock is
 // held.
-func (k *Keeper) ask(s *shard) {
+func (k *Enforcer) sendRequest(s *shard) {
 	now := k.now()
-	if s.asking || now.Before(s.askAt) {
+	if s.requestPending || now.Before(s.nextRequestAt) {
 		return
 	}
 	host, token, ok := k.fleet.Granter(s.name)
@@ -24,33 +24,33 @@
 		return
 	}
 	if host == k.settings.Host {
-		answer, ok := k.answer(s, k.settings.Host, k.settings.Process, in)
-		k.took(s, in, Reply{Declined: !ok, Answer: answer}, nil)
+		answer, ok := k.handleRequest(s, k.settings.Host, k.settings.Process, in)
+		k.handleResponse(s, in, Response{Declined: !ok, Response: answer}, nil)
 		return
 	}
-	s.asking = true
-	go k.askHost(s, host, in)
+	s.requestPending = true
+	go k.requestFrom(s, host, in)
 }
 
-func (k *Keeper) askHost(s *shard, host string, in quota.Request) {
-	ctx, cancel := context.WithTimeout(context.Background(), askTimeout)
+func (k *Enforcer) requestFrom(s *shard, host string, in quota.Request) {
+	ctx, cancel := context.WithTimeout(context.Background(), requestTimeout)
 	defer cancel()
-	reply, err := k.fleet.Ask(ctx, host, Request{s.name, k.settings.Host, k.settings.Process, in})
+	reply, err := k.fleet.RequestTokens(ctx, host, Request{s.name, k.settings.Host, k.settings.Process, in})
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.asking = false
-	k.took(s, in, reply, err)
-	k.ask(s) // for those that have come meanwhile
+	s.requestPending = false
+	k.handleResponse(s, in, reply, err)
+	k.sendRequest(s) // for those that have come meanwhile
 }
 
-// took takes over an answer, or that there is none. The shard's lock is held.
-func (k *Keeper) took(s *shard, in quota.Request, reply Reply, err error) {
+// handleResponse takes over an answer, or that there is none. The shard's lock is held.
+func (k *Enforcer) handleResponse(s *shard, in quota.Request, reply Response, err error) {
 	now := k.now()
-	if err == nil && !reply.Declined && s.HandleResponse(in.ID, in.FencingToken, reply.Answer, now) {
+	if err == nil && !reply.Declined && s.HandleResponse(in.ID, in.FencingToken, reply.Response, now) {
 		if !s.failingSince.IsZero() {
 			k.log("granter_regained", "shard", s.name, "after_ms", now.Sub(s.failingSince).Milliseconds())
 		}
-		s.failingSince, s.askAt = time.Time{}, time.Time{}
+		s.failingSince, s.nextRequestAt = time.Time{}, time.Time{}
 		s.notify()
 		return
 	}
@@ -59,17 +59,17 @@
 		s.failingSince = now
 		k.log("granter_lost", "shard", s.name, "token", in.FencingToken, "declined", reply.Declined, "err", err)
 	}
-	s.askAt = now.Add(askAgain)
-	time.AfterFunc(askAgain, func() {
+	s.nextRequestAt = now.Add(requestRetryDelay)
+	time.AfterFunc(requestRetryDelay, func() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		s.notify()
 	})
 }
 
-// Tell answers a granter that asks what this host holds.
-func (k *Keeper) Tell(r TellRequest) TellReply {
-	s := k.byName(r.Shard)
+// HandleReportRequest answers a granter that asks what this host holds.
+func (k *Enforcer) HandleReportRequest(r ReportRequest) ReportResponse {
+	s := k.shardByName(r.Shard)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	granted := s.Granter() != nil
@@ -77,9 +77,9 @@
 	if granted && s.Granter() == nil {
 		k.log("granter_ends", "shard", s.name, "successor", r.Host, "token", r.Token)
 	}
-	return TellReply{Process: k.settings.Process, Declined: !ok, Holds: holds}
+	return ReportResponse{Process: k.settings.Process, Declined: !ok, Holdings: holds}
 }
 
-func (k *Keeper) log(event string, fields ...any) {
+func (k *Enforcer) log(event string, fields ...any) {
 	_ = k.logger.Log(append([]any{"event", event}, fields...)...)
 }
--- a/internal/quotas/grant.go
+++ b/internal/quotas/grant.go
@@ -7,23 +7,23 @@
 	"pearlatch/core/quota"
 )
 
-// Took makes this host the granter of a shard under a fencing token. The hosts named may hold portions of earlier
+// StartGranting makes this host the granter of a shard under a fencing token. The hosts named may hold portions of earlier
 // granters, and those before may have been one. A successor will know of them, and of this host.
-func (k *Keeper) Took(name string, token int64, held time.Time, mayHold, before []string) {
-	s := k.byName(name)
+func (k *Enforcer) StartGranting(name string, token int64, held time.Time, mayHold, before []string) {
+	s := k.shardByName(name)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	l := quota.NewGranter(token, k.settings.Terms, k.now(), mayHold, before)
+	l := quota.NewGranter(token, k.settings.Tolerance, k.now(), mayHold, before)
 	l.Extend(held)
 	s.SetGranter(l)
-	s.telling = map[string]*told{}
-	s.askAt = time.Time{}
+	s.reports = map[string]*reportState{}
+	s.nextRequestAt = time.Time{}
 	k.log("granter_begins", "shard", name, "token", token, "may_hold", len(mayHold), "before", len(before))
 }
 
-// Renewed records that this host still held a shard's duty at a time, and Raised that its token has risen.
-func (k *Keeper) Renewed(name string, held time.Time) {
-	s := k.byName(name)
+// ExtendGranting records that this host still held a shard's duty at a time, and Raised that its token has risen.
+func (k *Enforcer) ExtendGranting(name string, held time.Time) {
+	s := k.shardByName(name)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if l := s.Granter(); l != nil {
@@ -31,9 +31,9 @@
 	}
 }
 
-// Raised is described with Renewed.
-func (k *Keeper) Raised(name string, token int64) {
-	s := k.byName(name)
+// RaiseToken is described with Renewed.
+func (k *Enforcer) RaiseToken(name string, token int64) {
+	s := k.shardByName(name)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if l := s.Granter(); l != nil {
@@ -41,9 +41,9 @@
 	}
 }
 
-// Lost records that this host is the granter of a shard no more. Nothing is handed out once it returns.
-func (k *Keeper) Lost(name string) {
-	s := k.byName(name)
+// StopGranting records that this host is the granter of a shard no more. Nothing is handed out once it returns.
+func (k *Enforcer) StopGranting(name string) {
+	s := k.shardByName(name)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.Granter() != nil {
@@ -52,10 +52,10 @@
 	s.SetGranter(nil)
 }
 
-// Before returns the hosts that may still take themselves for the granter of a shard. ok is false if this host is not
+// FormerGranters returns the hosts that may still take themselves for the granter of a shard. ok is false if this host is not
 // its granter.
-func (k *Keeper) Before(name string) (hosts []string, ok bool) {
-	s := k.byName(name)
+func (k *Enforcer) FormerGranters(name string) (hosts []string, ok bool) {
+	s := k.shardByName(name)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	l := s.Granter()
@@ -65,18 +65,18 @@
 	return l.FormerGranters(), true
 }
 
-// Answer answers a host that asks this one as the granter of a shard.
-func (k *Keeper) Answer(r Request) Reply {
-	s := k.byName(r.Shard)
+// HandleRequest answers a host that asks this one as the granter of a shard.
+func (k *Enforcer) HandleRequest(r Request) Response {
+	s := k.shardByName(r.Shard)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	answer, ok := k.answer(s, r.Host, r.Process, r.Inquiry)
-	return Reply{Declined: !ok, Answer: answer}
+	answer, ok := k.handleRequest(s, r.Host, r.Process, r.Request)
+	return Response{Declined: !ok, Response: answer}
 }
 
-// answer answers a host, this one as well. One that the ledger does not know well enough is asked what it holds
+// handleRequest answers a host, this one as well. One that the ledger does not know well enough is asked what it holds
 // first. The shard's lock is held.
-func (k *Keeper) answer(s *shard, host, process string, in quota.Request) (quota.Response, bool) {
+func (k *Enforcer) handleRequest(s *shard, host, process string, in quota.Request) (quota.Response, bool) {
 	l := s.Granter()
 	if l == nil {
 		return quota.Response{}, false
@@ -99,101 +99,101 @@
 	}
 	switch {
 	case !l.KnowsHost(host):
-		k.enter(s, l, host)
+		k.recordGrantee(s, l, host)
 	case !l.HasReported(host, process):
-		k.tell(s, l, host)
+		k.requestReport(s, l, host)
 	}
 	return quota.Response{}, false
 }
 
-// enter lets hosts get portions that are new to the fleet, once a successor will know of them. The shard's lock is
+// recordGrantee lets hosts get portions that are new to the fleet, once a successor will know of them. The shard's lock is
 // held.
-func (k *Keeper) enter(s *shard, l *quota.Granter, host string) {
-	if s.entering || k.now().Before(s.enterAt) {
+func (k *Enforcer) recordGrantee(s *shard, l *quota.Granter, host string) {
+	if s.recording || k.now().Before(s.nextRecordAt) {
 		return
 	}
-	s.entering = true
+	s.recording = true
 	go func() {
-		ctx, cancel := context.WithTimeout(context.Background(), enterTimeout)
+		ctx, cancel := context.WithTimeout(context.Background(), recordTimeout)
 		defer cancel()
-		entered, err := k.fleet.Enter(ctx, s.name, host)
+		entered, err := k.fleet.RecordGrantee(ctx, s.name, host)
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		s.entering = false
+		s.recording = false
 		if err != nil {
-			s.enterAt = k.now().Add(enterPause)
+			s.nextRecordAt = k.now().Add(recordRetryDelay)
 			k.log("grantee_not_entered", "shard", s.name, "peer", host, "err", err)
 			return
 		}
 		l.AddHosts(entered...)
 		for _, each := range entered {
-			k.tell(s, l, each)
+			k.requestReport(s, l, each)
 		}
 	}()
 }
 
-// lookAfter asks hosts that have not told what they hold, and those that were not heard of for long. The shard's
+// requestReports asks hosts that have not told what they hold, and those that were not heard of for long. The shard's
 // lock is held.
-func (k *Keeper) lookAfter(s *shard) {
+func (k *Enforcer) requestReports(s *shard) {
 	l := s.Granter()
 	if l == nil {
 		return
 	}
 	for _, host := range l.UnreportedHosts() {
-		k.tell(s, l, host)
+		k.requestReport(s, l, host)
 	}
-	for _, host := range l.QuietHosts(k.now().Add(-unheardTime)) {
-		k.tell(s, l, host)
+	for _, host := range l.QuietHosts(k.now().Add(-quietHostTimeout)) {
+		k.requestReport(s, l, host)
 	}
 }
 
-// tell asks a host what it holds. The shard's lock is held.
-func (k *Keeper) tell(s *shard, l *quota.Granter, host string) {
+// requestReport asks a host what it holds. The shard's lock is held.
+func (k *Enforcer) requestReport(s *shard, l *quota.Granter, host string) {
 	if host == k.settings.Host {
 		holds, _ := s.Shard.Report(l.FencingToken(), k.now())
 		l.RecordReport(host, k.settings.Process, holds, k.now())
 		return
 	}
-	t := s.telling[host]
+	t := s.reports[host]
 	if t == nil {
-		t = &told{}
-		s.telling[host] = t
+		t = &reportState{}
+		s.reports[host] = t
 	}
-	if t.under || k.now().Before(t.at) {
+	if t.pending || k.now().Before(t.nextAt) {
 		return
 	}
-	t.under = true
-	r := TellRequest{s.name, k.settings.Host, l.FencingToken()}
+	t.pending = true
+	r := ReportRequest{s.name, k.settings.Host, l.FencingToken()}
 	go func() {
-		ctx, cancel := context.WithTimeout(context.Background(), askTimeout)
+		ctx, cancel := context.WithTimeout(context.Background(), requestTimeout)
 		defer cancel()
-		reply, err := k.fleet.Tell(ctx, host, r)
+		reply, err := k.fleet.RequestReport(ctx, host, r)
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		k.heard(s, l, host, t, reply, err)
+		k.handleReport(s, l, host, t, reply, err)
 	}()
 }
 
-// heard takes over what a host told. The shard's lock is held.
-func (k *Keeper) heard(s *shard, l *quota.Granter, host string, t *told, reply TellReply, err error) {
+// handleReport takes over what a host told. The shard's lock is held.
+func (k *Enforcer) handleReport(s *shard, l *quota.Granter, host string, t *reportState, reply ReportResponse, err error) {
 	now := k.now()
-	t.under = false
+	t.pending = false
 	switch {
 	case s.Granter() != l:
 		return
 	case err == nil && !reply.Declined:
 		known := l.HoldingsKnown(now)
-		l.RecordReport(host, reply.Process, reply.Holds, now)
-		t.at, t.pause = now.Add(tellPause), 0
+		l.RecordReport(host, reply.Process, reply.Holdings, now)
+		t.nextAt, t.backoff = now.Add(initialReportBackoff), 0
 		if !known && l.HoldingsKnown(now) {
 			k.log("grants_known", "shard", s.name)
 		}
 		return
 	case err == nil:
 		k.log("granter_outlived", "shard", s.name, "peer", host, "token", l.FencingToken())
-	case k.fleet.Ended(err):
+	case k.fleet.IsProcessEnded(err):
 		l.RecordExit(host, now)
 	}
-	t.pause = min(max(2*t.pause, tellPause), tellPauseMax)
-	t.at = now.Add(t.pause)
+	t.backoff = min(max(2*t.backoff, initialReportBackoff), maxReportBackoff)
+	t.nextAt = now.Add(t.backoff)
 }
--- a/internal/quotas/keeper.go
+++ b/internal/quotas/keeper.go
@@ -17,22 +17,22 @@
 type Settings struct {
 	// Host and Process name this host and its process.
 	Host, Process string
-	Terms         quota.Tolerance
+	Tolerance     quota.Tolerance
 }
 
-// Keeper keeps a host's accounts within their quotas. Accounts are spread over shards by a hash of their name; the
+// Enforcer keeps a host's accounts within their quotas. Accounts are spread over shards by a hash of their name; the
 // host that holds a shard's duty is their granter. Use New.
-type Keeper struct {
+type Enforcer struct {
 	settings Settings
 	fleet    Fleet
 	logger   log.Logger
 	now      func() time.Time
 
 	mu sync.Mutex
-	// names holds the shards, in order, and accounts the quotas that are in force.
-	names    []string
-	accounts *account.Directory
-	shards   map[string]*shard
+	// shardNames holds the shards, in order, and accounts the quotas that are in force.
+	shardNames []string
+	accounts   *account.Directory
+	shards     map[string]*shard
 }
 
 // shard is what the host holds and gives of the accounts of one shard.
@@ -41,56 +41,56 @@
 
 	mu sync.Mutex
 	*quota.Shard
-	// asking is true while a question to the granter is under way.
-	asking bool
-	// failingSince is since when the granter has not answered, or zero; askAt is when it is asked again.
-	failingSince, askAt time.Time
+	// requestPending is true while a question to the granter is under way.
+	requestPending bool
+	// failingSince is since when the granter has not answered, or zero; nextRequestAt is when it is asked again.
+	failingSince, nextRequestAt time.Time
 	// changed is closed and replaced when operations that wait may look again.
 	changed chan struct{}
-	// entering is true while hosts are being made known to successors, which is tried again at enterAt.
-	entering bool
-	enterAt  time.Time
-	// telling holds, by host, when it is asked next what it holds.
-	telling map[string]*told
+	// recording is true while hosts are being made known to successors, which is tried again at enterAt.
+	recording    bool
+	nextRecordAt time.Time
+	// reports holds, by host, when it is asked next what it holds.
+	reports map[string]*reportState
 }
 
-// told is when a host is asked what it holds.
-type told struct {
-	under bool
-	at    time.Time
-	pause time.Duration
+// reportState is when a host is asked what it holds.
+type reportState struct {
+	pending bool
+	nextAt  time.Time
+	backoff time.Duration
 }
 
 // New returns a Keeper without accounts. now reads a clock that goes on while the machine is suspended.
-func New(s Settings, f Fleet, logger log.Logger, now func() time.Time) *Keeper {
-	return &Keeper{settings: s, fleet: f, logger: logger, now: now, shards: map[string]*shard{}}
+func New(s Settings, f Fleet, logger log.Logger, now func() time.Time) *Enforcer {
+	return &Enforcer{settings: s, fleet: f, logger: logger, now: now, shards: map[string]*shard{}}
 }
 
 // Configure takes over the accounts in force, and the shards that they are spread over.
-func (k *Keeper) Configure(accounts *account.Directory, shards []string) {
+func (k *Enforcer) Configure(accounts *account.Directory, shards []string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.accounts, k.names = accounts, slices.Sorted(slices.Values(shards))
+	k.accounts, k.shardNames = accounts, slices.Sorted(slices.Values(shards))
 }
 
-// shardOf returns the shard of an account, or nil while there is none.
-func (k *Keeper) shardOf(name string) *shard {
+// shardForAccount returns the shard of an account, or nil while there is none.
+func (k *Enforcer) shardForAccount(name string) *shard {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	best, most := "", uint64(0)
-	for _, each := range k.names {
-		if score := claim(each, name); best == "" || score > most {
+	for _, each := range k.shardNames {
+		if score := rendezvousScore(each, name); best == "" || score > most {
 			best, most = each, score
 		}
 	}
 	if best == "" {
 		return nil
 	}
-	return k.shard(best)
+	return k.getOrCreateShard(best)
 }
 
-// claim is a shard's claim to an account, by rendezvous hashing.
-func claim(shard, account string) uint64 {
+// rendezvousScore is a shard's rendezvousScore to an account, by rendezvous hashing.
+func rendezvousScore(shard, account string) uint64 {
 	var d xxhash.Digest
 	d.Reset()
 	_, _ = d.WriteString(shard)
@@ -99,23 +99,23 @@
 	return d.Sum64()
 }
 
-// shard returns a shard. k.mu is held.
-func (k *Keeper) shard(name string) *shard {
+// getOrCreateShard returns a getOrCreateShard. k.mu is held.
+func (k *Enforcer) getOrCreateShard(name string) *shard {
 	s := k.shards[name]
 	if s == nil {
-		s = &shard{name: name, Shard: quota.NewShard(), changed: make(chan struct{}), telling: map[string]*told{}}
+		s = &shard{name: name, Shard: quota.NewShard(), changed: make(chan struct{}), reports: map[string]*reportState{}}
 		k.shards[name] = s
 	}
 	return s
 }
 
-func (k *Keeper) byName(name string) *shard {
+func (k *Enforcer) shardByName(name string) *shard {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.shard(name)
+	return k.getOrCreateShard(name)
 }
 
-func (k *Keeper) all() []*shard {
+func (k *Enforcer) allShards() []*shard {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	out := make([]*shard, 0, len(k.shards))
@@ -126,7 +126,7 @@
 }
 
 // quotaOf returns an account's quota by this host's configuration, or false if there is no such account.
-func (k *Keeper) quotaOf(name string) (account.Quota, bool) {
+func (k *Enforcer) quotaOf(name string) (account.Quota, bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if k.accounts == nil {
@@ -139,33 +139,33 @@
 	return a.Quota, true
 }
 
-// Begin lets an operation of an account begin, or returns false and when its caller may come back. It may wait for
+// Admit lets an operation of an account begin, or returns false and when its caller may come back. It may wait for
 // the granter until the given time.
-func (k *Keeper) Begin(ctx context.Context, a *account.Account, until time.Time) (ok bool, after time.Duration) {
+func (k *Enforcer) Admit(ctx context.Context, a *account.Account, until time.Time) (ok bool, after time.Duration) {
 	if a.Quota.Unlimited() {
 		return true, 0
 	}
-	s := k.shardOf(a.Name)
+	s := k.shardForAccount(a.Name)
 	if s == nil {
-		return false, askAgain
+		return false, requestRetryDelay
 	}
 	now := k.now()
-	until = earlier(until, now.Add(waitLongest))
+	until = earlier(until, now.Add(maxGranterDelay))
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	v, after := s.Shard.Begin(a.Name, a.Quota, now)
 	for v == quota.AskGranter && s.mayWait(now, until) {
 		s.AddWaiter(a.Name)
-		k.ask(s)
-		s.await(ctx, until.Sub(now))
+		k.sendRequest(s)
+		s.waitForChange(ctx, until.Sub(now))
 		now = k.now()
 		v, after = s.RemoveWaiter(a.Name, now)
 	}
 	if v == quota.Admitted && s.RequestDue(a.Name, now) {
-		k.ask(s)
+		k.sendRequest(s)
 	}
 	if v == quota.AskGranter {
-		after = max(askAgain, s.RetryAfter(a.Name, now))
+		after = max(requestRetryDelay, s.RetryAfter(a.Name, now))
 	}
 	return v == quota.Admitted, after
 }
@@ -179,12 +179,12 @@
 
 // mayWait reports whether an operation may wait for the granter. The shard's lock is held.
 func (s *shard) mayWait(now, until time.Time) bool {
-	lost := !s.failingSince.IsZero() && now.Sub(s.failingSince) > lostAfter
+	lost := !s.failingSince.IsZero() && now.Sub(s.failingSince) > granterLossTimeout
 	return now.Before(until) && !lost
 }
 
-// await waits for a change, at most for the given time. The shard's lock is given back meanwhile.
-func (s *shard) await(ctx context.Context, atMost time.Duration) {
+// waitForChange waits for a change, at most for the given time. The shard's lock is given back meanwhile.
+func (s *shard) waitForChange(ctx context.Context, atMost time.Duration) {
 	changed := s.changed
 	s.mu.Unlock()
 	timer := time.NewTimer(atMost)
@@ -203,12 +203,12 @@
 	s.changed = make(chan struct{})
 }
 
-// Return gives the token of an operation back that has certainly not run.
-func (k *Keeper) Return(a *account.Account) {
+// ReturnToken gives the token of an operation back that has certainly not run.
+func (k *Enforcer) ReturnToken(a *account.Account) {
 	if a.Quota.Unlimited() {
 		return
 	}
-	if s := k.shardOf(a.Name); s != nil {
+	if s := k.shardForAccount(a.Name); s != nil {
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		s.Shard.ReturnToken(a.Name)
@@ -216,8 +216,8 @@
 }
 
 // Run renews portions and looks after the shards of which this host is the granter, until ctx ends.
-func (k *Keeper) Run(ctx context.Context) {
-	tick := time.NewTicker(pace)
+func (k *Enforcer) Run(ctx context.Context) {
+	tick := time.NewTicker(maintenanceInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -225,11 +225,11 @@
 		case <-ctx.Done():
 			return
 		}
-		for _, s := range k.all() {
+		for _, s := range k.allShards() {
 			s.mu.Lock()
 			s.RemoveIdle(k.now())
-			k.ask(s)
-			k.lookAfter(s)
+			k.sendRequest(s)
+			k.requestReports(s)
 			s.mu.Unlock()
 		}
 	}
--- a/internal/soak/file.go
+++ b/internal/soak/file.go
@@ -69,7 +69,7 @@
 	for _, fault := range m.List("faults") {
 		p.Faults = append(p.Faults, parseFault(fault))
 	}
-	m.Done()
+	m.RejectUnknown()
 	return p, mistakes.Err()
 }
 
@@ -88,7 +88,7 @@
 	text := m.String("seed", true)
 	n, err := strconv.ParseUint(text, 10, 64)
 	if err != nil {
-		m.Wrong("seed", "%q is not a whole number from 0 to 2^64-1", text)
+		m.AddMistake("seed", "%q is not a whole number from 0 to 2^64-1", text)
 	}
 	return n
 }
@@ -97,7 +97,7 @@
 func intAtLeast(m *yamlmap.Map, field string, defaultValue, minimum int) int {
 	n := m.Int(field, defaultValue)
 	if n < minimum {
-		m.Wrong(field, "%d, must be at least %d", n, minimum)
+		m.AddMistake(field, "%d, must be at least %d", n, minimum)
 	}
 	return n
 }
@@ -106,7 +106,7 @@
 func intInRange(m *yamlmap.Map, field string, defaultValue, maximum int) int {
 	n := intAtLeast(m, field, defaultValue, 1)
 	if n > maximum {
-		m.Wrong(field, "%d, must be at most %d", n, maximum)
+		m.AddMistake(field, "%d, must be at most %d", n, maximum)
 	}
 	return n
 }
@@ -114,14 +114,14 @@
 func parseFault(m *yamlmap.Map) Fault {
 	f := Fault{Kind: Kind(yamlmap.Enum(m, "kind", kindName(kinds), kindNames()...))}
 	if !m.Has("kind") {
-		m.Wrong("kind", "is missing")
+		m.AddMistake("kind", "is missing")
 	}
 	if m.Has("at") && m.String("at", false) != "0s" {
 		f.At = m.Duration("at", 0)
 	}
 	f.For = m.Duration("for", time.Second)
 	f.Seed = parseSeed(m, 0)
-	m.Done()
+	m.RejectUnknown()
 	return f
 }
 
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -23,7 +23,7 @@
 		if flaw := flaws[os.Getenv(flawVariable)]; flaw != nil {
 			addFlaw = flaw
 		}
-		err = process.RunWith(s, path, os.Stdout, addFlaw)
+		err = process.RunWithPorts(s, path, os.Stdout, addFlaw)
 	}
 	if err != nil {
 		_, _ = os.Stderr.WriteString(err.Error() + "\n")
--- a/internal/yamlmap/yamlmap.go
+++ b/internal/yamlmap/yamlmap.go
@@ -62,14 +62,14 @@
 
 // Map is a mapping that is being read. Its methods record mistakes and go on.
 type Map struct {
-	path   string
-	line   int
-	fields map[string]*yaml.Node
-	order  []string
-	seen   map[string]bool
-	out    *Mistakes
-	// broken is true when there is no mapping to read, which was recorded.
-	broken bool
+	path     string
+	line     int
+	fields   map[string]*yaml.Node
+	names    []string
+	seen     map[string]bool
+	mistakes *Mistakes
+	// invalid is true when there is no mapping to read, which was recorded.
+	invalid bool
 }
 
 // maxDepth bounds the nesting of a document. Ours nest four deep.
@@ -108,13 +108,13 @@
 }
 
 func newMap(path string, n *yaml.Node, out *Mistakes) *Map {
-	m := &Map{path: path, fields: map[string]*yaml.Node{}, seen: map[string]bool{}, out: out}
+	m := &Map{path: path, fields: map[string]*yaml.Node{}, seen: map[string]bool{}, mistakes: out}
 	if n == nil {
 		return m
 	}
 	m.line = n.Line
 	if n.Kind != yaml.MappingNode {
-		m.broken = true
+		m.invalid = true
 		m.add(n.Line, "", "must be a mapping of fields")
 		return m
 	}
@@ -125,13 +125,13 @@
 			continue
 		}
 		m.fields[name] = n.Content[i+1]
-		m.order = append(m.order, name)
+		m.names = append(m.names, name)
 	}
 	return m
 }
 
 func (m *Map) add(line int, field, reason string) {
-	*m.out = append(*m.out, Mistake{Line: line, Field: m.join(field), Reason: reason})
+	*m.mistakes = append(*m.mistakes, Mistake{Line: line, Field: m.join(field), Reason: reason})
 }
 
 func (m *Map) join(field string) string {
@@ -155,19 +155,19 @@
 	return m.line
 }
 
-// Wrong records a mistake at a field.
-func (m *Map) Wrong(field, format string, args ...any) {
+// AddMistake records a mistake at a field.
+func (m *Map) AddMistake(field, format string, args ...any) {
 	m.add(m.Line(field), field, fmt.Sprintf(format, args...))
 }
 
 // Has reports whether the field is set.
 func (m *Map) Has(field string) bool { return m.fields[field] != nil }
 
-// Done records every field that was not asked for.
-func (m *Map) Done() {
-	for _, name := range m.order {
+// RejectUnknown records every field that was not asked for.
+func (m *Map) RejectUnknown() {
+	for _, name := range m.names {
 		if !m.seen[name] {
-			m.Wrong(name, "is not a known field")
+			m.AddMistake(name, "is not a known field")
 		}
 	}
 }
@@ -180,7 +180,7 @@
 		return "", false
 	}
 	if n.Kind != yaml.ScalarNode {
-		m.Wrong(field, "must be a single value")
+		m.AddMistake(field, "must be a single value")
 		return "", false
 	}
 	return n.Value, true
@@ -189,8 +189,8 @@
 // String returns a field, or the empty string. A required field must be set.
 func (m *Map) String(field string, required bool) string {
 	v, ok := m.scalar(field)
-	if required && !m.broken && v == "" && (ok || !m.Has(field)) {
-		m.Wrong(field, "is required")
+	if required && !m.invalid && v == "" && (ok || !m.Has(field)) {
+		m.AddMistake(field, "is required")
 	}
 	return v
 }
@@ -203,21 +203,21 @@
 	}
 	n, err := strconv.Atoi(v)
 	if err != nil {
-		m.Wrong(field, "%q is not a whole number", v)
+		m.AddMistake(field, "%q is not a whole number", v)
 		return missing
 	}
 	return n
 }
 
-// Share returns a field between 0 and the most allowed, or zero.
-func (m *Map) Share(field string, most float64) float64 {
+// Float returns a field between 0 and the most allowed, or zero.
+func (m *Map) Float(field string, most float64) float64 {
 	v, ok := m.scalar(field)
 	if !ok {
 		return 0
 	}
 	x, err := strconv.ParseFloat(v, 64)
 	if err != nil || !(x >= 0 && x <= most) {
-		m.Wrong(field, "%q is not a number between 0 and %v", v, most)
+		m.AddMistake(field, "%q is not a number between 0 and %v", v, most)
 		return 0
 	}
 	return x
@@ -231,7 +231,7 @@
 	}
 	b, err := strconv.ParseBool(v)
 	if err != nil {
-		m.Wrong(field, "%q is neither true nor false", v)
+		m.AddMistake(field, "%q is neither true nor false", v)
 	}
 	return b
 }
@@ -245,11 +245,11 @@
 	}
 	d, err := time.ParseDuration(v)
 	if err != nil {
-		m.Wrong(field, "%q is not a duration such as 500ms or 2s", v)
+		m.AddMistake(field, "%q is not a duration such as 500ms or 2s", v)
 		return missing
 	}
 	if d <= 0 {
-		m.Wrong(field, "must be positive")
+		m.AddMistake(field, "must be positive")
 		return missing
 	}
 	return d
@@ -283,7 +283,7 @@
 	}
 	addr, err := netip.ParseAddrPort(v)
 	if err != nil {
-		m.Wrong(field, "%q is not of the form IP:PORT", v)
+		m.AddMistake(field, "%q is not of the form IP:PORT", v)
 	}
 	return addr
 }
@@ -301,14 +301,14 @@
 			return e
 		}
 	}
-	m.Wrong(field, "%q is none of %s", v, strings.Join(names, ", "))
+	m.AddMistake(field, "%q is none of %s", v, strings.Join(names, ", "))
 	return missing
 }
 
 // Map returns a field that is a mapping, empty when it is not set.
 func (m *Map) Map(field string) *Map {
 	m.seen[field] = true
-	return newMap(m.join(field), m.fields[field], m.out)
+	return newMap(m.join(field), m.fields[field], m.mistakes)
 }
 
 // List returns a field that is a list of mappings.
@@ -319,12 +319,12 @@
 		return nil
 	}
 	if n.Kind != yaml.SequenceNode {
-		m.Wrong(field, "must be a list")
+		m.AddMistake(field, "must be a list")
 		return nil
 	}
 	out := make([]*Map, len(n.Content))
 	for i, c := range n.Content {
-		out[i] = newMap(fmt.Sprintf("%s[%d]", m.join(field), i), c, m.out)
+		out[i] = newMap(fmt.Sprintf("%s[%d]", m.join(field), i), c, m.mistakes)
 	}
 	return out
 }
@@ -337,13 +337,13 @@
 		return nil
 	}
 	if n.Kind != yaml.SequenceNode {
-		m.Wrong(field, "must be a list")
+		m.AddMistake(field, "must be a list")
 		return nil
 	}
 	var out []string
 	for _, c := range n.Content {
 		if c.Kind != yaml.ScalarNode {
-			m.Wrong(field, "must be a list of single values")
+			m.AddMistake(field, "must be a list of single values")
 			return nil
 		}
 		out = append(out, c.Value)
@@ -354,8 +354,8 @@
 // Names returns the names of the fields of m, in order, and marks them as
 // asked for.
 func (m *Map) Names() []string {
-	for _, name := range m.order {
+	for _, name := range m.names {
 		m.seen[name] = true
 	}
-	return m.order
+	return m.names
 }
--- a/io/peer/gateway_client.go
+++ b/io/peer/gateway_client.go
@@ -98,27 +98,27 @@
 }
 
 // RequestQuota implements gateway.Peers.
-func (c *GatewayClient) RequestQuota(ctx context.Context, to netip.AddrPort, r quotas.Request) (quotas.Reply, error) {
+func (c *GatewayClient) RequestQuota(ctx context.Context, to netip.AddrPort, r quotas.Request) (quotas.Response, error) {
 	reply, err := c.question(ctx, to, &linkRequest{quota: (*quotaRequest)(&r)})
 	if err != nil {
-		return quotas.Reply{}, err
+		return quotas.Response{}, err
 	}
 	if reply.quota == nil {
-		return quotas.Reply{}, errors.Errorf("host %s answered something else than a quota", to)
+		return quotas.Response{}, errors.Errorf("host %s answered something else than a quota", to)
 	}
-	return quotas.Reply(*reply.quota), nil
+	return quotas.Response(*reply.quota), nil
 }
 
 // TellQuota implements gateway.Peers.
-func (c *GatewayClient) TellQuota(ctx context.Context, to netip.AddrPort, r quotas.TellRequest) (quotas.TellReply, error) {
+func (c *GatewayClient) TellQuota(ctx context.Context, to netip.AddrPort, r quotas.ReportRequest) (quotas.ReportResponse, error) {
 	reply, err := c.question(ctx, to, &linkRequest{tell: (*tellRequest)(&r)})
 	if err != nil {
-		return quotas.TellReply{}, err
+		return quotas.ReportResponse{}, err
 	}
 	if reply.told == nil {
-		return quotas.TellReply{}, errors.Errorf("host %s answered something else than what it holds", to)
+		return quotas.ReportResponse{}, errors.Errorf("host %s answered something else than what it holds", to)
 	}
-	return quotas.TellReply(*reply.told), nil
+	return quotas.ReportResponse(*reply.told), nil
 }
 
 // question asks a host something on the link to it. A link on which nothing came while the
@@ -161,14 +161,14 @@
 var _ follow.Feed = (*feed)(nil)
 
 // Next implements follow.Feed.
-func (f *feed) Next(atMost time.Duration) (follow.News, error) {
+func (f *feed) Next(atMost time.Duration) (follow.StoreUpdate, error) {
 	late := time.AfterFunc(atMost, f.stream.close)
 	defer late.Stop()
 	var in newsMessage
 	if err := f.stream.drpc.MsgRecv(&in, encoding{}); err != nil {
-		return follow.News{}, errors.Wrapf(err, "news of host %s", f.addr)
+		return follow.StoreUpdate{}, errors.Wrapf(err, "news of host %s", f.addr)
 	}
-	return in.News, nil
+	return in.StoreUpdate, nil
 }
 
 // Close implements follow.Feed.
--- a/io/peer/gateway_codec_test.go
+++ b/io/peer/gateway_codec_test.go
@@ -55,15 +55,15 @@
 		},
 		"feed_request":        &feedRequest{after: 412},
 		"feed_request_packed": &feedRequest{after: 412, packs: true},
-		"news_elsewhere": &newsMessage{News: follow.News{
-			Elsewhere: []netip.AddrPort{netip.MustParseAddrPort("10.1.0.8:8782"), netip.MustParseAddrPort("10.2.0.6:8782")}, Age: time.Hour,
+		"news_elsewhere": &newsMessage{StoreUpdate: follow.StoreUpdate{
+			Referrals: []netip.AddrPort{netip.MustParseAddrPort("10.1.0.8:8782"), netip.MustParseAddrPort("10.2.0.6:8782")}, Age: time.Hour,
 		}, packer: &packer{}},
 		"feed_request_of_a_later_epoch": &feedRequest{after: kv.NewRevision(3, 412)},
-		"news_of_a_later_epoch": &newsMessage{News: follow.News{Update: kv.Update{
+		"news_of_a_later_epoch": &newsMessage{StoreUpdate: follow.StoreUpdate{Update: kv.Update{
 			Snapshot: kv.Snapshot{Items: []kv.Item{{Key: "k", Value: []byte("v"), Revision: kv.NewRevision(3, 9), Created: 4}}, Revision: kv.NewRevision(3, 10)},
 			Full:     true,
 		}}, packer: &packer{}},
-		"news": &newsMessage{News: follow.News{Update: kv.Update{
+		"news": &newsMessage{StoreUpdate: follow.StoreUpdate{Update: kv.Update{
 			Snapshot: kv.Snapshot{Items: []kv.Item{item, {Key: "gone", Revision: 10, Removed: true}}, Revision: 10},
 			Full:     true,
 		}, Age: time.Second}, packer: &packer{}},
@@ -132,7 +132,7 @@
 func TestLargeValuesAreCompressedOnce(t *testing.T) {
 	item := kv.Item{Key: "config", Value: []byte(strings.Repeat(`{"name":"r-68k7b2e","host":"fiti832ti23"}`, 1400)), Revision: 3}
 	p := &packer{}
-	text, err := encoding{}.Marshal(&newsMessage{News: follow.News{Update: kv.Update{Snapshot: kv.Snapshot{Items: []kv.Item{item}}}}, packer: p})
+	text, err := encoding{}.Marshal(&newsMessage{StoreUpdate: follow.StoreUpdate{Update: kv.Update{Snapshot: kv.Snapshot{Items: []kv.Item{item}}}}, packer: p})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -169,7 +169,7 @@
 	}
 	p := &packer{}
 	news := func(packs bool) *newsMessage {
-		return &newsMessage{News: follow.News{Update: kv.Update{Snapshot: s, Full: true}}, packer: p, packs: packs}
+		return &newsMessage{StoreUpdate: follow.StoreUpdate{Update: kv.Update{Snapshot: s, Full: true}}, packer: p, packs: packs}
 	}
 	sizes := map[bool]int{}
 	for _, packs := range []bool{false, true} {
--- a/io/peer/link_server.go
+++ b/io/peer/link_server.go
@@ -54,10 +54,10 @@
 			h.RevokeLease(in.ends.group, in.ends.member, in.ends.planned)
 			l.send(&linkReply{lane: in.lane, ended: true})
 		case in.quota != nil:
-			reply := h.Quotas().Answer(quotas.Request(*in.quota))
+			reply := h.Quotas().HandleRequest(quotas.Request(*in.quota))
 			l.send(&linkReply{lane: in.lane, quota: (*quotaReply)(&reply)})
 		case in.tell != nil:
-			reply := h.Quotas().Tell(quotas.TellRequest(*in.tell))
+			reply := h.Quotas().HandleReportRequest(quotas.ReportRequest(*in.tell))
 			l.send(&linkReply{lane: in.lane, told: (*tellReply)(&reply)})
 		case in.version != laneVersion:
 			return errors.Errorf("a request of version %d", in.version)
--- a/io/peer/news_messages.go
+++ b/io/peer/news_messages.go
@@ -31,7 +31,7 @@
 
 // newsMessage is follow.News on the wire.
 type newsMessage struct {
-	follow.News
+	follow.StoreUpdate
 	// packer compresses large values, and if packs is true whole lists.
 	packer *packer
 	packs  bool
@@ -41,8 +41,8 @@
 	w.uint("revision", uint64(m.Revision))
 	w.bool("whole", m.Full)
 	w.duration("age_us", m.Age)
-	elsewhere := make([]addrMessage, len(m.Elsewhere))
-	for i, a := range m.Elsewhere {
+	elsewhere := make([]addrMessage, len(m.Referrals))
+	for i, a := range m.Referrals {
 		elsewhere[i] = addrMessage{a}
 	}
 	writeList(w, "elsewhere", elsewhere)
@@ -83,7 +83,7 @@
 		var list []addrMessage
 		readList(r, &list)
 		for _, a := range list {
-			m.Elsewhere = append(m.Elsewhere, a.AddrPort)
+			m.Referrals = append(m.Referrals, a.AddrPort)
 		}
 		return true
 	}
--- a/io/peer/quota_messages.go
+++ b/io/peer/quota_messages.go
@@ -63,11 +63,11 @@
 	w.str("shard", m.Shard)
 	w.str("host", m.Host)
 	w.str("process", m.Process)
-	w.uint("id", m.Inquiry.ID)
-	w.uint("heard", m.Inquiry.LastAnswered)
-	w.uint("token", uint64(m.Inquiry.FencingToken))
-	list := make([]questionMessage, len(m.Inquiry.Accounts))
-	for i, q := range m.Inquiry.Accounts {
+	w.uint("id", m.Request.ID)
+	w.uint("heard", m.Request.LastAnswered)
+	w.uint("token", uint64(m.Request.FencingToken))
+	list := make([]questionMessage, len(m.Request.Accounts))
+	for i, q := range m.Request.Accounts {
 		list[i] = questionMessage(q)
 	}
 	writeList(w, "questions", list)
@@ -82,16 +82,16 @@
 	case "process":
 		return r.str(&m.Process)
 	case "id":
-		return r.uint(&m.Inquiry.ID)
+		return r.uint(&m.Request.ID)
 	case "heard":
-		return r.uint(&m.Inquiry.LastAnswered)
+		return r.uint(&m.Request.LastAnswered)
 	case "token":
-		return readNumber(r, &m.Inquiry.FencingToken)
+		return readNumber(r, &m.Request.FencingToken)
 	case "questions":
 		var list []questionMessage
 		readList(r, &list)
 		for _, q := range list {
-			m.Inquiry.Accounts = append(m.Inquiry.Accounts, quota.AccountRequest(q))
+			m.Request.Accounts = append(m.Request.Accounts, quota.AccountRequest(q))
 		}
 		return true
 	}
@@ -135,13 +135,13 @@
 }
 
 // quotaReply is a quotas.Reply on the wire.
-type quotaReply quotas.Reply
+type quotaReply quotas.Response
 
 func (m *quotaReply) fields(w *fieldWriter) {
 	w.bool("declined", m.Declined)
-	w.bool("asleep", m.Answer.Suspended)
-	list := make([]grantMessage, len(m.Answer.Grants))
-	for i, g := range m.Answer.Grants {
+	w.bool("asleep", m.Response.Suspended)
+	list := make([]grantMessage, len(m.Response.Grants))
+	for i, g := range m.Response.Grants {
 		list[i] = grantMessage(g)
 	}
 	writeList(w, "grants", list)
@@ -152,12 +152,12 @@
 	case "declined":
 		return r.bool(&m.Declined)
 	case "asleep":
-		return r.bool(&m.Answer.Suspended)
+		return r.bool(&m.Response.Suspended)
 	case "grants":
 		var list []grantMessage
 		readList(r, &list)
 		for _, g := range list {
-			m.Answer.Grants = append(m.Answer.Grants, quota.Grant(g))
+			m.Response.Grants = append(m.Response.Grants, quota.Grant(g))
 		}
 		return true
 	}
@@ -165,7 +165,7 @@
 }
 
 // tellRequest is a quotas.TellRequest on the wire.
-type tellRequest quotas.TellRequest
+type tellRequest quotas.ReportRequest
 
 func (m *tellRequest) fields(w *fieldWriter) {
 	w.str("shard", m.Shard)
@@ -213,13 +213,13 @@
 }
 
 // tellReply is a quotas.TellReply on the wire.
-type tellReply quotas.TellReply
+type tellReply quotas.ReportResponse
 
 func (m *tellReply) fields(w *fieldWriter) {
 	w.str("process", m.Process)
 	w.bool("declined", m.Declined)
-	list := make([]holdingMessage, len(m.Holds))
-	for i, h := range m.Holds {
+	list := make([]holdingMessage, len(m.Holdings))
+	for i, h := range m.Holdings {
 		list[i] = holdingMessage(h)
 	}
 	writeList(w, "holds", list)
@@ -235,7 +235,7 @@
 		var list []holdingMessage
 		readList(r, &list)
 		for _, h := range list {
-			m.Holds = append(m.Holds, quota.Holding(h))
+			m.Holdings = append(m.Holdings, quota.Holding(h))
 		}
 		return true
 	}
