--- a/internal/process/gateway.go
+++ b/internal/process/gateway.go
@@ -46,7 +46,7 @@
 	h := gateway.NewHost(s.Gateway, ports, logger, boottime.Now)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	accept := &platform.Callers{Host: h}
+	accept := &platform.CallerServer{Host: h}
 	if err := g.listen(ctx, h, accept); err != nil {
 		return err
 	}
@@ -84,7 +84,7 @@
 // ports returns the host's ways to the outside.
 func (g *gatewayProcess) ports() gateway.Ports {
 	s := g.settings
-	dialer := platform.Dialer{Local: s.Callers.Addr(), Who: s.Gateway.Host}
+	dialer := platform.Dialer{Local: s.Callers.Addr(), DefaultUser: s.Gateway.Host}
 	p := gateway.Ports{
 		Dialer: dialer, Store: platform.NewStore(s.Store, dialer), Promoter: platform.NewPromoter(s.Promotions, dialer),
 		Decode: platform.Decoder{}, Keys: platform.Keys, Metrics: g.registry,
@@ -96,7 +96,7 @@
 }
 
 // listen opens the host's listeners and serves them.
-func (g *gatewayProcess) listen(ctx context.Context, h *gateway.Host, accept *platform.Callers) error {
+func (g *gatewayProcess) listen(ctx context.Context, h *gateway.Host, accept *platform.CallerServer) error {
 	s := g.settings
 	refresh := func() {
 		h.RefreshMetrics()
@@ -195,12 +195,12 @@
 
 // drainGateway waits until callers are sent elsewhere, then ends sessions as they
 // become idle, and transactions at half of the grace.
-func drainGateway(h *gateway.Host, callers *platform.Callers, grace time.Duration) {
+func drainGateway(h *gateway.Host, callers *platform.CallerServer, grace time.Duration) {
 	started := time.Now()
 	h.Stop()
 	time.Sleep(min(readinessDelay, grace/3))
 	for time.Since(started) < grace-graceMarginDelay {
-		if callers.CloseIdle()+int(h.ForwardedCount()) == 0 {
+		if callers.Drain()+int(h.ForwardedCount()) == 0 {
 			return
 		}
 		time.Sleep(drainPollInterval)
--- a/internal/site/session.go
+++ b/internal/site/session.go
@@ -30,15 +30,15 @@
 }
 
 var (
-	_ platform.ServedMember  = (*Member)(nil)
-	_ platform.ServedSession = (*session)(nil)
+	_ platform.MemberServer  = (*Member)(nil)
+	_ platform.MemberSession = (*session)(nil)
 )
 
 // errBroken ends a connection without an answer.
 var errBroken = errors.New("the connection is broken")
 
 // Start implements platform.ServedMember.
-func (m *Member) Start(groupName, id string) (platform.ServedSession, *gateway.Failure) {
+func (m *Member) Start(groupName, id string) (platform.MemberSession, *gateway.Failure) {
 	time.Sleep(m.group.site.options.OpenTime)
 	g := m.group
 	g.mu.Lock()
--- a/internal/site/site_test.go
+++ b/internal/site/site_test.go
@@ -28,7 +28,7 @@
 }
 
 // open opens a session with a member.
-func open(t *testing.T, m *Member) platform.ServedSession {
+func open(t *testing.T, m *Member) platform.MemberSession {
 	t.Helper()
 	s, failure := m.Start(m.group.name, m.ID())
 	if failure != nil {
@@ -38,7 +38,7 @@
 }
 
 // write writes by a session, and returns the answer, or false if there was none in time.
-func write(t *testing.T, site *Site, s platform.ServedSession, id string) (gateway.Reply, bool) {
+func write(t *testing.T, site *Site, s platform.MemberSession, id string) (gateway.Reply, bool) {
 	t.Helper()
 	site.History().Issue(id)
 	answer := make(chan gateway.Reply, 1)
--- a/internal/site/store.go
+++ b/internal/site/store.go
@@ -173,7 +173,7 @@
 		<-ctx.Done()
 		return platform.ErrNoAnswer
 	case f.Refusing || f.TurnsAway[v.host]:
-		return platform.ErrOverRate
+		return platform.ErrRateLimited
 	case f.Slow > 0 && !pause.For(ctx, f.Slow):
 		return platform.ErrNoAnswer
 	}
--- a/internal/soak/caller.go
+++ b/internal/soak/caller.go
@@ -130,7 +130,7 @@
 
 // runOperation runs a random operation. It returns false if the session can't be used any further.
 func (c *caller) runOperation() bool {
-	if c.conn.Parted() {
+	if c.conn.Terminated() {
 		return false
 	}
 	var ok bool
