--- a/internal/host/owners.go
+++ b/internal/host/owners.go
@@ -21,7 +21,7 @@
 func (h *Host) membersChanged() {
 	for _, c := range h.table.Statuses() {
 		if c.State == membership.Dead {
-			h.client.Forget(c.Host.Peer)
+			h.client.CloseHost(c.Host.Peer)
 		}
 	}
 	h.wakeReconcile()
--- a/internal/host/route.go
+++ b/internal/host/route.go
@@ -164,7 +164,7 @@
 	case errors.Is(err, peer.ErrLost) && u.Kind == statement.Read:
 		return &statement.Refusal{Code: postgres.CodeConnectionFailure, Reason: "the read failed: " + err.Error()}
 	case errors.Is(err, peer.ErrLost):
-		return peer.Unknown(err)
+		return peer.UnknownOutcome(err)
 	}
 	return err
 }
--- a/io/peer/calls.go
+++ b/io/peer/calls.go
@@ -37,9 +37,9 @@
 	w.str("from", m.From)
 	w.uint("revision", m.Revision)
 	w.uint("received", m.Received)
-	list := make([]claimMessage, len(m.Claims))
+	list := make([]statusMessage, len(m.Claims))
 	for i, c := range m.Claims {
-		list[i] = claimMessage(c)
+		list[i] = statusMessage(c)
 	}
 	writeList(w, "claims", list)
 }
@@ -53,7 +53,7 @@
 	case "received":
 		return r.uint(&m.Received)
 	case "claims":
-		var list []claimMessage
+		var list []statusMessage
 		readList(r, &list)
 		for _, c := range list {
 			m.Claims = append(m.Claims, membership.Status(c))
@@ -63,10 +63,10 @@
 	return false
 }
 
-// claimMessage is a claim on the wire.
-type claimMessage membership.Status
+// statusMessage is a claim on the wire.
+type statusMessage membership.Status
 
-func (m *claimMessage) fields(w *fieldWriter) {
+func (m *statusMessage) fields(w *fieldWriter) {
 	w.str("id", m.Host.ID)
 	w.str("zone", m.Host.Zone)
 	w.str("peer", m.Host.Peer.String())
@@ -75,7 +75,7 @@
 	w.uint("state", uint64(m.State))
 }
 
-func (m *claimMessage) field(name string, r *fieldReader) bool {
+func (m *statusMessage) field(name string, r *fieldReader) bool {
 	switch name {
 	case "id":
 		return r.str(&m.Host.ID)
@@ -88,7 +88,7 @@
 	case "incarnation":
 		return r.uint(&m.Host.Incarnation)
 	case "state":
-		return readNumber(r, &m.State)
+		return readUint(r, &m.State)
 	}
 	return false
 }
@@ -97,7 +97,7 @@
 	var s string
 	r.str(&s)
 	addr, err := netip.ParseAddrPort(s)
-	r.keep(err)
+	r.setErr(err)
 	*v = addr
 	return true
 }
@@ -161,9 +161,9 @@
 func (m *Cancel) field(name string, r *fieldReader) bool {
 	switch name {
 	case "process":
-		return readNumber(r, &m.Key.Process)
+		return readUint(r, &m.Key.Process)
 	case "secret":
-		return readNumber(r, &m.Key.Secret)
+		return readUint(r, &m.Key.Secret)
 	case "owner":
 		return r.bool(&m.Owner)
 	}
--- a/io/peer/client.go
+++ b/io/peer/client.go
@@ -19,44 +19,44 @@
 const (
 	// dialTimeout bounds the opening of a connection to a host.
 	dialTimeout = 300 * time.Millisecond
-	// idleStreams is how many idle exchange streams are kept to one host.
-	idleStreams = 64
-	// allIdleStreams is how many are kept over all hosts: idle streams to each of
+	// maxIdleStreamsPerHost is how many idle exchange streams are kept to one host.
+	maxIdleStreamsPerHost = 64
+	// maxIdleStreams is how many are kept over all hosts: idle streams to each of
 	// a thousand hosts would take more memory than a host has for control.
-	allIdleStreams = 256
-	// idleTime is how long an idle stream is kept.
-	idleTime = 30 * time.Second
+	maxIdleStreams = 256
+	// idleStreamTimeout is how long an idle stream is kept.
+	idleStreamTimeout = 30 * time.Second
 )
 
 // Client speaks to other hosts. It keeps connections for use again: drpc runs
 // one stream at a time on a connection. Use NewClient.
 type Client struct {
-	local   netip.Addr
-	secure  *tls.Config
-	traffic *Traffic
+	local     netip.Addr
+	tlsConfig *tls.Config
+	traffic   *Traffic
 
-	mu      sync.Mutex
-	streams map[netip.AddrPort][]*stream
-	calls   map[netip.AddrPort][]*drpcconn.Conn
+	mu          sync.Mutex
+	idleStreams map[netip.AddrPort][]*stream
+	idleCalls   map[netip.AddrPort][]*drpcconn.Conn
 	// busy holds the streams that carry an exchange.
 	busy map[netip.AddrPort]map[*stream]struct{}
-	// idle is how many streams are in streams.
-	idle   int
-	closed bool
+	// idleStreamCount is how many streams are in streams.
+	idleStreamCount int
+	closed          bool
 }
 
 // stream is an exchange stream with a connection of its own.
 type stream struct {
-	conn *drpcconn.Conn
-	drpc drpc.Stream
-	idle time.Time
+	conn      *drpcconn.Conn
+	drpc      drpc.Stream
+	idleSince time.Time
 }
 
 func (s *stream) close() { _ = s.conn.Close() }
 
-func (s *stream) usable() bool { return open(s.conn) && time.Since(s.idle) < idleTime }
+func (s *stream) usable() bool { return isOpen(s.conn) && time.Since(s.idleSince) < idleStreamTimeout }
 
-func open(conn *drpcconn.Conn) bool {
+func isOpen(conn *drpcconn.Conn) bool {
 	select {
 	case <-conn.Closed():
 		return false
@@ -69,10 +69,10 @@
 // TLS, if secure is not nil.
 func NewClient(local netip.Addr, secure *tls.Config, traffic *Traffic) *Client {
 	return &Client{
-		local: local, secure: secure, traffic: traffic,
-		streams: map[netip.AddrPort][]*stream{},
-		calls:   map[netip.AddrPort][]*drpcconn.Conn{},
-		busy:    map[netip.AddrPort]map[*stream]struct{}{},
+		local: local, tlsConfig: secure, traffic: traffic,
+		idleStreams: map[netip.AddrPort][]*stream{},
+		idleCalls:   map[netip.AddrPort][]*drpcconn.Conn{},
+		busy:        map[netip.AddrPort]map[*stream]struct{}{},
 	}
 }
 
@@ -81,36 +81,36 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.closed = true
-	for _, list := range c.streams {
+	for _, list := range c.idleStreams {
 		for _, s := range list {
 			s.close()
 		}
 	}
-	for _, list := range c.calls {
+	for _, list := range c.idleCalls {
 		for _, conn := range list {
 			_ = conn.Close()
 		}
 	}
-	c.streams, c.calls = nil, nil
+	c.idleStreams, c.idleCalls = nil, nil
 }
 
-// Forget closes all connections to a host that is gone. Exchanges with it end
+// CloseHost closes all connections to a host that is gone. Exchanges with it end
 // with ErrLost, rather than wait for an answer that never comes.
-func (c *Client) Forget(addr netip.AddrPort) {
+func (c *Client) CloseHost(addr netip.AddrPort) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, s := range c.streams[addr] {
+	for _, s := range c.idleStreams[addr] {
 		s.close()
 	}
-	for _, conn := range c.calls[addr] {
+	for _, conn := range c.idleCalls[addr] {
 		_ = conn.Close()
 	}
 	for s := range c.busy[addr] {
 		s.close()
 	}
-	c.idle -= len(c.streams[addr])
-	delete(c.streams, addr)
-	delete(c.calls, addr)
+	c.idleStreamCount -= len(c.idleStreams[addr])
+	delete(c.idleStreams, addr)
+	delete(c.idleCalls, addr)
 }
 
 func (c *Client) dial(ctx context.Context, addr netip.AddrPort) (*drpcconn.Conn, error) {
@@ -120,9 +120,9 @@
 	if err != nil {
 		return nil, errors.Wrapf(err, "dial host %s", addr)
 	}
-	conn = c.traffic.wrap(conn)
-	if c.secure != nil {
-		secured := tls.Client(conn, c.secure)
+	conn = c.traffic.meter(conn)
+	if c.tlsConfig != nil {
+		secured := tls.Client(conn, c.tlsConfig)
 		if err := secured.HandshakeContext(ctx); err != nil {
 			_ = conn.Close()
 			return nil, errors.Wrapf(err, "secure the connection to host %s", addr)
@@ -132,8 +132,8 @@
 	return drpcconn.NewWithOptions(conn, drpcconn.Options{Manager: streamOptions()}), nil
 }
 
-// take removes and returns the newest usable element of a list.
-func take[T any](list []T, usable func(T) bool, discard func(T)) (rest []T, got T, ok bool) {
+// takeNewest removes and returns the newest usable element of a list.
+func takeNewest[T any](list []T, usable func(T) bool, discard func(T)) (rest []T, got T, ok bool) {
 	for len(list) > 0 {
 		last := list[len(list)-1]
 		list = list[:len(list)-1]
@@ -155,11 +155,11 @@
 }](ctx context.Context, c *Client, addr netip.AddrPort, name string, in *In) (*Out, error) {
 	c.traffic.Calls.Add(1)
 	c.mu.Lock()
-	rest, conn, ok := take(c.calls[addr], open, func(conn *drpcconn.Conn) { _ = conn.Close() })
+	rest, conn, ok := takeNewest(c.idleCalls[addr], isOpen, func(conn *drpcconn.Conn) { _ = conn.Close() })
 	if len(rest) == 0 {
-		delete(c.calls, addr)
+		delete(c.idleCalls, addr)
 	} else {
-		c.calls[addr] = rest
+		c.idleCalls[addr] = rest
 	}
 	c.mu.Unlock()
 	if !ok {
@@ -175,33 +175,33 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.closed || len(c.calls[addr]) > 0 {
+	if c.closed || len(c.idleCalls[addr]) > 0 {
 		_ = conn.Close()
 		return &out, nil
 	}
-	c.calls[addr] = append(c.calls[addr], conn)
-	c.trimCalls(addr)
+	c.idleCalls[addr] = append(c.idleCalls[addr], conn)
+	c.evictCallConn(addr)
 	return &out, nil
 }
 
-// idleCalls is how many idle connections for calls are kept over all hosts. It
+// maxIdleCallConns is how many idle connections for calls are kept over all hosts. It
 // exceeds the number of neighbours that a host probes.
-const idleCalls = 10
+const maxIdleCallConns = 10
 
-// trimCalls closes an idle connection of another host if there are too many.
+// evictCallConn closes an idle connection of another host if there are too many.
 // c.mu is held.
-func (c *Client) trimCalls(keep netip.AddrPort) {
-	if len(c.calls) <= idleCalls {
+func (c *Client) evictCallConn(keep netip.AddrPort) {
+	if len(c.idleCalls) <= maxIdleCallConns {
 		return
 	}
-	for addr, list := range c.calls {
+	for addr, list := range c.idleCalls {
 		if addr == keep {
 			continue
 		}
 		for _, conn := range list {
 			_ = conn.Close()
 		}
-		delete(c.calls, addr)
+		delete(c.idleCalls, addr)
 		return
 	}
 }
@@ -264,17 +264,17 @@
 	addr    netip.AddrPort
 	request *statement.Request
 	stream  *stream
-	// Passed is true once a part of the present answer was passed on.
-	Passed bool
+	// AnswerStarted is true once a part of the present answer was passed on.
+	AnswerStarted bool
 }
 
 // Do runs a unit. The error is a *statement.Refusal of the owner, ErrNotSent,
 // ErrLost, or an error of sink.
 func (x *RemoteExchange) Do(ctx context.Context, u *statement.Unit, sink func([]byte) error) (statement.Outcome, error) {
-	x.Passed = false
+	x.AnswerStarted = false
 	first := x.stream == nil
 	if first {
-		s, err := x.client.takeStream(ctx, x.addr)
+		s, err := x.client.acquireStream(ctx, x.addr)
 		if err != nil {
 			return statement.Outcome{}, errors.Wrap(ErrNotSent, err.Error())
 		}
@@ -297,7 +297,7 @@
 	s := x.stream
 	stop := context.AfterFunc(ctx, s.close)
 	defer stop()
-	late := time.AfterFunc(time.Until(u.Deadline)+answerGrace, s.close)
+	late := time.AfterFunc(time.Until(u.Deadline)+lateAnswerTimeout, s.close)
 	defer late.Stop()
 	for {
 		var in answerMessage
@@ -306,7 +306,7 @@
 			return statement.Outcome{}, errors.Wrap(ErrLost, err.Error())
 		}
 		if len(in.data) > 0 {
-			x.Passed = true
+			x.AnswerStarted = true
 			if err := sink(in.data); err != nil {
 				x.Close()
 				return statement.Outcome{}, err
@@ -316,20 +316,20 @@
 			continue
 		}
 		if in.refused {
-			x.finish()
+			x.releaseStream()
 			refusal := in.refusal
 			return statement.Outcome{}, &refusal
 		}
 		if !in.outcome.Continues() {
-			x.finish()
+			x.releaseStream()
 		}
 		return in.outcome, nil
 	}
 }
 
-// answerGrace is how long after a unit's deadline the owner may still answer.
+// lateAnswerTimeout is how long after a unit's deadline the owner may still answer.
 // It is longer than the owner's own grace towards the member.
-const answerGrace = time.Second
+const lateAnswerTimeout = time.Second
 
 // openStream opens a stream of the call with a connection of its own.
 func (c *Client) openStream(ctx context.Context, addr netip.AddrPort, call string) (*stream, error) {
@@ -345,18 +345,18 @@
 	return &stream{conn: conn, drpc: opened}, nil
 }
 
-// takeStream returns a stream for an exchange.
-func (c *Client) takeStream(ctx context.Context, addr netip.AddrPort) (*stream, error) {
+// acquireStream returns a stream for an exchange.
+func (c *Client) acquireStream(ctx context.Context, addr netip.AddrPort) (*stream, error) {
 	c.mu.Lock()
-	rest, s, ok := take(c.streams[addr], (*stream).usable, (*stream).close)
-	c.idle -= len(c.streams[addr]) - len(rest)
+	rest, s, ok := takeNewest(c.idleStreams[addr], (*stream).usable, (*stream).close)
+	c.idleStreamCount -= len(c.idleStreams[addr]) - len(rest)
 	if len(rest) == 0 {
-		delete(c.streams, addr)
+		delete(c.idleStreams, addr)
 	} else {
-		c.streams[addr] = rest
+		c.idleStreams[addr] = rest
 	}
 	if ok {
-		c.use(addr, s)
+		c.markBusy(addr, s)
 	}
 	c.mu.Unlock()
 	if ok {
@@ -368,60 +368,60 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.use(addr, s)
+	c.markBusy(addr, s)
 	return s, nil
 }
 
-// use records that a stream carries an exchange. c.mu is held.
-func (c *Client) use(addr netip.AddrPort, s *stream) {
+// markBusy records that a stream carries an exchange. c.mu is held.
+func (c *Client) markBusy(addr netip.AddrPort, s *stream) {
 	if c.busy[addr] == nil {
 		c.busy[addr] = map[*stream]struct{}{}
 	}
 	c.busy[addr][s] = struct{}{}
 }
 
-// finish keeps the stream for the next exchange.
-func (x *RemoteExchange) finish() {
+// releaseStream keeps the stream for the next exchange.
+func (x *RemoteExchange) releaseStream() {
 	s := x.stream
 	x.stream = nil
-	x.client.keepStream(x.addr, s)
+	x.client.putIdleStream(x.addr, s)
 }
 
-// keepStream keeps a stream for use again.
-func (c *Client) keepStream(addr netip.AddrPort, s *stream) {
-	s.idle = time.Now()
+// putIdleStream keeps a stream for use again.
+func (c *Client) putIdleStream(addr netip.AddrPort, s *stream) {
+	s.idleSince = time.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	delete(c.busy[addr], s)
-	if c.closed || len(c.streams[addr]) >= idleStreams || !open(s.conn) {
+	if c.closed || len(c.idleStreams[addr]) >= maxIdleStreamsPerHost || !isOpen(s.conn) {
 		s.close()
 		return
 	}
-	c.streams[addr] = append(c.streams[addr], s)
-	c.idle++
-	if c.idle > allIdleStreams {
-		c.dropStream(addr)
+	c.idleStreams[addr] = append(c.idleStreams[addr], s)
+	c.idleStreamCount++
+	if c.idleStreamCount > maxIdleStreams {
+		c.evictIdleStream(addr)
 	}
 }
 
-// dropBusy closes a stream that is in use.
-func (c *Client) dropBusy(addr netip.AddrPort, s *stream) {
+// closeBusyStream closes a stream that is in use.
+func (c *Client) closeBusyStream(addr netip.AddrPort, s *stream) {
 	s.close()
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	delete(c.busy[addr], s)
 }
 
-// dropStream closes an idle stream to another host than keep. c.mu is held.
-func (c *Client) dropStream(keep netip.AddrPort) {
-	for addr, list := range c.streams {
+// evictIdleStream closes an idle stream to another host than keep. c.mu is held.
+func (c *Client) evictIdleStream(keep netip.AddrPort) {
+	for addr, list := range c.idleStreams {
 		if addr == keep || len(list) == 0 {
 			continue
 		}
 		list[0].close()
-		c.idle--
-		if c.streams[addr] = list[1:]; len(list) == 1 {
-			delete(c.streams, addr)
+		c.idleStreamCount--
+		if c.idleStreams[addr] = list[1:]; len(list) == 1 {
+			delete(c.idleStreams, addr)
 		}
 		return
 	}
@@ -438,11 +438,11 @@
 	if x.stream == nil {
 		return
 	}
-	x.client.dropBusy(x.addr, x.stream)
+	x.client.closeBusyStream(x.addr, x.stream)
 	x.stream = nil
 }
 
-// Unknown returns the refusal of a unit whose owner was lost.
-func Unknown(err error) *statement.Refusal {
+// UnknownOutcome returns the refusal of a unit whose owner was lost.
+func UnknownOutcome(err error) *statement.Refusal {
 	return &statement.Refusal{Code: postgres.CodeTransactionUnknown, Reason: "the outcome of the request is unknown: " + err.Error()}
 }
--- a/io/peer/codec.go
+++ b/io/peer/codec.go
@@ -98,12 +98,12 @@
 	return len(p), nil
 }
 
-func (w *fieldWriter) name(name string) {
+func (w *fieldWriter) writeName(name string) {
 	w.count++
-	w.keep(w.e.EncodeString(name))
+	w.setErr(w.e.EncodeString(name))
 }
 
-func (w *fieldWriter) keep(err error) {
+func (w *fieldWriter) setErr(err error) {
 	if w.err == nil {
 		w.err = err
 	}
@@ -111,29 +111,29 @@
 
 func (w *fieldWriter) str(name, v string) {
 	if v != "" {
-		w.name(name)
-		w.keep(w.e.EncodeString(v))
+		w.writeName(name)
+		w.setErr(w.e.EncodeString(v))
 	}
 }
 
 func (w *fieldWriter) bytes(name string, v []byte) {
 	if len(v) > 0 {
-		w.name(name)
-		w.keep(w.e.EncodeBytes(v))
+		w.writeName(name)
+		w.setErr(w.e.EncodeBytes(v))
 	}
 }
 
 func (w *fieldWriter) uint(name string, v uint64) {
 	if v != 0 {
-		w.name(name)
-		w.keep(w.e.EncodeUint(v))
+		w.writeName(name)
+		w.setErr(w.e.EncodeUint(v))
 	}
 }
 
 func (w *fieldWriter) bool(name string, v bool) {
 	if v {
-		w.name(name)
-		w.keep(w.e.EncodeBool(v))
+		w.writeName(name)
+		w.setErr(w.e.EncodeBool(v))
 	}
 }
 
@@ -150,8 +150,8 @@
 	if len(list) == 0 {
 		return
 	}
-	w.name(name)
-	w.keep(w.e.EncodeArrayLen(len(list)))
+	w.writeName(name)
+	w.setErr(w.e.EncodeArrayLen(len(list)))
 	for i := range list {
 		w.nested(P(&list[i]))
 	}
@@ -169,7 +169,7 @@
 
 // message writes a field that is a message itself.
 func (w *fieldWriter) message(name string, m message) {
-	w.name(name)
+	w.writeName(name)
 	w.nested(m)
 }
 
@@ -182,7 +182,7 @@
 
 func (r *fieldReader) message(m message) {
 	n, err := r.d.DecodeMapLen()
-	r.keep(err)
+	r.setErr(err)
 	for range n {
 		if r.err != nil {
 			return
@@ -202,27 +202,27 @@
 // so many bytes: five bytes would make it allocate four gigabytes.
 func (r *fieldReader) skip(depth int) {
 	code, err := r.d.PeekCode()
-	r.keep(err)
+	r.setErr(err)
 	switch {
 	case r.err != nil:
 	case depth == 0:
-		r.keep(errors.New("nested too deep"))
-	case isText(code):
-		r.drop(r.textLen())
+		r.setErr(errors.New("nested too deep"))
+	case isStringOrBin(code):
+		r.discard(r.byteLen())
 	case msgpcode.IsExt(code):
 		_, n, err := r.d.DecodeExtHeader()
-		r.keep(err)
-		r.drop(n)
+		r.setErr(err)
+		r.discard(n)
 	case isArray(code):
 		n, err := r.d.DecodeArrayLen()
-		r.keep(err)
+		r.setErr(err)
 		r.skipAll(n, depth)
 	case isMap(code):
 		n, err := r.d.DecodeMapLen()
-		r.keep(err)
+		r.setErr(err)
 		r.skipAll(2*n, depth)
 	default:
-		r.keep(r.d.Skip())
+		r.setErr(r.d.Skip())
 	}
 }
 
@@ -232,7 +232,7 @@
 	}
 }
 
-func isText(code byte) bool { return msgpcode.IsString(code) || msgpcode.IsBin(code) }
+func isStringOrBin(code byte) bool { return msgpcode.IsString(code) || msgpcode.IsBin(code) }
 
 func isArray(code byte) bool {
 	return msgpcode.IsFixedArray(code) || code == msgpcode.Array16 || code == msgpcode.Array32
@@ -242,13 +242,13 @@
 	return msgpcode.IsFixedMap(code) || code == msgpcode.Map16 || code == msgpcode.Map32
 }
 
-// textLen reads the length of a string or of bytes, which is bounded by what the message
+// byteLen reads the length of a string or of bytes, which is bounded by what the message
 // still holds.
-func (r *fieldReader) textLen() int {
+func (r *fieldReader) byteLen() int {
 	n, err := r.d.DecodeBytesLen()
-	r.keep(err)
+	r.setErr(err)
 	if n > r.in.Len() {
-		r.keep(errors.Errorf("%d bytes are announced, and %d left", n, r.in.Len()))
+		r.setErr(errors.Errorf("%d bytes are announced, and %d left", n, r.in.Len()))
 	}
 	if r.err != nil {
 		return 0
@@ -256,50 +256,50 @@
 	return max(n, 0)
 }
 
-// drop passes over bytes.
-func (r *fieldReader) drop(n int) {
+// discard passes over bytes.
+func (r *fieldReader) discard(n int) {
 	if n > r.in.Len() {
-		r.keep(errors.Errorf("%d bytes are announced, and %d left", n, r.in.Len()))
+		r.setErr(errors.Errorf("%d bytes are announced, and %d left", n, r.in.Len()))
 		return
 	}
 	_, err := r.in.Seek(int64(n), io.SeekCurrent)
-	r.keep(err)
+	r.setErr(err)
 }
 
-// text reads a string or bytes.
-func (r *fieldReader) text() []byte {
-	out := make([]byte, r.textLen())
+// readBytes reads a string or bytes.
+func (r *fieldReader) readBytes() []byte {
+	out := make([]byte, r.byteLen())
 	_, err := io.ReadFull(&r.in, out)
-	r.keep(err)
+	r.setErr(err)
 	return out
 }
 
-func (r *fieldReader) keep(err error) {
+func (r *fieldReader) setErr(err error) {
 	if r.err == nil {
 		r.err = err
 	}
 }
 
 func (r *fieldReader) str(v *string) bool {
-	*v = string(r.text())
+	*v = string(r.readBytes())
 	return true
 }
 
 func (r *fieldReader) bytes(v *[]byte) bool {
-	*v = r.text()
+	*v = r.readBytes()
 	return true
 }
 
 func (r *fieldReader) uint(v *uint64) bool {
 	n, err := r.d.DecodeUint64()
-	r.keep(err)
+	r.setErr(err)
 	*v = n
 	return true
 }
 
 func (r *fieldReader) bool(v *bool) bool {
 	b, err := r.d.DecodeBool()
-	r.keep(err)
+	r.setErr(err)
 	*v = b
 	return true
 }
@@ -311,9 +311,9 @@
 	return true
 }
 
-// maxList bounds the length of a list in a message: a length field must not
+// maxListLen bounds the length of a list in a message: a length field must not
 // make the process allocate more than the message itself can hold.
-const maxList = 1 << 16
+const maxListLen = 1 << 16
 
 // readList reads a list of messages.
 func readList[M any, P interface {
@@ -321,9 +321,9 @@
 	message
 }](r *fieldReader, list *[]M) bool {
 	n, err := r.d.DecodeArrayLen()
-	r.keep(err)
-	if n > maxList {
-		r.keep(errors.Errorf("list of %d elements", n))
+	r.setErr(err)
+	if n > maxListLen {
+		r.setErr(errors.Errorf("list of %d elements", n))
 		return true
 	}
 	for i := 0; i < n && r.err == nil; i++ {
@@ -334,8 +334,8 @@
 	return true
 }
 
-// readNumber reads a number into a type of its own.
-func readNumber[N ~int | ~int64 | ~uint8 | ~uint32 | ~uint64](r *fieldReader, v *N) bool {
+// readUint reads a number into a type of its own.
+func readUint[N ~int | ~int64 | ~uint8 | ~uint32 | ~uint64](r *fieldReader, v *N) bool {
 	var n uint64
 	r.uint(&n)
 	*v = N(n)
--- a/io/peer/gateway_client.go
+++ b/io/peer/gateway_client.go
@@ -33,31 +33,31 @@
 	if err != nil {
 		return nil, err
 	}
-	return k.newLane(), nil
+	return k.newStream(), nil
 }
 
-// linkRecall is how long a question may take on the link until it is asked over a
+// linkOutcomeTimeout is how long a question may take on the link until it is asked over a
 // connection of its own: a few round trips within a region.
-const linkRecall = 60 * time.Millisecond
+const linkOutcomeTimeout = 60 * time.Millisecond
 
 // QueryOutcome implements gateway.Peers. It asks on the link at first, which needs no handshake
 // at a host under load, and then over a connection of its own, since the link may be silent.
 func (c *GatewayClient) QueryOutcome(ctx context.Context, to netip.AddrPort, from string, serial uint64) (gateway.RequestOutcome, error) {
 	in := &recallRequest{from, serial}
 	if k := c.links.existing(to); k != nil {
-		if out := k.recall(ctx, in); out != nil {
-			return out.recalled(), nil
+		if out := k.queryOutcome(ctx, in); out != nil {
+			return out.outcome(), nil
 		}
 	}
 	out, err := call[recallRequest, recallReply](ctx, c.client, to, recallCall, in)
 	if err != nil {
 		return nil, err
 	}
-	return out.recalled(), nil
+	return out.outcome(), nil
 }
 
-// recalled returns the outcome that the message carries.
-func (m *recallReply) recalled() gateway.RequestOutcome {
+// outcome returns the outcome that the message carries.
+func (m *recallReply) outcome() gateway.RequestOutcome {
 	switch {
 	case m.running:
 		return gateway.OutcomeRunning{}
@@ -78,7 +78,7 @@
 
 // RequestLease implements gateway.Peers.
 func (c *GatewayClient) RequestLease(ctx context.Context, to netip.AddrPort, r gateway.LeaseRequest) (gateway.LeaseReply, error) {
-	reply, err := c.question(ctx, to, &linkRequest{lease: (*leaseRequest)(&r)})
+	reply, err := c.askOnLink(ctx, to, &linkRequest{lease: (*leaseRequest)(&r)})
 	if err != nil {
 		return gateway.LeaseReply{}, err
 	}
@@ -90,8 +90,8 @@
 
 // RevokeLease implements gateway.Peers.
 func (c *GatewayClient) RevokeLease(ctx context.Context, to netip.AddrPort, groupName, memberID string, planned bool) error {
-	reply, err := c.question(ctx, to, &linkRequest{ends: &endLeaseRequest{groupName, memberID, planned}})
-	if err == nil && !reply.ended {
+	reply, err := c.askOnLink(ctx, to, &linkRequest{revokeLease: &revokeLeaseRequest{groupName, memberID, planned}})
+	if err == nil && !reply.leaseRevoked {
 		err = errors.Errorf("host %s did not give its lease back", to)
 	}
 	return err
@@ -99,7 +99,7 @@
 
 // RequestQuota implements gateway.Peers.
 func (c *GatewayClient) RequestQuota(ctx context.Context, to netip.AddrPort, r quotas.Request) (quotas.Response, error) {
-	reply, err := c.question(ctx, to, &linkRequest{quota: (*quotaRequest)(&r)})
+	reply, err := c.askOnLink(ctx, to, &linkRequest{quota: (*quotaRequest)(&r)})
 	if err != nil {
 		return quotas.Response{}, err
 	}
@@ -111,7 +111,7 @@
 
 // TellQuota implements gateway.Peers.
 func (c *GatewayClient) TellQuota(ctx context.Context, to netip.AddrPort, r quotas.ReportRequest) (quotas.ReportResponse, error) {
-	reply, err := c.question(ctx, to, &linkRequest{tell: (*tellRequest)(&r)})
+	reply, err := c.askOnLink(ctx, to, &linkRequest{tell: (*tellRequest)(&r)})
 	if err != nil {
 		return quotas.ReportResponse{}, err
 	}
@@ -121,14 +121,14 @@
 	return quotas.ReportResponse(*reply.told), nil
 }
 
-// question asks a host something on the link to it. A link on which nothing came while the
+// askOnLink asks a host something on the link to it. A link on which nothing came while the
 // answer was due is replaced: it may have gone silent.
-func (c *GatewayClient) question(ctx context.Context, to netip.AddrPort, in *linkRequest) (*linkReply, error) {
+func (c *GatewayClient) askOnLink(ctx context.Context, to netip.AddrPort, in *linkRequest) (*linkReply, error) {
 	k, err := c.links.get(ctx, to)
 	if err != nil {
 		return nil, err
 	}
-	l := k.newLane()
+	l := k.newStream()
 	in.lane = l.id
 	asked := time.Now()
 	reply, err := k.ask(ctx, in)
@@ -145,7 +145,7 @@
 		return nil, err
 	}
 	f := &feed{addr: to, stream: s}
-	if err := s.drpc.MsgSend(&feedRequest{after: after, packs: true}, encoding{}); err != nil {
+	if err := s.drpc.MsgSend(&feedRequest{after: after, readsCompressedLists: true}, encoding{}); err != nil {
 		f.Close()
 		return nil, errors.Wrapf(err, "ask host %s for news", to)
 	}
--- a/io/peer/gateway_codec_test.go
+++ b/io/peer/gateway_codec_test.go
@@ -24,7 +24,7 @@
 // samples holds a message of each kind between gateways, with every field set.
 func samples() map[string]message {
 	position := group.Position{Term: 3, LSN: 1207}
-	reply := laneReply{
+	reply := peerReplyMessage{
 		Process: "h2-1f", Declined: gateway.PrimaryUnreachable, LastWrite: position,
 		Reply: gateway.Reply{
 			Rows: []string{"qhzk", ""}, Signature: "7.1f3", State: gateway.InTransaction,
@@ -33,7 +33,7 @@
 	}
 	item := kv.Item{Key: "config", Value: []byte("v"), Revision: 9}
 	return map[string]message{
-		"link_request": &linkRequest{lane: 4, laneRequest: laneRequest{version: Version, PeerRequest: gateway.PeerRequest{
+		"link_request": &linkRequest{lane: 4, peerRequestMessage: peerRequestMessage{version: Version, PeerRequest: gateway.PeerRequest{
 			From: "h1-2a", Serial: 7, To: "h2-1f", Group: "lessons", Database: "booking",
 			Route: gateway.Route{
 				Name: "r", Class: freshness.MaxAge{Age: 1500 * time.Millisecond}, Timeout: 800 * time.Millisecond,
@@ -46,7 +46,7 @@
 		"link_close":     &linkRequest{lane: 4, closes: true},
 		"link_recall":    &linkRequest{lane: 5, recall: &recallRequest{from: "h1-2a", serial: 7}},
 		"link_recalled":  &linkReply{lane: 5, recalled: &recallReply{running: true}},
-		"link_reply":     &linkReply{lane: 4, laneReply: reply},
+		"link_reply":     &linkReply{lane: 4, peerReplyMessage: reply},
 		"recall_request": &recallRequest{from: "h1-2a", serial: 7},
 		"recall_reply":   &recallReply{running: true, process: "h2-1f", reply: &reply},
 		"member_request": &memberRequest{group: "lessons", member: "i-7f"},
@@ -54,19 +54,19 @@
 			IsPrimary: true, Received: position, Term: 3, Fenced: 4, Lag: 12 * time.Millisecond, Running: 2, Connections: 17,
 		},
 		"feed_request":        &feedRequest{after: 412},
-		"feed_request_packed": &feedRequest{after: 412, packs: true},
+		"feed_request_packed": &feedRequest{after: 412, readsCompressedLists: true},
 		"news_elsewhere": &newsMessage{StoreUpdate: follow.StoreUpdate{
 			Referrals: []netip.AddrPort{netip.MustParseAddrPort("10.1.0.8:8782"), netip.MustParseAddrPort("10.2.0.6:8782")}, Age: time.Hour,
-		}, packer: &packer{}},
+		}, compressor: &compressor{}},
 		"feed_request_of_a_later_epoch": &feedRequest{after: kv.NewRevision(3, 412)},
 		"news_of_a_later_epoch": &newsMessage{StoreUpdate: follow.StoreUpdate{Update: kv.Update{
 			Snapshot: kv.Snapshot{Items: []kv.Item{{Key: "k", Value: []byte("v"), Revision: kv.NewRevision(3, 9), Created: 4}}, Revision: kv.NewRevision(3, 10)},
 			Full:     true,
-		}}, packer: &packer{}},
+		}}, compressor: &compressor{}},
 		"news": &newsMessage{StoreUpdate: follow.StoreUpdate{Update: kv.Update{
 			Snapshot: kv.Snapshot{Items: []kv.Item{item, {Key: "gone", Revision: 10, Removed: true}}, Revision: 10},
 			Full:     true,
-		}, Age: time.Second}, packer: &packer{}},
+		}, Age: time.Second}, compressor: &compressor{}},
 	}
 }
 
@@ -105,7 +105,7 @@
 			t.Fatalf("%s: %v", name, err)
 		}
 		if n, ok := out.(*newsMessage); ok {
-			n.packer = m.(*newsMessage).packer
+			n.compressor = m.(*newsMessage).compressor
 		}
 		if !reflect.DeepEqual(out, m) {
 			t.Errorf("%s came back as\n%+v, want\n%+v", name, out, m)
@@ -131,8 +131,8 @@
 // fill a small host's link for a quarter of a second each.
 func TestLargeValuesAreCompressedOnce(t *testing.T) {
 	item := kv.Item{Key: "config", Value: []byte(strings.Repeat(`{"name":"r-68k7b2e","host":"fiti832ti23"}`, 1400)), Revision: 3}
-	p := &packer{}
-	text, err := encoding{}.Marshal(&newsMessage{StoreUpdate: follow.StoreUpdate{Update: kv.Update{Snapshot: kv.Snapshot{Items: []kv.Item{item}}}}, packer: p})
+	p := &compressor{}
+	text, err := encoding{}.Marshal(&newsMessage{StoreUpdate: follow.StoreUpdate{Update: kv.Update{Snapshot: kv.Snapshot{Items: []kv.Item{item}}}}, compressor: p})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -146,13 +146,13 @@
 	if !reflect.DeepEqual(out.Items, []kv.Item{item}) {
 		t.Error("the value came back changed")
 	}
-	first, _ := p.pack(item)
-	again, _ := p.pack(item)
+	first, _ := p.compress(item)
+	again, _ := p.compress(item)
 	if &first[0] != &again[0] {
 		t.Error("the same revision was compressed twice")
 	}
 	item.Revision++
-	if next, _ := p.pack(item); &first[0] == &next[0] {
+	if next, _ := p.compress(item); &first[0] == &next[0] {
 		t.Error("a new revision was not compressed")
 	}
 }
@@ -167,9 +167,9 @@
 			Value: fmt.Appendf(nil, `{"service":"allergen-core-%d","address":"10.1.%d.%d:5432","zone":"z","slots":3,"state":"ready"}`, i/3, i/256, i%256),
 		})
 	}
-	p := &packer{}
+	p := &compressor{}
 	news := func(packs bool) *newsMessage {
-		return &newsMessage{StoreUpdate: follow.StoreUpdate{Update: kv.Update{Snapshot: s, Full: true}}, packer: p, packs: packs}
+		return &newsMessage{StoreUpdate: follow.StoreUpdate{Update: kv.Update{Snapshot: s, Full: true}}, compressor: p, compressList: packs}
 	}
 	sizes := map[bool]int{}
 	for _, packs := range []bool{false, true} {
@@ -189,8 +189,8 @@
 	if sizes[true] > sizes[false]/4 {
 		t.Errorf("%d bytes are sent as %d", sizes[false], sizes[true])
 	}
-	first, _ := p.packList(s)
-	again, _ := p.packList(s)
+	first, _ := p.compressSnapshot(s)
+	again, _ := p.compressSnapshot(s)
 	if &first[0] != &again[0] {
 		t.Error("the same list was compressed twice")
 	}
@@ -198,7 +198,7 @@
 
 // A value that claims to expand without end must not take the host's memory.
 func TestCompressedValueIsBounded(t *testing.T) {
-	bomb, err := deflate(make([]byte, maxUnpacked+1))
+	bomb, err := deflate(make([]byte, maxInflatedSize+1))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/io/peer/gateway_messages.go
+++ b/io/peer/gateway_messages.go
@@ -14,9 +14,9 @@
 	memberCall = "/pearlatch.Gateway/ProbeMember"
 )
 
-// laneVersion is the version of statements on a lane. Up to version 1 they named no client account: a host
+// peerRequestVersion is the version of statements on a lane. Up to version 1 they named no client account: a host
 // that does not know of accounts would run them under its own name, so it must refuse newer ones.
-const laneVersion = 2
+const peerRequestVersion = 2
 
 // positionMessage is a log position on the wire.
 type positionMessage group.Position
@@ -29,22 +29,22 @@
 func (m *positionMessage) field(name string, r *fieldReader) bool {
 	switch name {
 	case "term":
-		return readNumber(r, &m.Term)
+		return readUint(r, &m.Term)
 	case "lsn":
-		return readNumber(r, &m.LSN)
+		return readUint(r, &m.LSN)
 	}
 	return false
 }
 
-// shapeMessage is the text of a prepared statement on the wire.
-type shapeMessage gateway.PreparedStatement
+// preparedStatementMessage is the text of a prepared statement on the wire.
+type preparedStatementMessage gateway.PreparedStatement
 
-func (m *shapeMessage) fields(w *fieldWriter) {
+func (m *preparedStatementMessage) fields(w *fieldWriter) {
 	w.bool("writes", m.Writes)
 	w.str("text", m.Text)
 }
 
-func (m *shapeMessage) field(name string, r *fieldReader) bool {
+func (m *preparedStatementMessage) field(name string, r *fieldReader) bool {
 	switch name {
 	case "writes":
 		return r.bool(&m.Writes)
@@ -63,15 +63,15 @@
 	return name == "read_only" && r.bool(&m.ReadOnly)
 }
 
-// valueMessage is a session value on the wire.
-type valueMessage struct{ name, value string }
+// sessionValueMessage is a session value on the wire.
+type sessionValueMessage struct{ name, value string }
 
-func (m *valueMessage) fields(w *fieldWriter) {
+func (m *sessionValueMessage) fields(w *fieldWriter) {
 	w.str("name", m.name)
 	w.str("value", m.value)
 }
 
-func (m *valueMessage) field(name string, r *fieldReader) bool {
+func (m *sessionValueMessage) field(name string, r *fieldReader) bool {
 	switch name {
 	case "name":
 		return r.str(&m.name)
@@ -169,7 +169,7 @@
 	case "class":
 		r.str(&m.class)
 		class, err := freshness.ParseClass(m.class)
-		r.keep(err)
+		r.setErr(err)
 		m.Class = class
 		return true
 	case "timeout_us":
@@ -177,20 +177,20 @@
 	case "target_us":
 		return r.duration(&m.LatencyTarget)
 	case "priority":
-		return readNumber(r, &m.Priority)
+		return readUint(r, &m.Priority)
 	case "public":
 		return r.bool(&m.Public)
 	}
 	return false
 }
 
-// laneRequest is a gateway.PeerRequest on the wire.
-type laneRequest struct {
+// peerRequestMessage is a gateway.PeerRequest on the wire.
+type peerRequestMessage struct {
 	version uint64
 	gateway.PeerRequest
 }
 
-func (m *laneRequest) fields(w *fieldWriter) {
+func (m *peerRequestMessage) fields(w *fieldWriter) {
 	q := &m.PeerRequest
 	w.uint("version", m.version)
 	w.str("from", q.From)
@@ -203,13 +203,13 @@
 	w.duration("age_us", q.Age)
 	w.duration("begin_age_us", q.BeginAge)
 	w.message("mark", (*positionMessage)(&q.LastWrite))
-	values := make([]valueMessage, 0, len(q.Values))
+	values := make([]sessionValueMessage, 0, len(q.Values))
 	for name, value := range q.Values {
-		values = append(values, valueMessage{name, value})
+		values = append(values, sessionValueMessage{name, value})
 	}
 	writeList(w, "values", values)
 	if q.Prepared != nil {
-		w.message("shape", (*shapeMessage)(q.Prepared))
+		w.message("shape", (*preparedStatementMessage)(q.Prepared))
 	}
 	if q.Begin != nil {
 		w.message("begin", (*beginMessage)(q.Begin))
@@ -222,7 +222,7 @@
 	w.message("statement", &statement)
 }
 
-func (m *laneRequest) field(name string, r *fieldReader) bool {
+func (m *peerRequestMessage) field(name string, r *fieldReader) bool {
 	q := &m.PeerRequest
 	switch name {
 	case "version":
@@ -252,11 +252,11 @@
 	case "text":
 		return r.str(&q.Request.Text)
 	}
-	return m.nested(name, r)
+	return m.messageField(name, r)
 }
 
-// nested reads the fields that are messages themselves.
-func (m *laneRequest) nested(name string, r *fieldReader) bool {
+// messageField reads the fields that are messages themselves.
+func (m *peerRequestMessage) messageField(name string, r *fieldReader) bool {
 	q := &m.PeerRequest
 	switch name {
 	case "route":
@@ -266,7 +266,7 @@
 	case "mark":
 		r.message((*positionMessage)(&q.LastWrite))
 	case "values":
-		var list []valueMessage
+		var list []sessionValueMessage
 		readList(r, &list)
 		q.Values = make(map[string]string, len(list))
 		for _, v := range list {
@@ -274,7 +274,7 @@
 		}
 	case "shape":
 		q.Prepared = &gateway.PreparedStatement{}
-		r.message((*shapeMessage)(q.Prepared))
+		r.message((*preparedStatementMessage)(q.Prepared))
 	case "begin":
 		q.Begin = &gateway.Begin{}
 		r.message((*beginMessage)(q.Begin))
@@ -288,10 +288,10 @@
 	return true
 }
 
-// laneReply is a gateway.PeerReply on the wire.
-type laneReply gateway.PeerReply
+// peerReplyMessage is a gateway.PeerReply on the wire.
+type peerReplyMessage gateway.PeerReply
 
-func (m *laneReply) fields(w *fieldWriter) {
+func (m *peerReplyMessage) fields(w *fieldWriter) {
 	w.str("process", m.Process)
 	w.uint("declined", uint64(m.Declined))
 	rows := make([]rowMessage, len(m.Reply.Rows))
@@ -307,12 +307,12 @@
 	w.message("mark", (*positionMessage)(&m.LastWrite))
 }
 
-func (m *laneReply) field(name string, r *fieldReader) bool {
+func (m *peerReplyMessage) field(name string, r *fieldReader) bool {
 	switch name {
 	case "process":
 		return r.str(&m.Process)
 	case "declined":
-		return readNumber(r, &m.Declined)
+		return readUint(r, &m.Declined)
 	case "rows":
 		var list []rowMessage
 		readList(r, &list)
@@ -327,7 +327,7 @@
 		r.message((*failureMessage)(m.Reply.Failure))
 		return true
 	case "state":
-		return readNumber(r, &m.Reply.State)
+		return readUint(r, &m.Reply.State)
 	case "mark":
 		r.message((*positionMessage)(&m.LastWrite))
 		return true
@@ -355,7 +355,7 @@
 func (m *failureMessage) field(name string, r *fieldReader) bool {
 	switch name {
 	case "code":
-		return readNumber(r, &m.Code)
+		return readUint(r, &m.Code)
 	case "detail":
 		return r.str(&m.Detail)
 	}
@@ -388,7 +388,7 @@
 type recallReply struct {
 	running bool
 	process string
-	reply   *laneReply
+	reply   *peerReplyMessage
 }
 
 func (m *recallReply) fields(w *fieldWriter) {
@@ -406,7 +406,7 @@
 	case "process":
 		return r.str(&m.process)
 	case "reply":
-		m.reply = &laneReply{}
+		m.reply = &peerReplyMessage{}
 		r.message(m.reply)
 		return true
 	}
@@ -452,15 +452,15 @@
 		r.message((*positionMessage)(&m.Received))
 		return true
 	case "term":
-		return readNumber(r, &m.Term)
+		return readUint(r, &m.Term)
 	case "fenced":
-		return readNumber(r, &m.Fenced)
+		return readUint(r, &m.Fenced)
 	case "lag_us":
 		return r.duration(&m.Lag)
 	case "running":
-		return readNumber(r, &m.Running)
+		return readUint(r, &m.Running)
 	case "connections":
-		return readNumber(r, &m.Connections)
+		return readUint(r, &m.Connections)
 	}
 	return false
 }
--- a/io/peer/gateway_server.go
+++ b/io/peer/gateway_server.go
@@ -23,7 +23,7 @@
 type gatewayRouter struct {
 	h       *gateway.Host
 	traffic *Traffic
-	packer  packer
+	packer  compressor
 }
 
 var _ drpc.Handler = (*gatewayRouter)(nil)
@@ -37,7 +37,7 @@
 		return r.feed(stream)
 	case recallCall:
 		r.traffic.Served.Add(1)
-		return unary(stream, r.recall)
+		return unary(stream, r.queryOutcome)
 	case memberCall:
 		r.traffic.Served.Add(1)
 		return unary(stream, r.probeMember)
@@ -52,7 +52,7 @@
 		return err
 	}
 	return r.h.Feed(stream.Context(), in.after, func(n follow.StoreUpdate) error {
-		return stream.MsgSend(&newsMessage{n, &r.packer, in.packs}, encoding{})
+		return stream.MsgSend(&newsMessage{n, &r.packer, in.readsCompressedLists}, encoding{})
 	})
 }
 
@@ -61,16 +61,16 @@
 	return (*memberReply)(&s), err
 }
 
-func (r *gatewayRouter) recall(_ context.Context, in *recallRequest) (*recallReply, error) {
-	return answerRecall(r.h, in), nil
+func (r *gatewayRouter) queryOutcome(_ context.Context, in *recallRequest) (*recallReply, error) {
+	return outcomeReply(r.h, in), nil
 }
 
-func answerRecall(h *gateway.Host, in *recallRequest) *recallReply {
+func outcomeReply(h *gateway.Host, in *recallRequest) *recallReply {
 	switch got := h.OutcomeOf(in.from, in.serial).(type) {
 	case gateway.OutcomeRunning:
 		return &recallReply{running: true}
 	case gateway.OutcomeDone:
-		return &recallReply{reply: (*laneReply)(got.Reply)}
+		return &recallReply{reply: (*peerReplyMessage)(got.Reply)}
 	case gateway.OutcomeUnknown:
 		return &recallReply{process: got.Process}
 	}
--- a/io/peer/lease_messages.go
+++ b/io/peer/lease_messages.go
@@ -50,7 +50,7 @@
 	case "member":
 		return r.str(&m.Member)
 	case "term":
-		return readNumber(r, &m.Term)
+		return readUint(r, &m.Term)
 	case "position":
 		r.message((*positionMessage)(&m.Position))
 		return true
@@ -60,19 +60,19 @@
 	return false
 }
 
-// endLeaseRequest asks a host to give its lease on a primary back.
-type endLeaseRequest struct {
+// revokeLeaseRequest asks a host to give its lease on a primary back.
+type revokeLeaseRequest struct {
 	group, member string
 	planned       bool
 }
 
-func (m *endLeaseRequest) fields(w *fieldWriter) {
+func (m *revokeLeaseRequest) fields(w *fieldWriter) {
 	w.str("group", m.group)
 	w.str("member", m.member)
 	w.bool("planned", m.planned)
 }
 
-func (m *endLeaseRequest) field(name string, r *fieldReader) bool {
+func (m *revokeLeaseRequest) field(name string, r *fieldReader) bool {
 	switch name {
 	case "group":
 		return r.str(&m.group)
--- a/io/peer/link.go
+++ b/io/peer/link.go
@@ -7,9 +7,9 @@
 	"storj.io/drpc"
 )
 
-// linkQueue is how many messages wait for the way to a host. An overloaded host that
+// linkQueueSize is how many messages wait for the way to a host. An overloaded host that
 // reads slowly is given no more than a second's worth.
-const linkQueue = 256
+const linkQueueSize = 256
 
 // errLinkFull means that the other side reads too slowly.
 var errLinkFull = errors.New("the link is full")
@@ -20,13 +20,13 @@
 	stream drpc.Stream
 	queue  chan drpc.Message
 	once   sync.Once
-	// ended is closed when the stream failed or close was called.
-	ended chan struct{}
+	// closed is closed when the stream failed or close was called.
+	closed chan struct{}
 }
 
 // newLinkWriter returns a writer on the stream. When writing fails it calls broken.
 func newLinkWriter(stream drpc.Stream, broken func()) *linkWriter {
-	w := &linkWriter{stream: stream, queue: make(chan drpc.Message, linkQueue), ended: make(chan struct{})}
+	w := &linkWriter{stream: stream, queue: make(chan drpc.Message, linkQueueSize), closed: make(chan struct{})}
 	go w.run(broken)
 	return w
 }
@@ -40,7 +40,7 @@
 				broken()
 				return
 			}
-		case <-w.ended:
+		case <-w.closed:
 			return
 		}
 	}
@@ -49,7 +49,7 @@
 // send queues a message. It never waits.
 func (w *linkWriter) send(m drpc.Message) error {
 	select {
-	case <-w.ended:
+	case <-w.closed:
 		return errors.New("the link has ended")
 	default:
 	}
@@ -61,4 +61,4 @@
 	}
 }
 
-func (w *linkWriter) close() { w.once.Do(func() { close(w.ended) }) }
+func (w *linkWriter) close() { w.once.Do(func() { close(w.closed) }) }
--- a/io/peer/link_client.go
+++ b/io/peer/link_client.go
@@ -19,12 +19,12 @@
 	client *Client
 	mu     sync.Mutex
 	open   map[netip.AddrPort]*link
-	// dialing holds what waits for a link that is being opened.
-	dialing map[netip.AddrPort]*dialling
+	// dials holds what waits for a link that is being opened.
+	dials map[netip.AddrPort]*linkDial
 }
 
-// dialling is a link that is being opened. done is closed when the others are set.
-type dialling struct {
+// linkDial is a link that is being opened. done is closed when the others are set.
+type linkDial struct {
 	done chan struct{}
 	link *link
 	err  error
@@ -37,13 +37,13 @@
 		l.mu.Unlock()
 		return k, nil
 	}
-	d := l.dialing[addr]
+	d := l.dials[addr]
 	if d == nil {
-		d = &dialling{done: make(chan struct{})}
-		if l.dialing == nil {
-			l.dialing, l.open = map[netip.AddrPort]*dialling{}, map[netip.AddrPort]*link{}
+		d = &linkDial{done: make(chan struct{})}
+		if l.dials == nil {
+			l.dials, l.open = map[netip.AddrPort]*linkDial{}, map[netip.AddrPort]*link{}
 		}
-		l.dialing[addr] = d
+		l.dials[addr] = d
 		go l.dial(addr, d)
 	}
 	l.mu.Unlock()
@@ -66,10 +66,10 @@
 	return k
 }
 
-func (l *links) dial(addr netip.AddrPort, d *dialling) {
+func (l *links) dial(addr netip.AddrPort, d *linkDial) {
 	d.link, d.err = l.client.openLink(addr)
 	l.mu.Lock()
-	delete(l.dialing, addr)
+	delete(l.dials, addr)
 	if d.err == nil {
 		l.open[addr] = d.link
 	}
@@ -83,8 +83,8 @@
 	if err != nil {
 		return nil, err
 	}
-	k := &link{addr: addr, stream: s, pending: map[uint64]chan *linkReply{}, heard: time.Now()}
-	k.writer = newLinkWriter(s.drpc, k.end)
+	k := &link{addr: addr, stream: s, pending: map[uint64]chan *linkReply{}, lastReceived: time.Now()}
+	k.writer = newLinkWriter(s.drpc, k.shutdown)
 	go k.read()
 	return k, nil
 }
@@ -98,21 +98,21 @@
 	mu sync.Mutex
 	// pending holds who waits for an answer, by lane.
 	pending map[uint64]chan *linkReply
-	lanes   uint64
-	// heard is when the host last sent anything, or the link was opened.
-	heard time.Time
+	lastID  uint64
+	// lastReceived is when the host last sent anything, or the link was opened.
+	lastReceived time.Time
 }
 
 // read passes answers on until the link ends.
 func (k *link) read() {
-	defer k.end()
+	defer k.shutdown()
 	for {
 		in := new(linkReply)
 		if err := k.stream.drpc.MsgRecv(in, encoding{}); err != nil {
 			return
 		}
 		k.mu.Lock()
-		k.heard = time.Now()
+		k.lastReceived = time.Now()
 		waiting := k.pending[in.lane]
 		delete(k.pending, in.lane)
 		k.mu.Unlock()
@@ -122,18 +122,18 @@
 	}
 }
 
-// end closes the link. Whoever waits for an answer is told.
-func (k *link) end() {
+// shutdown closes the link. Whoever waits for an answer is told.
+func (k *link) shutdown() {
 	k.writer.close()
 	k.stream.close()
 }
 
 func (k *link) broken() bool {
 	select {
-	case <-k.writer.ended:
+	case <-k.writer.closed:
 		return true
 	default:
-		return !open(k.stream.conn)
+		return !isOpen(k.stream.conn)
 	}
 }
 
@@ -141,33 +141,33 @@
 func (k *link) send(m drpc.Message) error {
 	err := k.writer.send(m)
 	if errors.Is(err, errLinkFull) {
-		k.end()
+		k.shutdown()
 	}
 	return err
 }
 
-// lane carries the work of one session at a time.
-type lane struct {
+// linkStream carries the work of one session at a time.
+type linkStream struct {
 	link *link
 	id   uint64
 }
 
-var _ gateway.Stream = (*lane)(nil)
+var _ gateway.Stream = (*linkStream)(nil)
 
-func (k *link) newLane() *lane {
+func (k *link) newStream() *linkStream {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.lanes++
-	return &lane{link: k, id: k.lanes}
+	k.lastID++
+	return &linkStream{link: k, id: k.lastID}
 }
 
 // Do implements gateway.Lane.
-func (l *lane) Do(ctx context.Context, r *gateway.PeerRequest) (*gateway.PeerReply, error) {
-	reply, err := l.link.ask(ctx, &linkRequest{lane: l.id, laneRequest: laneRequest{version: laneVersion, PeerRequest: *r}})
+func (l *linkStream) Do(ctx context.Context, r *gateway.PeerRequest) (*gateway.PeerReply, error) {
+	reply, err := l.link.ask(ctx, &linkRequest{lane: l.id, peerRequestMessage: peerRequestMessage{version: peerRequestVersion, PeerRequest: *r}})
 	if err != nil {
 		return nil, err
 	}
-	return (*gateway.PeerReply)(&reply.laneReply), nil
+	return (*gateway.PeerReply)(&reply.peerReplyMessage), nil
 }
 
 // ask sends a message and waits for its answer. ErrNotSent means that it was not sent.
@@ -177,33 +177,33 @@
 	k.pending[m.lane] = answer
 	k.mu.Unlock()
 	if err := k.send(m); err != nil {
-		k.forget(m.lane)
+		k.removePending(m.lane)
 		return nil, errors.Wrap(gateway.ErrNotSent, err.Error())
 	}
 	select {
 	case reply := <-answer:
 		return reply, nil
-	case <-k.writer.ended:
-		k.forget(m.lane)
+	case <-k.writer.closed:
+		k.removePending(m.lane)
 		return nil, errors.Errorf("the link to host %s has ended", k.addr)
 	case <-ctx.Done():
-		k.forget(m.lane)
+		k.removePending(m.lane)
 		return nil, errors.Wrapf(ctx.Err(), "answer of host %s", k.addr)
 	}
 }
 
-func (k *link) forget(lane uint64) {
+func (k *link) removePending(lane uint64) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	delete(k.pending, lane)
 }
 
-// recall asks on the link what became of a request. It returns nil if there is no answer
+// queryOutcome asks on the link what became of a request. It returns nil if there is no answer
 // soon.
-func (k *link) recall(ctx context.Context, in *recallRequest) *recallReply {
-	ctx, cancel := context.WithTimeout(ctx, linkRecall)
+func (k *link) queryOutcome(ctx context.Context, in *recallRequest) *recallReply {
+	ctx, cancel := context.WithTimeout(ctx, linkOutcomeTimeout)
 	defer cancel()
-	reply, err := k.ask(ctx, &linkRequest{lane: k.newLane().id, recall: in})
+	reply, err := k.ask(ctx, &linkRequest{lane: k.newStream().id, recall: in})
 	if err != nil {
 		return nil
 	}
@@ -211,17 +211,17 @@
 }
 
 // Close implements gateway.Lane.
-func (l *lane) Close() {
+func (l *linkStream) Close() {
 	// A link that has ended takes its lanes along.
 	_ = l.link.send(&linkRequest{lane: l.id, closes: true})
 }
 
 // ReplaceIfSilent implements gateway.Lane.
-func (l *lane) ReplaceIfSilent(age time.Duration) {
+func (l *linkStream) ReplaceIfSilent(age time.Duration) {
 	l.link.mu.Lock()
-	silent := time.Since(l.link.heard) > age
+	silent := time.Since(l.link.lastReceived) > age
 	l.link.mu.Unlock()
 	if silent {
-		l.link.end()
+		l.link.shutdown()
 	}
 }
--- a/io/peer/link_messages.go
+++ b/io/peer/link_messages.go
@@ -3,14 +3,14 @@
 // linkRequest is a request on a lane of a link, the end of the lane, or a question what
 // became of a request.
 type linkRequest struct {
-	lane   uint64
-	closes bool
-	recall *recallRequest
-	lease  *leaseRequest
-	ends   *endLeaseRequest
-	quota  *quotaRequest
-	tell   *tellRequest
-	laneRequest
+	lane        uint64
+	closes      bool
+	recall      *recallRequest
+	lease       *leaseRequest
+	revokeLease *revokeLeaseRequest
+	quota       *quotaRequest
+	tell        *tellRequest
+	peerRequestMessage
 }
 
 func (m *linkRequest) fields(w *fieldWriter) {
@@ -22,14 +22,14 @@
 		w.message("recall", m.recall)
 	case m.lease != nil:
 		w.message("lease", m.lease)
-	case m.ends != nil:
-		w.message("end_lease", m.ends)
+	case m.revokeLease != nil:
+		w.message("end_lease", m.revokeLease)
 	case m.quota != nil:
 		w.message("quota", m.quota)
 	case m.tell != nil:
 		w.message("tell", m.tell)
 	default:
-		m.laneRequest.fields(w)
+		m.peerRequestMessage.fields(w)
 	}
 }
 
@@ -48,8 +48,8 @@
 		r.message(m.lease)
 		return true
 	case "end_lease":
-		m.ends = &endLeaseRequest{}
-		r.message(m.ends)
+		m.revokeLease = &revokeLeaseRequest{}
+		r.message(m.revokeLease)
 		return true
 	case "quota":
 		m.quota = &quotaRequest{}
@@ -60,7 +60,7 @@
 		r.message(m.tell)
 		return true
 	}
-	return m.laneRequest.field(name, r)
+	return m.peerRequestMessage.field(name, r)
 }
 
 // linkReply answers a linkRequest.
@@ -68,11 +68,11 @@
 	lane     uint64
 	recalled *recallReply
 	lease    *leaseReply
-	// ended is true once a lease was given back.
-	ended bool
-	quota *quotaReply
-	told  *tellReply
-	laneReply
+	// leaseRevoked is true once a lease was given back.
+	leaseRevoked bool
+	quota        *quotaReply
+	told         *tellReply
+	peerReplyMessage
 }
 
 func (m *linkReply) fields(w *fieldWriter) {
@@ -82,14 +82,14 @@
 		w.message("recalled", m.recalled)
 	case m.lease != nil:
 		w.message("lease", m.lease)
-	case m.ended:
+	case m.leaseRevoked:
 		w.bool("ended", true)
 	case m.quota != nil:
 		w.message("quota", m.quota)
 	case m.told != nil:
 		w.message("told", m.told)
 	default:
-		m.laneReply.fields(w)
+		m.peerReplyMessage.fields(w)
 	}
 }
 
@@ -106,7 +106,7 @@
 		r.message(m.lease)
 		return true
 	case "ended":
-		return r.bool(&m.ended)
+		return r.bool(&m.leaseRevoked)
 	case "quota":
 		m.quota = &quotaReply{}
 		r.message(m.quota)
@@ -116,5 +116,5 @@
 		r.message(m.told)
 		return true
 	}
-	return m.laneReply.field(name, r)
+	return m.peerReplyMessage.field(name, r)
 }
--- a/io/peer/link_server.go
+++ b/io/peer/link_server.go
@@ -17,26 +17,26 @@
 	host   *gateway.Host
 	writer *linkWriter
 
-	mu    sync.Mutex
-	lanes map[uint64]*servedLane
+	mu      sync.Mutex
+	streams map[uint64]*servedStream
 }
 
-// servedLane is a lane with a request under way or a transaction open.
-type servedLane struct {
-	guest *gateway.ForwardedSession
+// servedStream is a lane with a request under way or a transaction open.
+type servedStream struct {
+	session *gateway.ForwardedSession
 	// running is true while a request is under way, and closed once the other side has
 	// given the lane up.
 	running, closed bool
-	// rest ends a transaction that rests for too long.
-	rest *time.Timer
+	// idleTimer ends a transaction that rests for too long.
+	idleTimer *time.Timer
 }
 
 // serveLink serves a link until it ends. What was begun on it is ended too, also when the
 // other host goes: it may ask for the outcome.
 func serveLink(stream drpc.Stream, h *gateway.Host) error {
-	l := &servedLink{host: h, lanes: map[uint64]*servedLane{}}
+	l := &servedLink{host: h, streams: map[uint64]*servedStream{}}
 	l.writer = newLinkWriter(stream, func() { _ = stream.Close() })
-	defer l.end()
+	defer l.closeAll()
 	for {
 		in := new(linkRequest)
 		if err := stream.MsgRecv(in, encoding{}); err != nil {
@@ -44,47 +44,47 @@
 		}
 		switch {
 		case in.closes:
-			l.close(in.lane)
+			l.closeStream(in.lane)
 		case in.recall != nil:
-			l.send(&linkReply{lane: in.lane, recalled: answerRecall(h, in.recall)})
+			l.send(&linkReply{lane: in.lane, recalled: outcomeReply(h, in.recall)})
 		case in.lease != nil:
 			granted := h.GrantLease(gateway.LeaseRequest(*in.lease))
 			l.send(&linkReply{lane: in.lane, lease: (*leaseReply)(&granted)})
-		case in.ends != nil:
-			h.RevokeLease(in.ends.group, in.ends.member, in.ends.planned)
-			l.send(&linkReply{lane: in.lane, ended: true})
+		case in.revokeLease != nil:
+			h.RevokeLease(in.revokeLease.group, in.revokeLease.member, in.revokeLease.planned)
+			l.send(&linkReply{lane: in.lane, leaseRevoked: true})
 		case in.quota != nil:
 			reply := h.Quotas().HandleRequest(quotas.Request(*in.quota))
 			l.send(&linkReply{lane: in.lane, quota: (*quotaReply)(&reply)})
 		case in.tell != nil:
 			reply := h.Quotas().HandleReportRequest(quotas.ReportRequest(*in.tell))
 			l.send(&linkReply{lane: in.lane, told: (*tellReply)(&reply)})
-		case in.version != laneVersion:
+		case in.version != peerRequestVersion:
 			return errors.Errorf("a request of version %d", in.version)
 		default:
-			l.take(in)
+			l.start(in)
 		}
 	}
 }
 
-// take starts a request on its lane.
-func (l *servedLink) take(in *linkRequest) {
+// start starts a request on its lane.
+func (l *servedLink) start(in *linkRequest) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	k := l.lanes[in.lane]
+	k := l.streams[in.lane]
 	if k == nil {
-		k = &servedLane{guest: l.host.NewForwardedSession()}
-		l.lanes[in.lane] = k
+		k = &servedStream{session: l.host.NewForwardedSession()}
+		l.streams[in.lane] = k
 	}
-	if k.rest != nil {
-		k.rest.Stop()
+	if k.idleTimer != nil {
+		k.idleTimer.Stop()
 	}
 	if k.running {
 		return // a lane carries one request at a time: its answer is still to come
 	}
-	if declined := k.guest.Accept(&in.PeerRequest); declined != nil {
-		l.closeLane(in.lane, k)
-		l.send(&linkReply{lane: in.lane, laneReply: laneReply(*declined)})
+	if declined := k.session.Accept(&in.PeerRequest); declined != nil {
+		l.closeStreamLocked(in.lane, k)
+		l.send(&linkReply{lane: in.lane, peerReplyMessage: peerReplyMessage(*declined)})
 		return
 	}
 	k.running = true
@@ -99,64 +99,64 @@
 	}
 }
 
-func (l *servedLink) run(in *linkRequest, k *servedLane) {
-	reply := k.guest.Run(context.Background(), &in.PeerRequest)
+func (l *servedLink) run(in *linkRequest, k *servedStream) {
+	reply := k.session.Run(context.Background(), &in.PeerRequest)
 	l.mu.Lock()
 	k.running = false
-	open := k.guest.HasOpenTransaction()
+	open := k.session.HasOpenTransaction()
 	switch {
 	case k.closed:
-		go k.guest.Close()
+		go k.session.Close()
 	case open:
-		k.rest = time.AfterFunc(k.guest.IdleTimeout(), func() { l.expire(in.lane, k) })
+		k.idleTimer = time.AfterFunc(k.session.IdleTimeout(), func() { l.expire(in.lane, k) })
 	default:
-		delete(l.lanes, in.lane)
+		delete(l.streams, in.lane)
 	}
 	l.mu.Unlock()
-	l.send(&linkReply{lane: in.lane, laneReply: laneReply(*reply)})
+	l.send(&linkReply{lane: in.lane, peerReplyMessage: peerReplyMessage(*reply)})
 }
 
 // expire rolls back a transaction that rested for too long.
-func (l *servedLink) expire(id uint64, k *servedLane) {
+func (l *servedLink) expire(id uint64, k *servedStream) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if k.running || k.closed {
 		return
 	}
 	k.closed = true
-	delete(l.lanes, id)
-	go k.guest.Expire()
+	delete(l.streams, id)
+	go k.session.Expire()
 }
 
-// close ends a lane that the other side has given up.
-func (l *servedLink) close(id uint64) {
+// closeStream ends a lane that the other side has given up.
+func (l *servedLink) closeStream(id uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	k := l.lanes[id]
+	k := l.streams[id]
 	if k == nil {
 		return
 	}
-	l.closeLane(id, k)
+	l.closeStreamLocked(id, k)
 }
 
-// closeLane ends a lane, or marks it while a request is under way. l.mu is held.
-func (l *servedLink) closeLane(id uint64, k *servedLane) {
+// closeStreamLocked ends a lane, or marks it while a request is under way. l.mu is held.
+func (l *servedLink) closeStreamLocked(id uint64, k *servedStream) {
 	k.closed = true
-	delete(l.lanes, id)
-	if k.rest != nil {
-		k.rest.Stop()
+	delete(l.streams, id)
+	if k.idleTimer != nil {
+		k.idleTimer.Stop()
 	}
 	if !k.running {
-		go k.guest.Close()
+		go k.session.Close()
 	}
 }
 
-// end ends all lanes.
-func (l *servedLink) end() {
+// closeAll ends all lanes.
+func (l *servedLink) closeAll() {
 	l.writer.close()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for id, k := range l.lanes {
-		l.closeLane(id, k)
+	for id, k := range l.streams {
+		l.closeStreamLocked(id, k)
 	}
 }
--- a/io/peer/link_test.go
+++ b/io/peer/link_test.go
@@ -31,14 +31,14 @@
 	return r
 }
 
-// next returns a further statement of a transaction.
-func next(id string, s gateway.Statement) *gateway.PeerRequest {
+// continuation returns a further statement of a transaction.
+func continuation(id string, s gateway.Statement) *gateway.PeerRequest {
 	r := request(id, s)
 	r.Continues = true
 	return r
 }
 
-func openLane(t *testing.T, c *GatewayClient, addr netip.AddrPort) gateway.Stream {
+func openStream(t *testing.T, c *GatewayClient, addr netip.AddrPort) gateway.Stream {
 	t.Helper()
 	l, err := c.OpenStream(t.Context(), addr)
 	if err != nil {
@@ -65,8 +65,8 @@
 
 // Many statements are under way to one host at once. Each gets its own answer, over one
 // connection.
-func TestLanesShareALink(t *testing.T) {
-	h := serveStub(t, &stubSite{})
+func TestStreamsShareALink(t *testing.T) {
+	h := serveStub(t, &stubBackend{})
 	c := newClient()
 	requests := make([]*gateway.PeerRequest, 40)
 	for i := range requests {
@@ -94,25 +94,25 @@
 
 // Two callers of one host have transactions open on another one, over the same link, and
 // take turns. Each must stay on the member's connection that its transaction began on.
-func TestTransactionsOnALinkStayApart(t *testing.T) {
-	h := serveStub(t, &stubSite{})
+func TestTransactionsOnALinkUseTheirOwnConnections(t *testing.T) {
+	h := serveStub(t, &stubBackend{})
 	c := newClient()
-	one, two := openLane(t, c, h.addr), openLane(t, c, h.addr)
+	one, two := openStream(t, c, h.addr), openStream(t, c, h.addr)
 	connOf := func(r *gateway.PeerReply) string { return strings.Fields(r.Reply.Rows[0])[0] }
 	first, second := connOf(mustDo(t, one, begin("1a"))), connOf(mustDo(t, two, begin("2a")))
 	if first == second {
 		t.Fatal("both run on one connection")
 	}
 	for i := range 5 {
-		if got := connOf(mustDo(t, one, next(fmt.Sprint("1b", i), gateway.Write{}))); got != first {
+		if got := connOf(mustDo(t, one, continuation(fmt.Sprint("1b", i), gateway.Write{}))); got != first {
 			t.Errorf("the first moved to connection %s", got)
 		}
-		if got := connOf(mustDo(t, two, next(fmt.Sprint("2b", i), gateway.Write{}))); got != second {
+		if got := connOf(mustDo(t, two, continuation(fmt.Sprint("2b", i), gateway.Write{}))); got != second {
 			t.Errorf("the second moved to connection %s", got)
 		}
 	}
-	mustDo(t, one, next("1c", gateway.Commit{}))
-	mustDo(t, two, next("2c", gateway.Commit{}))
+	mustDo(t, one, continuation("1c", gateway.Commit{}))
+	mustDo(t, two, continuation("2c", gateway.Commit{}))
 	if h.ForwardedCount() != 0 {
 		t.Errorf("%d guests are left", h.ForwardedCount())
 	}
@@ -120,31 +120,31 @@
 
 // A caller leaves in the middle of a transaction, or its host's whole link breaks. The
 // transaction must not hold its connection.
-func TestAbandonedLanesAreRolledBack(t *testing.T) {
-	h := serveStub(t, &stubSite{})
+func TestAbandonedTransactionsAreRolledBack(t *testing.T) {
+	h := serveStub(t, &stubBackend{})
 	c := newClient()
-	one, two := openLane(t, c, h.addr), openLane(t, c, h.addr)
+	one, two := openStream(t, c, h.addr), openStream(t, c, h.addr)
 	mustDo(t, one, begin("1a"))
 	mustDo(t, two, begin("2a"))
 	one.Close()
 	eventually(t, "the abandoned transaction ended", func() bool { return h.ForwardedCount() == 1 })
-	two.(*lane).link.end()
+	two.(*linkStream).link.shutdown()
 	eventually(t, "the broken link's transaction ended", func() bool { return h.ForwardedCount() == 0 })
-	if _, err := two.Do(t.Context(), next("2b", gateway.Write{})); err == nil {
+	if _, err := two.Do(t.Context(), continuation("2b", gateway.Write{})); err == nil {
 		t.Error("a statement went over a link that has ended")
 	}
-	mustDo(t, openLane(t, c, h.addr), request("3", gateway.Read{}))
+	mustDo(t, openStream(t, c, h.addr), request("3", gateway.Read{}))
 }
 
 // A link goes silent while new connections work. What was sent on it never arrived; the
 // other host says so, and the next statement goes over a new link.
 func TestSilentLinkIsReplaced(t *testing.T) {
-	h := serveStub(t, &stubSite{})
+	h := serveStub(t, &stubBackend{})
 	p := proxyTo(t, h.addr)
 	c := newClient()
-	mustDo(t, openLane(t, c, p.addr), request("1", gateway.Read{}))
+	mustDo(t, openStream(t, c, p.addr), request("1", gateway.Read{}))
 	p.stall()
-	l := openLane(t, c, p.addr)
+	l := openStream(t, c, p.addr)
 	lost := request("2", gateway.Write{})
 	ctx, cancel := context.WithTimeout(t.Context(), 50*time.Millisecond)
 	defer cancel()
@@ -156,29 +156,29 @@
 		t.Fatalf("recalled %#v, %v", got, err)
 	}
 	l.ReplaceIfSilent(50 * time.Millisecond)
-	mustDo(t, openLane(t, c, p.addr), request("3", gateway.Read{}))
+	mustDo(t, openStream(t, c, p.addr), request("3", gateway.Read{}))
 }
 
 // A link that has answered since a request was sent is not to blame for that request.
 func TestBusyLinkIsKept(t *testing.T) {
-	h := serveStub(t, &stubSite{})
+	h := serveStub(t, &stubBackend{})
 	c := newClient()
-	l := openLane(t, c, h.addr)
+	l := openStream(t, c, h.addr)
 	mustDo(t, l, request("1", gateway.Read{}))
 	l.ReplaceIfSilent(time.Hour)
-	if l.(*lane).link.broken() {
+	if l.(*linkStream).link.broken() {
 		t.Error("a link that answers was given up")
 	}
 }
 
 // A statement takes long, and its host asks for it: it runs, then its answer is kept.
-func TestRecallOverTheWire(t *testing.T) {
-	s := &stubSite{hold: make(chan struct{})}
+func TestQueryOutcomeOverTheWire(t *testing.T) {
+	s := &stubBackend{hold: make(chan struct{})}
 	h := serveStub(t, s)
 	c := newClient()
 	r := request("1", gateway.Write{})
 	done := make(chan error, 1)
-	l := openLane(t, c, h.addr)
+	l := openStream(t, c, h.addr)
 	go func() {
 		_, err := l.Do(context.Background(), r)
 		done <- err
@@ -199,20 +199,20 @@
 
 // A host learns the store's news from another one: all of it at first, then changes.
 func TestFeedOverTheWire(t *testing.T) {
-	s := &stubSite{}
+	s := &stubBackend{}
 	h := serveStub(t, s)
 	f, err := newClient().Feed(t.Context(), h.addr, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer f.Close()
-	first, err := f.Next(soon)
+	first, err := f.Next(eventTimeout)
 	if err != nil || !first.Full || len(first.Items) != 3 || first.Revision != 2 {
 		t.Fatalf("first %+v, %v", first, err)
 	}
 	s.change()
 	for {
-		next, err := f.Next(soon)
+		next, err := f.Next(eventTimeout)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -225,14 +225,14 @@
 	}
 	h.Stop()
 	for {
-		if _, err := f.Next(soon); err != nil {
+		if _, err := f.Next(eventTimeout); err != nil {
 			return
 		}
 	}
 }
 
 func TestProbeOverTheWire(t *testing.T) {
-	h := serveStub(t, &stubSite{})
+	h := serveStub(t, &stubBackend{})
 	got, err := newClient().Probe(t.Context(), h.addr, stubGroup, "a")
 	if err != nil || !got.IsPrimary || got.Received.LSN != 5 {
 		t.Errorf("%+v, %v", got, err)
@@ -245,16 +245,16 @@
 // A transaction was rolled back because its lane was given up, and its next statement comes
 // all the same. It must not run by itself, nor in the transaction of another caller.
 func TestStatementWithoutItsTransactionIsDeclined(t *testing.T) {
-	h := serveStub(t, &stubSite{})
+	h := serveStub(t, &stubBackend{})
 	c := newClient()
-	l := openLane(t, c, h.addr)
+	l := openStream(t, c, h.addr)
 	mustDo(t, l, begin("1"))
 	l.Close()
 	eventually(t, "the transaction ended", func() bool { return h.ForwardedCount() == 0 })
-	if out, err := l.Do(t.Context(), next("2", gateway.Write{})); err != nil || out.Declined != gateway.NoTransaction {
+	if out, err := l.Do(t.Context(), continuation("2", gateway.Write{})); err != nil || out.Declined != gateway.NoTransaction {
 		t.Errorf("answered with %+v, %v", out, err)
 	}
-	other := openLane(t, c, h.addr)
+	other := openStream(t, c, h.addr)
 	mustDo(t, other, begin("3"))
 	if out, err := other.Do(t.Context(), request("4", gateway.Read{})); err != nil || out.Declined != gateway.NoTransaction {
 		t.Errorf("a statement of its own ran in a transaction: %+v, %v", out, err)
--- a/io/peer/news_messages.go
+++ b/io/peer/news_messages.go
@@ -10,21 +10,21 @@
 // feedRequest asks for a feed.
 type feedRequest struct {
 	after kv.Revision
-	// packs is true if the asker reads lists that are compressed as a whole.
-	packs bool
+	// readsCompressedLists is true if the asker reads lists that are compressed as a whole.
+	readsCompressedLists bool
 }
 
 func (m *feedRequest) fields(w *fieldWriter) {
 	w.uint("after", uint64(m.after))
-	w.bool("packs", m.packs)
+	w.bool("packs", m.readsCompressedLists)
 }
 
 func (m *feedRequest) field(name string, r *fieldReader) bool {
 	switch name {
 	case "after":
-		return readNumber(r, &m.after)
+		return readUint(r, &m.after)
 	case "packs":
-		return r.bool(&m.packs)
+		return r.bool(&m.readsCompressedLists)
 	}
 	return false
 }
@@ -32,9 +32,9 @@
 // newsMessage is follow.News on the wire.
 type newsMessage struct {
 	follow.StoreUpdate
-	// packer compresses large values, and if packs is true whole lists.
-	packer *packer
-	packs  bool
+	// compressor compresses large values, and if packs is true whole lists.
+	compressor   *compressor
+	compressList bool
 }
 
 func (m *newsMessage) fields(w *fieldWriter) {
@@ -46,16 +46,16 @@
 		elsewhere[i] = addrMessage{a}
 	}
 	writeList(w, "elsewhere", elsewhere)
-	if m.packs && m.Full {
-		packed, err := m.packer.packList(m.Snapshot)
-		w.keep(err)
+	if m.compressList && m.Full {
+		packed, err := m.compressor.compressSnapshot(m.Snapshot)
+		w.setErr(err)
 		w.bytes("packed_items", packed)
 		return
 	}
 	items := make([]itemMessage, len(m.Items))
 	for i, each := range m.Items {
-		packed, err := m.packer.pack(each)
-		w.keep(err)
+		packed, err := m.compressor.compress(each)
+		w.setErr(err)
 		items[i] = itemMessage{each, packed}
 	}
 	writeList(w, "items", items)
@@ -64,7 +64,7 @@
 func (m *newsMessage) field(name string, r *fieldReader) bool {
 	switch name {
 	case "revision":
-		return readNumber(r, &m.Revision)
+		return readUint(r, &m.Revision)
 	case "whole":
 		return r.bool(&m.Full)
 	case "age_us":
@@ -75,8 +75,8 @@
 	case "packed_items":
 		var packed []byte
 		r.bytes(&packed)
-		items, err := unpackList(packed)
-		r.keep(err)
+		items, err := decompressItems(packed)
+		r.setErr(err)
 		m.Items = items
 		return true
 	case "elsewhere":
@@ -132,15 +132,15 @@
 // the value.
 type itemMessage struct {
 	kv.Item
-	packed []byte
+	compressed []byte
 }
 
 func (m *itemMessage) fields(w *fieldWriter) {
 	w.str("key", m.Key)
-	if m.packed == nil {
+	if m.compressed == nil {
 		w.bytes("value", m.Value)
 	}
-	w.bytes("packed", m.packed)
+	w.bytes("packed", m.compressed)
 	w.uint("revision", uint64(m.Revision))
 	w.uint("created", uint64(m.Created))
 	w.bool("removed", m.Removed)
@@ -153,15 +153,15 @@
 	case "value":
 		return r.bytes(&m.Value)
 	case "packed":
-		r.bytes(&m.packed)
-		value, err := inflate(m.packed)
-		r.keep(err)
+		r.bytes(&m.compressed)
+		value, err := inflate(m.compressed)
+		r.setErr(err)
 		m.Value = value
 		return true
 	case "revision":
-		return readNumber(r, &m.Revision)
+		return readUint(r, &m.Revision)
 	case "created":
-		return readNumber(r, &m.Created)
+		return readUint(r, &m.Created)
 	case "removed":
 		return r.bool(&m.Removed)
 	}
--- a/io/peer/pack.go
+++ b/io/peer/pack.go
@@ -12,51 +12,51 @@
 )
 
 const (
-	// packFrom is the size in bytes from which a value is compressed for other hosts. A
+	// minCompressSize is the size in bytes from which a value is compressed for other hosts. A
 	// configuration of 1,400 routes has 300 KB, which a link of 10 Mbit/s carries to
 	// one host in a quarter of a second, and the statements behind it wait.
-	packFrom = 2 << 10
-	// maxUnpacked bounds what a compressed value may expand to.
-	maxUnpacked = 16 << 20
+	minCompressSize = 2 << 10
+	// maxInflatedSize bounds what a compressed value may expand to.
+	maxInflatedSize = 16 << 20
 )
 
-// packer compresses large values of the store, each revision of a key once, and whole lists, the same one once. The zero
+// compressor compresses large values of the store, each revision of a key once, and whole lists, the same one once. The zero
 // value is ready for use.
-type packer struct {
+type compressor struct {
 	mu     sync.Mutex
-	packed map[string]packedValue
+	values map[string]compressedValue
 	// list is the last list that was compressed.
-	list packedValue
+	list compressedValue
 }
 
-type packedValue struct {
+type compressedValue struct {
 	revision kv.Revision
 	bytes    []byte
 }
 
-// pack returns the item's value compressed, or nil if it is small.
-func (p *packer) pack(i kv.Item) ([]byte, error) {
-	if len(i.Value) < packFrom {
+// compress returns the item's value compressed, or nil if it is small.
+func (p *compressor) compress(i kv.Item) ([]byte, error) {
+	if len(i.Value) < minCompressSize {
 		return nil, nil
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if known := p.packed[i.Key]; known.revision == i.Revision {
+	if known := p.values[i.Key]; known.revision == i.Revision {
 		return known.bytes, nil
 	}
 	out, err := deflate(i.Value)
 	if err != nil {
 		return nil, errors.Wrapf(err, "compress %s", i.Key)
 	}
-	if p.packed == nil {
-		p.packed = map[string]packedValue{}
+	if p.values == nil {
+		p.values = map[string]compressedValue{}
 	}
-	p.packed[i.Key] = packedValue{i.Revision, out}
+	p.values[i.Key] = compressedValue{i.Revision, out}
 	return out, nil
 }
 
-// packList returns the list compressed. Hosts that need one at the same time are sent the same.
-func (p *packer) packList(s kv.Snapshot) ([]byte, error) {
+// compressSnapshot returns the list compressed. Hosts that need one at the same time are sent the same.
+func (p *compressor) compressSnapshot(s kv.Snapshot) ([]byte, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.list.revision == s.Revision {
@@ -70,12 +70,12 @@
 	if err != nil {
 		return nil, errors.Wrapf(err, "compress the list of revision %v", s.Revision)
 	}
-	p.list = packedValue{s.Revision, out}
+	p.list = compressedValue{s.Revision, out}
 	return out, nil
 }
 
-// unpackList is the inverse of packList.
-func unpackList(packed []byte) ([]kv.Item, error) {
+// decompressItems is the inverse of packList.
+func decompressItems(packed []byte) ([]kv.Item, error) {
 	plain, err := inflate(packed)
 	if err != nil {
 		return nil, err
@@ -102,12 +102,12 @@
 
 func inflate(packed []byte) ([]byte, error) {
 	r := flate.NewReader(bytes.NewReader(packed))
-	out, err := io.ReadAll(io.LimitReader(r, maxUnpacked+1))
+	out, err := io.ReadAll(io.LimitReader(r, maxInflatedSize+1))
 	if err != nil {
 		return nil, errors.Wrap(err, "decompress a value")
 	}
-	if len(out) > maxUnpacked {
-		return nil, errors.Errorf("a compressed value exceeds %d bytes", maxUnpacked)
+	if len(out) > maxInflatedSize {
+		return nil, errors.Errorf("a compressed value exceeds %d bytes", maxInflatedSize)
 	}
 	return out, nil
 }
--- a/io/peer/pack_bench_test.go
+++ b/io/peer/pack_bench_test.go
@@ -8,8 +8,8 @@
 	"pearlatch/core/kv"
 )
 
-// storeOf returns what a store holds for n hosts before as many groups of three members, without the configuration.
-func storeOf(n int) kv.Snapshot {
+// storeSnapshot returns what a store holds for n hosts before as many groups of three members, without the configuration.
+func storeSnapshot(n int) kv.Snapshot {
 	random := rand.New(rand.NewPCG(1, 2))
 	s := kv.Snapshot{Revision: kv.Revision(7 * n)}
 	add := func(key, value string) {
@@ -36,7 +36,7 @@
 func BenchmarkWholeList(b *testing.B) {
 	for _, n := range []int{10, 195, 986, 2000, 10000} {
 		b.Run(fmt.Sprintf("hosts=%d", n), func(b *testing.B) {
-			s := storeOf(n)
+			s := storeSnapshot(n)
 			plain, err := encoding{}.Marshal(&listMessage{s.Items})
 			if err != nil {
 				b.Fatal(err)
@@ -44,7 +44,7 @@
 			b.ReportAllocs()
 			var packed []byte
 			for b.Loop() {
-				if packed, err = (&packer{}).packList(s); err != nil {
+				if packed, err = (&compressor{}).compressSnapshot(s); err != nil {
 					b.Fatal(err)
 				}
 			}
@@ -58,13 +58,13 @@
 func BenchmarkReadWholeList(b *testing.B) {
 	for _, n := range []int{10, 195, 986, 2000} {
 		b.Run(fmt.Sprintf("hosts=%d", n), func(b *testing.B) {
-			packed, err := (&packer{}).packList(storeOf(n))
+			packed, err := (&compressor{}).compressSnapshot(storeSnapshot(n))
 			if err != nil {
 				b.Fatal(err)
 			}
 			b.ReportAllocs()
 			for b.Loop() {
-				if _, err := unpackList(packed); err != nil {
+				if _, err := decompressItems(packed); err != nil {
 					b.Fatal(err)
 				}
 			}
--- a/io/peer/quota_messages.go
+++ b/io/peer/quota_messages.go
@@ -7,26 +7,26 @@
 	"pearlatch/internal/quotas"
 )
 
-// microUnits is how many parts an operation, or an operation per second, has on the wire.
-const microUnits = 1e6
+// microsPerUnit is how many parts an operation, or an operation per second, has on the wire.
+const microsPerUnit = 1e6
 
 // fraction writes a number that is not negative, in millionths.
 func (w *fieldWriter) fraction(name string, v float64) {
-	w.uint(name, uint64(math.Round(max(0, v)*microUnits)))
+	w.uint(name, uint64(math.Round(max(0, v)*microsPerUnit)))
 }
 
 // fraction reads what a fieldWriter's fraction wrote.
 func (r *fieldReader) fraction(v *float64) bool {
 	var n uint64
 	r.uint(&n)
-	*v = float64(n) / microUnits
+	*v = float64(n) / microsPerUnit
 	return true
 }
 
-// questionMessage is a quota.Question on the wire. The granter knows the quota by itself.
-type questionMessage quota.AccountRequest
+// accountRequestMessage is a quota.Question on the wire. The granter knows the quota by itself.
+type accountRequestMessage quota.AccountRequest
 
-func (m *questionMessage) fields(w *fieldWriter) {
+func (m *accountRequestMessage) fields(w *fieldWriter) {
 	w.str("account", m.Account)
 	w.uint("holding", m.HeldSerial)
 	w.fraction("tokens_u", m.Tokens)
@@ -36,7 +36,7 @@
 	w.fraction("room_u", m.Prefetch)
 }
 
-func (m *questionMessage) field(name string, r *fieldReader) bool {
+func (m *accountRequestMessage) field(name string, r *fieldReader) bool {
 	switch name {
 	case "account":
 		return r.str(&m.Account)
@@ -45,11 +45,11 @@
 	case "tokens_u":
 		return r.fraction(&m.Tokens)
 	case "back":
-		return readNumber(r, &m.Returned)
+		return readUint(r, &m.Returned)
 	case "demand_u":
 		return r.fraction(&m.Demand)
 	case "waiting":
-		return readNumber(r, &m.Waiting)
+		return readUint(r, &m.Waiting)
 	case "room_u":
 		return r.fraction(&m.Prefetch)
 	}
@@ -66,9 +66,9 @@
 	w.uint("id", m.Request.ID)
 	w.uint("heard", m.Request.LastAnswered)
 	w.uint("token", uint64(m.Request.FencingToken))
-	list := make([]questionMessage, len(m.Request.Accounts))
+	list := make([]accountRequestMessage, len(m.Request.Accounts))
 	for i, q := range m.Request.Accounts {
-		list[i] = questionMessage(q)
+		list[i] = accountRequestMessage(q)
 	}
 	writeList(w, "questions", list)
 }
@@ -86,9 +86,9 @@
 	case "heard":
 		return r.uint(&m.Request.LastAnswered)
 	case "token":
-		return readNumber(r, &m.Request.FencingToken)
+		return readUint(r, &m.Request.FencingToken)
 	case "questions":
-		var list []questionMessage
+		var list []accountRequestMessage
 		readList(r, &list)
 		for _, q := range list {
 			m.Request.Accounts = append(m.Request.Accounts, quota.AccountRequest(q))
@@ -125,7 +125,7 @@
 	case "lasts_us":
 		return r.duration(&m.TTL)
 	case "tokens":
-		return readNumber(r, &m.Tokens)
+		return readUint(r, &m.Tokens)
 	case "ahead_u":
 		return r.fraction(&m.Prefetched)
 	case "after_us":
@@ -180,7 +180,7 @@
 	case "host":
 		return r.str(&m.Host)
 	case "token":
-		return readNumber(r, &m.Token)
+		return readUint(r, &m.Token)
 	}
 	return false
 }
--- a/io/peer/server.go
+++ b/io/peer/server.go
@@ -39,20 +39,20 @@
 	Assume(ctx context.Context, m *Assume) (*Verdict, error)
 }
 
-// maxMessage bounds a message of the inner protocol, in bytes. A unit is one
+// maxMessageSize bounds a message of the inner protocol, in bytes. A unit is one
 // message, so it is a little more than a caller's largest message.
-const maxMessage = postgres.MaxFrame + 1<<20
+const maxMessageSize = postgres.MaxFrame + 1<<20
 
 // streamOptions are what both sides of a connection use.
 func streamOptions() drpcmanager.Options {
 	return drpcmanager.Options{
-		WriterBufferSize: writerBuffer,
-		Reader:           drpcwire.ReaderOptions{MaximumBufferSize: maxMessage},
+		WriterBufferSize: writerBufferSize,
+		Reader:           drpcwire.ReaderOptions{MaximumBufferSize: maxMessageSize},
 	}
 }
 
-// writerBuffer is how much drpc collects before it writes, in bytes.
-const writerBuffer = 4 << 10
+// writerBufferSize is how much drpc collects before it writes, in bytes.
+const writerBufferSize = 4 << 10
 
 // Serve answers hosts that connect to lis until ctx ends. A TLS configuration
 // that is not nil demands certificates from them.
@@ -134,8 +134,8 @@
 		if err := stream.MsgRecv(&in, encoding{}); err != nil {
 			return err
 		}
-		out, err := r.unit(stream, &x, &in, answer)
-		end := &answerMessage{end: true, outcome: out, data: answer.held}
+		out, err := r.runUnit(stream, &x, &in, answer)
+		end := &answerMessage{end: true, outcome: out, data: answer.buffered}
 		if err != nil {
 			end.refused, end.refusal = true, refusalOf(err)
 		}
@@ -148,37 +148,37 @@
 		if err := stream.MsgSend(end, encoding{}); err != nil {
 			return err
 		}
-		answer.held = answer.held[:0]
+		answer.buffered = answer.buffered[:0]
 	}
 }
 
-// shortAnswer is up to how many bytes of an answer wait for its end, to go with
+// maxBufferedAnswer is up to how many bytes of an answer wait for its end, to go with
 // it in one message. Longer parts are sent as they come.
-const shortAnswer = 8 << 10
+const maxBufferedAnswer = 8 << 10
 
 // answerWriter sends an answer. It holds a short last part back, which takes a
 // message less for most statements.
 type answerWriter struct {
-	stream drpc.Stream
-	held   []byte
+	stream   drpc.Stream
+	buffered []byte
 }
 
 func (w *answerWriter) write(b []byte) error {
-	if len(w.held) == 0 && len(b) <= shortAnswer {
-		w.held = append(w.held, b...)
+	if len(w.buffered) == 0 && len(b) <= maxBufferedAnswer {
+		w.buffered = append(w.buffered, b...)
 		return nil
 	}
-	if len(w.held) > 0 {
-		if err := w.stream.MsgSend(&answerMessage{data: w.held}, encoding{}); err != nil {
+	if len(w.buffered) > 0 {
+		if err := w.stream.MsgSend(&answerMessage{data: w.buffered}, encoding{}); err != nil {
 			return err
 		}
-		w.held = w.held[:0]
+		w.buffered = w.buffered[:0]
 		return w.write(b)
 	}
 	return w.stream.MsgSend(&answerMessage{data: b}, encoding{})
 }
 
-func (r *router) unit(stream drpc.Stream, x *Exchange, in *unitMessage, answer *answerWriter) (statement.Outcome, error) {
+func (r *router) runUnit(stream drpc.Stream, x *Exchange, in *unitMessage, answer *answerWriter) (statement.Outcome, error) {
 	if in.version != Version {
 		return statement.Outcome{}, statement.NewNotRunRefusal(postgres.CodeFeatureNotSupported,
 			"the owner of the group speaks another version of the inner protocol")
--- a/io/peer/stubsite_test.go
+++ b/io/peer/stubsite_test.go
@@ -21,13 +21,13 @@
 const (
 	stubGroup    = "lessons"
 	stubDatabase = "booking"
-	stubLeader   = "a"
-	// soon bounds waits for what happens without a signal. No test measures it.
-	soon = 10 * time.Second
+	stubPrimary  = "a"
+	// eventTimeout bounds waits for what happens without a signal. No test measures it.
+	eventTimeout = 10 * time.Second
 )
 
-// stubSite is a store, a promotion service and two members, the first of which leads.
-type stubSite struct {
+// stubBackend is a store, a promotion service and two members, the first of which leads.
+type stubBackend struct {
 	mu       sync.Mutex
 	revision kv.Revision
 	changed  chan struct{}
@@ -36,7 +36,7 @@
 	hold chan struct{}
 }
 
-func (s *stubSite) List(context.Context, kv.Range) (kv.Page, error) {
+func (s *stubBackend) List(context.Context, kv.Range) (kv.Page, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return kv.Page{Snapshot: kv.Snapshot{Revision: s.revision, Items: []kv.Item{
@@ -44,7 +44,7 @@
 	}}}, nil
 }
 
-func (s *stubSite) Watch(ctx context.Context, _ string, after kv.Revision, wait time.Duration) (kv.Snapshot, error) {
+func (s *stubBackend) Watch(ctx context.Context, _ string, after kv.Revision, wait time.Duration) (kv.Snapshot, error) {
 	s.mu.Lock()
 	changed := s.changed
 	s.mu.Unlock()
@@ -62,7 +62,7 @@
 }
 
 // change writes the next revision of the configuration.
-func (s *stubSite) change() {
+func (s *stubBackend) change() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.revision++
@@ -70,18 +70,18 @@
 	s.changed = make(chan struct{})
 }
 
-func (s *stubSite) Commit(context.Context, kv.Transaction) (kv.Revision, error) {
+func (s *stubBackend) Commit(context.Context, kv.Transaction) (kv.Revision, error) {
 	return 1, nil
 }
-func (s *stubSite) Grant(context.Context, time.Duration) (int64, error) { return 1, nil }
-func (s *stubSite) Renew(context.Context, int64) (kv.Epoch, error)      { return 0, nil }
-func (s *stubSite) End(context.Context, int64) error                    { return nil }
+func (s *stubBackend) Grant(context.Context, time.Duration) (int64, error) { return 1, nil }
+func (s *stubBackend) Renew(context.Context, int64) (kv.Epoch, error)      { return 0, nil }
+func (s *stubBackend) End(context.Context, int64) error                    { return nil }
 
-func (s *stubSite) RaiseToken(context.Context, string, int64, string) error { return nil }
+func (s *stubBackend) RaiseToken(context.Context, string, int64, string) error { return nil }
 
-func (s *stubSite) Promote(context.Context, string, int64, string, string) error { return nil }
+func (s *stubBackend) Promote(context.Context, string, int64, string, string) error { return nil }
 
-func (s *stubSite) Config([]byte) (*gateway.Config, error) {
+func (s *stubBackend) Config([]byte) (*gateway.Config, error) {
 	return &gateway.Config{
 		Version: 1,
 		Routes: map[string]gateway.Route{stubDatabase: {
@@ -92,24 +92,24 @@
 	}, nil
 }
 
-func (s *stubSite) Member(key string, _ []byte) (gateway.Member, error) {
+func (s *stubBackend) Member(key string, _ []byte) (gateway.Member, error) {
 	id := strings.TrimPrefix(key, "members/")
-	return gateway.Member{ID: id, Group: stubGroup, Zone: "z", Slots: 100, IsPrimary: id == stubLeader}, nil
+	return gateway.Member{ID: id, Group: stubGroup, Zone: "z", Slots: 100, IsPrimary: id == stubPrimary}, nil
 }
 
-func (s *stubSite) Dial(_ context.Context, m gateway.Member, _ string) (gateway.Conn, error) {
+func (s *stubBackend) Dial(_ context.Context, m gateway.Member, _ string) (gateway.Conn, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.conns++
-	return &stubConn{site: s, name: string(rune('A' + s.conns)), leads: m.ID == stubLeader}, nil
+	return &stubConn{backend: s, name: string(rune('A' + s.conns)), isPrimary: m.ID == stubPrimary}, nil
 }
 
 // stubConn answers each statement with a row that names the connection and the request.
 type stubConn struct {
-	site *stubSite
-	name string
-	// leads is true for a connection to the primary.
-	leads, open bool
+	backend *stubBackend
+	name    string
+	// isPrimary is true for a connection to the primary.
+	isPrimary, open bool
 }
 
 func (c *stubConn) Do(_ time.Duration, commands ...gateway.Command) ([]gateway.Reply, error) {
@@ -128,9 +128,9 @@
 	case gateway.Abort:
 		c.open = false
 	case gateway.RunStatement:
-		c.site.mu.Lock()
-		hold := c.site.hold
-		c.site.mu.Unlock()
+		c.backend.mu.Lock()
+		hold := c.backend.hold
+		c.backend.mu.Unlock()
 		if hold != nil {
 			<-hold
 		}
@@ -146,7 +146,7 @@
 }
 
 func (c *stubConn) Control(time.Duration, gateway.ControlCommand) (gateway.Status, error) {
-	return gateway.Status{IsPrimary: c.leads, Term: 1, Received: group.Position{Term: 1, LSN: 5}}, nil
+	return gateway.Status{IsPrimary: c.isPrimary, Term: 1, Received: group.Position{Term: 1, LSN: 5}}, nil
 }
 func (c *stubConn) Alive() bool  { return true }
 func (c *stubConn) Close() error { return nil }
@@ -159,7 +159,7 @@
 	stop    context.CancelFunc
 }
 
-func serveStub(t *testing.T, s *stubSite) *stubHost {
+func serveStub(t *testing.T, s *stubBackend) *stubHost {
 	t.Helper()
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -189,7 +189,7 @@
 		<-done
 		<-served
 	})
-	h.AwaitConfig(soon)
+	h.AwaitConfig(eventTimeout)
 	eventually(t, "the host is ready", h.Ready)
 	return out
 }
@@ -197,7 +197,7 @@
 // eventually waits until something holds.
 func eventually(t *testing.T, what string, holds func() bool) {
 	t.Helper()
-	for until := time.Now().Add(soon); !holds(); {
+	for until := time.Now().Add(eventTimeout); !holds(); {
 		if time.Now().After(until) {
 			t.Fatalf("not: %s", what)
 		}
@@ -210,8 +210,8 @@
 type stallableProxy struct {
 	addr netip.AddrPort
 	mu   sync.Mutex
-	// stalled is closed to silence the connections that are open.
-	stalled chan struct{}
+	// silenced is closed to silence the connections that are open.
+	silenced chan struct{}
 }
 
 func proxyTo(t *testing.T, to netip.AddrPort) *stallableProxy {
@@ -221,7 +221,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = lis.Close() })
-	p := &stallableProxy{addr: lis.Addr().(*net.TCPAddr).AddrPort(), stalled: make(chan struct{})}
+	p := &stallableProxy{addr: lis.Addr().(*net.TCPAddr).AddrPort(), silenced: make(chan struct{})}
 	go func() {
 		for {
 			in, err := lis.Accept()
@@ -234,7 +234,7 @@
 				continue
 			}
 			p.mu.Lock()
-			stalled := p.stalled
+			stalled := p.silenced
 			p.mu.Unlock()
 			go pump(in, out, stalled)
 			go pump(out, in, stalled)
@@ -246,8 +246,8 @@
 func (p *stallableProxy) stall() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	close(p.stalled)
-	p.stalled = make(chan struct{})
+	close(p.silenced)
+	p.silenced = make(chan struct{})
 }
 
 func pump(to io.WriteCloser, from io.ReadCloser, stalled chan struct{}) {
--- a/io/peer/traffic.go
+++ b/io/peer/traffic.go
@@ -24,7 +24,7 @@
 	closed  atomic.Bool
 }
 
-func (t *Traffic) wrap(conn net.Conn) net.Conn {
+func (t *Traffic) meter(conn net.Conn) net.Conn {
 	t.Conns.Add(1)
 	return &meteredConn{Conn: conn, traffic: t}
 }
@@ -59,5 +59,5 @@
 	if err != nil {
 		return nil, err
 	}
-	return l.traffic.wrap(conn), nil
+	return l.traffic.meter(conn), nil
 }
--- a/io/peer/unit.go
+++ b/io/peer/unit.go
@@ -48,13 +48,13 @@
 		r.message((*requestMessage)(m))
 		return true
 	case "kind":
-		return readNumber(r, &m.unit.Kind)
+		return readUint(r, &m.unit.Kind)
 	case "data":
 		return r.bytes(&m.unit.Data)
 	case "expect":
-		return readNumber(r, &m.unit.ReplyEnd)
+		return readUint(r, &m.unit.ReplyEnd)
 	case "replies":
-		return readNumber(r, &m.unit.Replies)
+		return readUint(r, &m.unit.Replies)
 	case "begins":
 		return r.bool(&m.unit.ControlsTransaction)
 	case "pins":
@@ -105,19 +105,19 @@
 	case "class":
 		r.str(&m.class)
 		class, err := freshness.ParseClass(m.class)
-		r.keep(err)
+		r.setErr(err)
 		q.Class = class
 		return true
 	case "priority":
-		return readNumber(r, &q.Priority)
+		return readUint(r, &q.Priority)
 	case "idempotent":
 		return r.bool(&q.Idempotent)
 	case "patience_us":
 		return r.duration(&q.ReplicaWait)
 	case "process":
-		return readNumber(r, &q.CancelKey.Process)
+		return readUint(r, &q.CancelKey.Process)
 	case "secret":
-		return readNumber(r, &q.CancelKey.Secret)
+		return readUint(r, &q.CancelKey.Secret)
 	}
 	return false
 }
