--- a/internal/host/owners.go
+++ b/internal/host/owners.go
@@ -86,12 +86,12 @@
 		Host: h.settings.Host, Group: g, User: c.User, Password: c.Password,
 		Local: h.settings.Peers.Addr(), Serial: h.ownerSerial.Add(1),
 		ControlBytes: &h.memberBytes,
-		Gone:         h.gone,
+		HostGone:     h.gone,
 		Yield:        func(to string) { h.done.Go(func() { h.yield(g.Name, to) }) },
 		Binding:      h.binding,
 		Unsafe:       h.unsafe,
 		Successor:    successor{host: h, group: g.Name},
-		Witness: func(ctx context.Context, m config.Member) upstream.Testimony {
+		Witness: func(ctx context.Context, m config.Member) upstream.WitnessResult {
 			return h.askWitnesses(ctx, g.Name, m.Name)
 		},
 		Logger: h.logger, Metrics: h.metrics,
--- a/internal/host/peers.go
+++ b/internal/host/peers.go
@@ -86,7 +86,7 @@
 	c := h.settings.Credentials[g.Credential]
 	o := upstream.Options{Host: h.settings.Host, Group: *g, User: c.User, Password: c.Password, Local: h.settings.Peers.Addr()}
 	member, ok := g.Member(m.Member)
-	return &peer.Verdict{Yes: ok && upstream.Reach(ctx, o, member)}, nil
+	return &peer.Verdict{Yes: ok && upstream.Reachable(ctx, o, member)}, nil
 }
 
 // Cancel implements peer.Handler.
@@ -234,7 +234,7 @@
 }
 
 // anyOf asks hosts in parallel and returns as soon as one said yes.
-func (h *Host) anyOf(hosts []membership.Host, ask func(membership.Host) bool) upstream.Testimony {
+func (h *Host) anyOf(hosts []membership.Host, ask func(membership.Host) bool) upstream.WitnessResult {
 	answers := make(chan string, len(hosts))
 	for _, other := range hosts {
 		h.done.Go(func() {
@@ -245,10 +245,10 @@
 			}
 		})
 	}
-	out := upstream.Testimony{Asked: len(hosts)}
+	out := upstream.WitnessResult{Asked: len(hosts)}
 	for range hosts {
 		if by := <-answers; by != "" {
-			out.Reached, out.By = 1, by
+			out.Reached, out.ReachedBy = 1, by
 			return out
 		}
 	}
@@ -256,7 +256,7 @@
 }
 
 // askWitnesses asks the next owners of the group whether they reach a member.
-func (h *Host) askWitnesses(ctx context.Context, group, member string) upstream.Testimony {
+func (h *Host) askWitnesses(ctx context.Context, group, member string) upstream.WitnessResult {
 	var next []membership.Host
 	for _, other := range h.ranked(group) {
 		if other.ID != h.settings.Host && len(next) < witnesses {
--- a/io/upstream/baseline.go
+++ b/io/upstream/baseline.go
@@ -21,8 +21,8 @@
 	session string
 }
 
-// toPrimary reports whether the rule sends the unit to the primary.
-func (f *fixedPrimary) toPrimary(fixed time.Duration, r *statement.Request, kind statement.Kind) bool {
+// routesToPrimary reports whether the rule sends the unit to the primary.
+func (f *fixedPrimary) routesToPrimary(fixed time.Duration, r *statement.Request, kind statement.Kind) bool {
 	if fixed <= 0 {
 		return false
 	}
--- a/io/upstream/bind.go
+++ b/io/upstream/bind.go
@@ -8,17 +8,17 @@
 	"pearlatch/core/statement"
 )
 
-// ask has the members asked again and again while a read waits that no replica
+// probeWhileStale has the members asked again and again while a read waits that no replica
 // was fresh enough for, until the returned function is called. Reads that wait
 // for a connection learn nothing from that.
-func (p *pool) ask(w *want) (done func()) {
+func (p *pool) probeWhileStale(w *connRequest) (done func()) {
 	v, now := p.owner.view(), time.Now()
 	for i := range v.members {
-		if v.serves(i, w.need, now) {
+		if v.canServe(i, w.requirement, now) {
 			return func() {}
 		}
 	}
-	if wait, ok := p.owner.replicaWait(w.need, now); !ok || wait > w.primaryAt.Sub(now) {
+	if wait, ok := p.owner.replicaWait(w.requirement, now); !ok || wait > w.primaryAt.Sub(now) {
 		// Patience would end in vain.
 		p.mu.Lock()
 		w.primaryAt = now
@@ -26,20 +26,20 @@
 		p.dispatch()
 		return func() {}
 	}
-	p.count(1)
-	p.owner.kickAll()
-	return func() { p.count(-1) }
+	p.addStaleReads(1)
+	p.owner.probeAll()
+	return func() { p.addStaleReads(-1) }
 }
 
-func (p *pool) count(stale int) {
+func (p *pool) addStaleReads(stale int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.stale += stale
+	p.staleReads += stale
 }
 
-// bind chooses the member of a read on its arrival, for early bindings. bound
+// bindEarly chooses the member of a read on its arrival, for early bindings. bound
 // counts the requests of each member.
-func (p *pool) bind(w *want) {
+func (p *pool) bindEarly(w *connRequest) {
 	w.member = group.NoMember
 	if p.owner.options.Binding == Late || w.kind != statement.Read {
 		return
@@ -47,7 +47,7 @@
 	v, now := p.owner.view(), time.Now()
 	var fit []int
 	for i := range v.members {
-		if v.serves(i, w.need, now) {
+		if v.canServe(i, w.requirement, now) {
 			fit = append(fit, i)
 		}
 	}
@@ -56,53 +56,53 @@
 		fit = fit[:2]
 	}
 	for _, i := range fit {
-		if w.member == group.NoMember || p.members[i].bound < p.members[w.member].bound {
+		if w.member == group.NoMember || p.members[i].boundReads < p.members[w.member].boundReads {
 			w.member = i
 		}
 	}
 	if w.member != group.NoMember {
-		p.members[w.member].bound++
+		p.members[w.member].boundReads++
 	}
 }
 
-// direct returns a free connection for w if nothing waits before it.
-func (p *pool) direct(w *want) *conn {
+// acquireDirect returns a free connection for w if nothing waits before it.
+func (p *pool) acquireDirect(w *connRequest) *conn {
 	if p.closed || p.queue.Len() > 0 {
 		return nil
 	}
 	v, now := p.owner.view(), time.Now()
-	c := p.find(v, w, now)
+	c := p.findConn(v, w, now)
 	if c != nil {
-		c.take(v, now)
+		c.markAcquired(v, now)
 	}
 	return c
 }
 
-// find takes an idle connection that may serve w. Without one it opens a
+// findConn takes an idle connection that may serve w. Without one it opens a
 // connection if there is room, and returns nil.
-func (p *pool) find(v *view, w *want, now time.Time) *conn {
+func (p *pool) findConn(v *view, w *connRequest, now time.Time) *conn {
 	if w.kind == statement.Write {
-		if !v.confirmable(now, p.owner.confirmPatience()) {
+		if !v.canConfirmWrites(now, p.owner.confirmationTTL()) {
 			return nil
 		}
-		return p.from(v.primary, p.primaryCap, now)
+		return p.idleConn(v.primary, p.primaryCap, now)
 	}
-	if c := p.findReplica(v, w, now); c != nil {
+	if c := p.findReplicaConn(v, w, now); c != nil {
 		return c
 	}
-	if v.confirmable(now, p.owner.confirmPatience()) && !now.Before(w.primaryAt) {
-		return p.from(v.primary, p.primaryCap, now)
+	if v.canConfirmWrites(now, p.owner.confirmationTTL()) && !now.Before(w.primaryAt) {
+		return p.idleConn(v.primary, p.primaryCap, now)
 	}
 	return nil
 }
 
-// findReplica takes a connection to the least busy replica that serves w and has
+// findReplicaConn takes a connection to the least busy replica that serves w and has
 // one free. Only when none has is a connection opened: that takes longer than
 // most reads.
-func (p *pool) findReplica(v *view, w *want, now time.Time) *conn {
+func (p *pool) findReplicaConn(v *view, w *connRequest, now time.Time) *conn {
 	best, spare := group.NoMember, group.NoMember
 	for i := range v.members {
-		if !v.serves(i, w.need, now) || w.member != group.NoMember && w.member != i {
+		if !v.canServe(i, w.requirement, now) || w.member != group.NoMember && w.member != i {
 			continue
 		}
 		if len(p.members[i].idle) > 0 {
@@ -117,7 +117,7 @@
 	if best == group.NoMember {
 		return nil
 	}
-	return p.from(best, p.replicaCap, now)
+	return p.idleConn(best, p.replicaCap, now)
 }
 
 // lessBusy returns the less busy of two members, the first of which may be none.
@@ -128,8 +128,8 @@
 	return a
 }
 
-// from takes an idle connection to member i, or begins to open one.
-func (p *pool) from(i, limit int, now time.Time) *conn {
+// idleConn takes an idle connection to member i, or begins to open one.
+func (p *pool) idleConn(i, limit int, now time.Time) *conn {
 	m := &p.members[i]
 	for len(m.idle) > 0 {
 		c := m.idle[len(m.idle)-1]
@@ -141,6 +141,6 @@
 		m.busy[c] = struct{}{}
 		return c
 	}
-	p.openMore(i, limit, now)
+	p.tryOpen(i, limit, now)
 	return nil
 }
--- a/io/upstream/confirm.go
+++ b/io/upstream/confirm.go
@@ -12,8 +12,8 @@
 // errUnconfirmed means that the write may or may not survive.
 var errUnconfirmed = errors.New("the outcome could not be confirmed")
 
-// waiter waits until what the primary held after since is confirmed.
-type waiter struct {
+// confirmWaiter waits until what the primary held after since is confirmed.
+type confirmWaiter struct {
 	term  group.Term
 	since time.Time
 	// target is an upper bound of the write's end: the primary's position asked
@@ -25,11 +25,11 @@
 // confirm waits until a majority holds everything that the primary of term had
 // written by now, and returns a position that includes it.
 func (o *Owner) confirm(ctx context.Context, term group.Term) (group.Position, error) {
-	w := &waiter{term: term, since: time.Now(), done: make(chan error, 1)}
+	w := &confirmWaiter{term: term, since: time.Now(), done: make(chan error, 1)}
 	o.mu.Lock()
 	o.waiters[w] = struct{}{}
 	o.mu.Unlock()
-	o.kickAll()
+	o.probeAll()
 	var err error
 	select {
 	case err = <-w.done:
@@ -43,9 +43,9 @@
 	return p, err
 }
 
-// settle answers the waiters that the samples allow to be answered. o.mu is
+// resolveWaiters answers the waiters that the samples allow to be answered. o.mu is
 // held and l's control connection is that of the primary's sample.
-func (o *Owner) settle(l *lead) {
+func (o *Owner) resolveWaiters(l *leadership) {
 	if len(o.waiters) == 0 {
 		return
 	}
@@ -53,25 +53,25 @@
 	waiting := false
 	for w := range o.waiters {
 		if w.term != l.term {
-			o.resolve(w, l)
+			o.resolveEndedTerm(w, l)
 			waiting = true
 			continue
 		}
 		if w.target == 0 && !primary.SentAt.Before(w.since) {
 			w.target = primary.Status.Received
 		}
-		if o.confirmed(w, l) {
-			o.finish(w, nil)
+		if o.isConfirmed(w, l) {
+			o.finishWaiter(w, nil)
 			continue
 		}
 		waiting = true
 	}
 	if waiting {
-		o.kickAll()
+		o.probeAll()
 	}
 }
 
-func (o *Owner) confirmed(w *waiter, l *lead) bool {
+func (o *Owner) isConfirmed(w *confirmWaiter, l *leadership) bool {
 	if w.target == 0 || time.Now().Before(l.ackAfter) {
 		return false
 	}
@@ -79,19 +79,19 @@
 	return ok && c.LSN >= w.target
 }
 
-// resolve decides a waiter whose term has ended. The promoted member's log tells
+// resolveEndedTerm decides a waiter whose term has ended. The promoted member's log tells
 // whether the write survived: it does if its upper bound is included, and then
 // the waiter goes on until the new term's first record is confirmed. If not, the
 // write itself may still lie below, so the outcome stays unknown.
-func (o *Owner) resolve(w *waiter, l *lead) {
+func (o *Owner) resolveEndedTerm(w *confirmWaiter, l *leadership) {
 	if w.target == 0 || w.term != o.lastTerm || w.target > o.lastEnd {
-		o.finish(w, errUnconfirmed)
+		o.finishWaiter(w, errUnconfirmed)
 		return
 	}
 	w.term, w.target, w.since = l.term, l.floor.LSN, time.Now()
 }
 
-func (o *Owner) finish(w *waiter, err error) {
+func (o *Owner) finishWaiter(w *confirmWaiter, err error) {
 	delete(o.waiters, w)
 	w.done <- err
 }
@@ -100,7 +100,7 @@
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	for w := range o.waiters {
-		o.finish(w, errUnconfirmed)
+		o.finishWaiter(w, errUnconfirmed)
 	}
 }
 
@@ -115,8 +115,8 @@
 		if v.phase == Stopped {
 			return errUnconfirmed
 		}
-		o.kickAll()
-		t := time.NewTimer(leasePoll)
+		o.probeAll()
+		t := time.NewTimer(leasePollInterval)
 		select {
 		case <-t.C:
 		case <-ctx.Done():
@@ -126,5 +126,5 @@
 	}
 }
 
-// leasePoll is how often awaitLease looks again.
-const leasePoll = time.Millisecond
+// leasePollInterval is how often awaitLease looks again.
+const leasePollInterval = time.Millisecond
--- a/io/upstream/conn.go
+++ b/io/upstream/conn.go
@@ -33,19 +33,19 @@
 
 	// prepared holds the named statements of the connection; order lists them
 	// oldest first.
-	prepared map[string]bool
-	order    []string
-	out      []byte // reused for what is sent
+	prepared      map[string]bool
+	preparedOrder []string
+	out           []byte // reused for what is sent
 
-	taken time.Time // when the present exchange took it
+	acquiredAt time.Time // when the present exchange took it
 	// term and replica are what the member was when the exchange took the
 	// connection. A promotion may follow at once: a write on what was the primary
 	// then must not pass for a read of a replica, which needs no confirmation.
 	term    group.Term
 	replica bool
-	// doomed is set, under the pool's lock, when the connection must not be
+	// unusable is set, under the pool's lock, when the connection must not be
 	// used again. Its exchange closes it.
-	doomed bool
+	unusable bool
 	// dirty is set when session state must be reset before the next exchange.
 	dirty bool
 }
@@ -113,15 +113,15 @@
 		if c.prepared[p.Name] {
 			continue
 		}
-		if len(c.order) >= maxPrepared {
-			out = appendClose(out, c.order[0])
-			delete(c.prepared, c.order[0])
-			c.order = c.order[1:]
+		if len(c.preparedOrder) >= maxPrepared {
+			out = appendClose(out, c.preparedOrder[0])
+			delete(c.prepared, c.preparedOrder[0])
+			c.preparedOrder = c.preparedOrder[1:]
 			extra++
 		}
 		out = append(out, p.Parse...)
 		c.prepared[p.Name] = true
-		c.order = append(c.order, p.Name)
+		c.preparedOrder = append(c.preparedOrder, p.Name)
 		extra++
 	}
 	out = append(out, u.Data...)
@@ -142,25 +142,25 @@
 	return encoded
 }
 
-// forget drops what is known of the named statements. It is called after an
+// forgetPrepared drops what is known of the named statements. It is called after an
 // error in a unit that prepared some: which of them exist is not known, and to
 // prepare one twice is an error.
-func (c *conn) forget(names []statement.Prepared) {
+func (c *conn) forgetPrepared(names []statement.Prepared) {
 	for _, p := range names {
 		delete(c.prepared, p.Name)
 	}
 	c.dirty = true
 }
 
-// resetBudget bounds the reset of a connection's session state.
-const resetBudget = time.Second
+// resetTimeout bounds the reset of a connection's session state.
+const resetTimeout = time.Second
 
 // discardAll is a simple query that resets the session.
-var discardAll = simpleQuery("DISCARD ALL")
+var discardAll = encodeQuery("DISCARD ALL")
 
 // reset brings the session back to its first state.
 func (c *conn) reset() error {
-	_ = c.net.SetDeadline(time.Now().Add(resetBudget))
+	_ = c.net.SetDeadline(time.Now().Add(resetTimeout))
 	if _, err := c.net.Write(discardAll); err != nil {
 		return errors.Wrap(err, "reset session")
 	}
@@ -171,7 +171,7 @@
 	if status != postgres.StatusIdle {
 		return errors.New("reset session: a transaction is open")
 	}
-	c.prepared, c.order, c.dirty = map[string]bool{}, nil, false
+	c.prepared, c.preparedOrder, c.dirty = map[string]bool{}, nil, false
 	return c.net.SetDeadline(time.Time{})
 }
 
@@ -191,8 +191,8 @@
 
 func (c *conn) close() { _ = c.net.Close() }
 
-// take records that an exchange takes the connection, as the owner sees the
+// markAcquired records that an exchange takes the connection, as the owner sees the
 // group at that moment.
-func (c *conn) take(v *view, now time.Time) {
-	c.taken, c.term, c.replica = now, v.term, c.member != v.primary
+func (c *conn) markAcquired(v *view, now time.Time) {
+	c.acquiredAt, c.term, c.replica = now, v.term, c.member != v.primary
 }
--- a/io/upstream/conn_test.go
+++ b/io/upstream/conn_test.go
@@ -14,12 +14,12 @@
 func TestConnectionRemembersThePrimaryItWasTakenUnder(t *testing.T) {
 	before := &view{phase: Serving, primary: 0, term: 3}
 	c := &conn{member: 0}
-	c.take(before, time.Now())
+	c.markAcquired(before, time.Now())
 	after := &view{phase: Serving, primary: 1, term: 4}
 	if c.replica || c.term != 3 {
 		t.Errorf("replica %v, term %d; want the primary of term 3, whatever %+v says", c.replica, c.term, *after)
 	}
-	c.take(after, time.Now())
+	c.markAcquired(after, time.Now())
 	if !c.replica || c.term != 4 {
 		t.Errorf("replica %v, term %d; want a replica in term 4", c.replica, c.term)
 	}
@@ -49,7 +49,7 @@
 
 func TestHostOfApp(t *testing.T) {
 	o := Options{Host: "host-1", Serial: 3}
-	if got := hostOfApp(appName(o)); got != "host-1" {
+	if got := hostFromAppName(appName(o)); got != "host-1" {
 		t.Errorf("hostOfApp(%q) = %q", appName(o), got)
 	}
 }
--- a/io/upstream/dial.go
+++ b/io/upstream/dial.go
@@ -89,8 +89,8 @@
 	return fmt.Sprintf("%s%s/%d", AppPrefix, o.Host, o.Serial)
 }
 
-// hostOfApp returns the host in an application_name, or the empty string.
-func hostOfApp(app string) string {
+// hostFromAppName returns the host in an application_name, or the empty string.
+func hostFromAppName(app string) string {
 	host, _, _ := strings.Cut(strings.TrimPrefix(app, AppPrefix), "/")
 	return host
 }
@@ -106,13 +106,13 @@
 // keepAliveIdle is how long a connection is silent before the kernel probes it.
 const keepAliveIdle = 5 * time.Second
 
-// refused reports whether err shows that no process listens at the member. A
+// isConnRefused reports whether err shows that no process listens at the member. A
 // reset connection does not show that, since an operator may end any session,
 // and neither does silence.
-func refused(err error) bool { return errors.Is(err, syscall.ECONNREFUSED) }
+func isConnRefused(err error) bool { return errors.Is(err, syscall.ECONNREFUSED) }
 
-// one runs a statement that returns at most one row and returns its columns.
-func one(ctx context.Context, conn *pgconn.PgConn, sql string) ([]string, error) {
+// queryRow runs a statement that returns at most queryRow row and returns its columns.
+func queryRow(ctx context.Context, conn *pgconn.PgConn, sql string) ([]string, error) {
 	results, err := conn.Exec(ctx, sql).ReadAll()
 	if err != nil {
 		return nil, err
@@ -123,10 +123,10 @@
 	return textRow(results[0].Rows[0]), nil
 }
 
-// batch runs statements, each in a transaction of its own, in one round trip. It
+// execBatch runs statements, each in a transaction of its own, in one round trip. It
 // returns the first row of each, or the first error; the statements after a
 // failed one run all the same.
-func batch(ctx context.Context, conn *pgconn.PgConn, statements ...string) ([][]string, error) {
+func execBatch(ctx context.Context, conn *pgconn.PgConn, statements ...string) ([][]string, error) {
 	pipeline := conn.StartPipeline(ctx)
 	for _, sql := range statements {
 		pipeline.SendQueryParams(sql, nil, nil, nil, nil)
@@ -173,8 +173,8 @@
 	return out
 }
 
-// column runs a statement and returns the first column of its rows.
-func column(ctx context.Context, conn *pgconn.PgConn, sql string) ([]string, error) {
+// queryColumn runs a statement and returns the first queryColumn of its rows.
+func queryColumn(ctx context.Context, conn *pgconn.PgConn, sql string) ([]string, error) {
 	results, err := conn.Exec(ctx, sql).ReadAll()
 	if err != nil || len(results) == 0 {
 		return nil, err
@@ -186,9 +186,9 @@
 	return out, nil
 }
 
-// askStatus probes a member.
-func askStatus(ctx context.Context, conn *pgconn.PgConn) (group.Status, error) {
-	row, err := one(ctx, conn, StatusSQL)
+// queryStatus probes a member.
+func queryStatus(ctx context.Context, conn *pgconn.PgConn) (group.Status, error) {
+	row, err := queryRow(ctx, conn, StatusSQL)
 	if err != nil {
 		return group.Status{}, err
 	}
@@ -204,8 +204,8 @@
 	return pkgerrors.Wrap(err, "prepare the probe")
 }
 
-// askPrepared probes a member over a connection on which prepareStatus ran.
-func askPrepared(ctx context.Context, conn *pgconn.PgConn) (group.Status, error) {
+// queryStatusPrepared probes a member over a connection on which prepareStatus ran.
+func queryStatusPrepared(ctx context.Context, conn *pgconn.PgConn) (group.Status, error) {
 	got := conn.ExecPrepared(ctx, statusStatement, nil, nil, nil).Read()
 	if got.Err != nil {
 		return group.Status{}, got.Err
@@ -274,8 +274,8 @@
 	return pkgerrors.Wrapf(err, "cancel on member %s", member.Name)
 }
 
-// Reach reports whether the member answers a probe over a new connection.
-func Reach(ctx context.Context, o Options, member config.Member) bool {
+// Reachable reports whether the member answers a probe over a new connection.
+func Reachable(ctx context.Context, o Options, member config.Member) bool {
 	d := newDialer(o)
 	d.app = probePrefix + o.Host
 	conn, err := d.connect(ctx, member)
@@ -283,7 +283,7 @@
 		return false
 	}
 	defer closeNow(conn)
-	_, err = askStatus(ctx, conn)
+	_, err = queryStatus(ctx, conn)
 	return err == nil
 }
 
--- a/io/upstream/exchange.go
+++ b/io/upstream/exchange.go
@@ -26,14 +26,14 @@
 	mu   sync.Mutex
 	conn *conn
 
-	term    group.Term // under which conn was taken
-	replica bool       // conn leads to a replica
-	need    freshness.Requirement
-	wrote   bool // a unit of the open transaction may have written
-	open    bool // the exchange goes on after its last unit
-	pinned  bool
-	passed  bool // a part of the present answer was passed on
-	buf     []byte
+	term        group.Term // under which conn was taken
+	replica     bool       // conn leads to a replica
+	requirement freshness.Requirement
+	wrote       bool // a unit of the open transaction may have written
+	open        bool // the exchange goes on after its last unit
+	pinned      bool
+	delivered   bool // a part of the present answer was delivered on
+	buf         []byte
 }
 
 // Begin opens an exchange. Nothing is sent until its first unit.
@@ -48,24 +48,24 @@
 	for {
 		first := x.conn == nil
 		if first {
-			if err := x.take(ctx, u); err != nil {
+			if err := x.acquireConn(ctx, u); err != nil {
 				return statement.Outcome{}, err
 			}
 		}
 		run := x.run
-		if x.once(u) {
+		if x.runsAtMostOnce(u) {
 			run = x.runOnce
 		}
 		out, err := run(ctx, u, sink)
 		if err == nil {
 			out.Wrote = u.Kind == statement.Write
 			if !out.Continues() {
-				x.finish(true)
+				x.releaseConn(true)
 			}
 			return out, nil
 		}
-		x.finish(errors.Is(err, errReadOnly) || x.owner.options.Unsafe.ReuseUndrained)
-		if first && x.again(u, err) {
+		x.releaseConn(errors.Is(err, errReadOnly) || x.owner.options.Unsafe.ReuseUndrained)
+		if first && x.prepareRetry(u, err) {
 			continue
 		}
 		return statement.Outcome{}, x.refusal(u, err)
@@ -75,11 +75,11 @@
 // errReadOnly means that a replica refused a unit before running it.
 var errReadOnly = errors.New("the replica refused a write")
 
-// errRead means that the connection failed before the answer was complete.
-var errRead = errors.New("the connection failed")
+// errConnFailed means that the connection failed before the answer was complete.
+var errConnFailed = errors.New("the connection failed")
 
-// again reports whether a failed first unit may be run anew, and prepares that.
-func (x *Exchange) again(u *statement.Unit, err error) bool {
+// prepareRetry reports whether a failed first unit may be run anew, and prepares that.
+func (x *Exchange) prepareRetry(u *statement.Unit, err error) bool {
 	if !time.Now().Before(u.Deadline) {
 		return false
 	}
@@ -88,9 +88,9 @@
 		u.Kind = statement.Write
 		x.request.NeverWrote = false
 		return true
-	case x.passed:
+	case x.delivered:
 		return false
-	case errors.Is(err, errRead), errors.Is(err, errUnconfirmed):
+	case errors.Is(err, errConnFailed), errors.Is(err, errUnconfirmed):
 		// A read may run any number of times. It includes units that only
 		// prepare or describe. The ledger lets a request with an identifier run
 		// once.
@@ -112,24 +112,24 @@
 	return &statement.Refusal{Code: postgres.CodeTransactionUnknown, Reason: reason}
 }
 
-// take acquires a connection for the unit.
-func (x *Exchange) take(ctx context.Context, u *statement.Unit) error {
+// acquireConn acquires a connection for the unit.
+func (x *Exchange) acquireConn(ctx context.Context, u *statement.Unit) error {
 	kind := u.Kind
 	if u.RequestID != "" {
 		kind = statement.Write
 	}
-	x.owner.touch()
-	x.need = x.owner.need(x.request)
-	if _, latest := x.request.Class.(freshness.Latest); latest || x.owner.fixed.toPrimary(x.owner.options.Unsafe.FixedPrimary, x.request, kind) {
+	x.owner.recordRequest()
+	x.requirement = x.owner.requirement(x.request)
+	if _, latest := x.request.Class.(freshness.Latest); latest || x.owner.fixed.routesToPrimary(x.owner.options.Unsafe.FixedPrimary, x.request, kind) {
 		kind = statement.Write
 	}
-	w := &want{
-		request:   x.request,
-		kind:      kind,
-		need:      x.need,
-		primaryAt: time.Now().Add(x.request.ReplicaWait),
-		deadline:  u.Deadline,
-		ready:     make(chan *conn, 1),
+	w := &connRequest{
+		request:     x.request,
+		kind:        kind,
+		requirement: x.requirement,
+		primaryAt:   time.Now().Add(x.request.ReplicaWait),
+		deadline:    u.Deadline,
+		ready:       make(chan *conn, 1),
 	}
 	c, err := x.owner.pool.acquire(ctx, w, u.Deadline)
 	if err != nil {
@@ -140,11 +140,11 @@
 	x.conn = c
 	x.mu.Unlock()
 	x.term, x.replica, x.wrote = c.term, c.replica, false
-	x.count(u)
+	x.countUnit(u)
 	return nil
 }
 
-func (x *Exchange) count(u *statement.Unit) {
+func (x *Exchange) countUnit(u *statement.Unit) {
 	switch {
 	case x.replica:
 		x.owner.stats.replicaReads.Inc(1)
@@ -155,8 +155,8 @@
 	}
 }
 
-// need returns what the request's reads ask of a member.
-func (o *Owner) need(r *statement.Request) freshness.Requirement {
+// requirement returns what the request's reads ask of a member.
+func (o *Owner) requirement(r *statement.Request) freshness.Requirement {
 	n := freshness.Requirement{Class: r.Class}
 	if r.NeverWrote || o.options.Unsafe.IgnoreMarks || o.options.Unsafe.FixedPrimary > 0 {
 		return n
@@ -168,8 +168,8 @@
 	return n
 }
 
-// finish gives the connection back, or closes it if it is not clean.
-func (x *Exchange) finish(clean bool) {
+// releaseConn gives the connection back, or closes it if it is not clean.
+func (x *Exchange) releaseConn(clean bool) {
 	x.mu.Lock()
 	c := x.conn
 	x.conn = nil
@@ -185,7 +185,7 @@
 // Close ends the exchange. A connection in the middle of a transaction is
 // closed, which rolls it back.
 func (x *Exchange) Close() {
-	x.finish(false)
+	x.releaseConn(false)
 }
 
 // Cancel asks the member to cancel the running statement. The connection is not
@@ -198,6 +198,6 @@
 	if c == nil {
 		return nil
 	}
-	x.owner.pool.doom(c)
+	x.owner.pool.markUnusable(c)
 	return x.owner.pool.dialer.cancel(ctx, x.owner.options.Group.Members[c.member], c)
 }
--- a/io/upstream/failover.go
+++ b/io/upstream/failover.go
@@ -20,25 +20,25 @@
 	witnessTimeout = 150 * time.Millisecond
 	lockTimeout    = time.Second
 	attachTimeout  = 2 * time.Second
-	// lockPatience is how long another session may hold the owner lock before
+	// lockHolderTimeout is how long another session may hold the owner lock before
 	// it is ended. It is longer than an owner needs to hand a group over when no
 	// transaction is open.
-	lockPatience = 300 * time.Millisecond
-	// maxForced bounds the doubling of lockPatience: two hosts that cannot agree
+	lockHolderTimeout = 300 * time.Millisecond
+	// maxForcedDoublings bounds the doubling of lockPatience: two hosts that cannot agree
 	// on who owns the group must not take the lock from each other in turns.
-	maxForced = 5
-	// leaseMargin lengthens the wait for an earlier owner's lease by a quarter,
+	maxForcedDoublings = 5
+	// leaseMarginDivisor lengthens the wait for an earlier owner's lease by a quarter,
 	// more than the clocks of two hosts drift apart in that time.
-	leaseMargin = 4
+	leaseMarginDivisor = 4
 	// sweepInterval is how often the sessions of an owner that hands the group
 	// over are counted.
 	sweepInterval = 50 * time.Millisecond
-	// rivalPatience is how long another host's promotion is waited for, doubled
+	// rivalBackoff is how long another host's promotion is waited for, doubled
 	// with each one up to maxRivals times.
-	rivalPatience = 500 * time.Millisecond
-	maxRivals     = 4
-	// retryPause is the pause before a failed step is tried again.
-	retryPause = 200 * time.Millisecond
+	rivalBackoff      = 500 * time.Millisecond
+	maxRivalDoublings = 4
+	// retryDelay is the pause before a failed step is tried again.
+	retryDelay = 200 * time.Millisecond
 )
 
 // takeLock becomes owner under the present primary.
@@ -79,7 +79,7 @@
 // setPhase changes the phase, unless the owner was stopped.
 func (o *Owner) setPhase(p Phase) {
 	o.mu.Lock()
-	if o.phase < Handing {
+	if o.phase < HandingOver {
 		o.phase = p
 	}
 	o.publish()
@@ -91,7 +91,7 @@
 func (o *Owner) retryLater() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.notBefore = time.Now().Add(retryPause)
+	o.notBefore = time.Now().Add(retryDelay)
 }
 
 func (o *Owner) logStep(step string, member int, err error, more ...any) {
@@ -114,23 +114,23 @@
 	var got bool
 	err := o.probers[a.primary].do(ctx, func(ctx context.Context, conn *pgconn.PgConn, number uint64) error {
 		var err error
-		got, err = o.lockOn(ctx, conn)
+		got, err = o.tryOwnerLock(ctx, conn)
 		if err != nil || !got {
 			return err
 		}
 		taken := time.Now()
-		status, err := askStatus(ctx, conn)
+		status, err := queryStatus(ctx, conn)
 		if err != nil {
 			return err
 		}
 		s := group.Sample{Status: status, SentAt: taken, ReceivedAt: time.Now()}
-		return o.begin(s, number, a.primary, a.term, o.ackAfter(taken))
+		return o.beginLeadership(s, number, a.primary, a.term, o.ackTime(taken))
 	})
 	if err != nil {
 		o.logStep("take_owner_lock", a.primary, err)
 	}
 	if err != nil || !got {
-		pause(ctx, reconnectPause)
+		sleep(ctx, reconnectDelay)
 		return
 	}
 	o.sweep(ctx)
@@ -147,7 +147,7 @@
 	var total atomic.Int64
 	var wg sync.WaitGroup
 	for i, p := range o.probers {
-		if !o.present(i) {
+		if !o.isPresent(i) {
 			continue
 		}
 		wg.Go(func() {
@@ -163,15 +163,15 @@
 	}
 	wg.Wait()
 	o.mu.Lock()
-	o.strangers, o.swept = int(total.Load()), time.Now()
+	o.foreignSessions, o.sweptAt = int(total.Load()), time.Now()
 	o.mu.Unlock()
-	o.pool.reserve(int(total.Load()))
+	o.pool.reserveForeign(int(total.Load()))
 }
 
 // promote replaces the primary after other hosts were asked about it.
 func (o *Owner) promote(ctx context.Context, a promote) {
 	if a.suspect != group.NoMember {
-		if by := o.vouched(ctx, a.suspect); by != "" {
+		if by := o.hostReaching(ctx, a.suspect); by != "" {
 			o.retryLater()
 			if o.options.Yield != nil {
 				o.options.Yield(by)
@@ -182,7 +182,7 @@
 	o.stats.promotions.Inc(1)
 	o.logStep("promote", a.suspect, nil, "highest_term", uint64(a.highest))
 	o.setPhase(Promoting)
-	if err := o.replace(ctx, a.highest); err != nil {
+	if err := o.replacePrimary(ctx, a.highest); err != nil {
 		o.logStep("promote", group.NoMember, err)
 		o.setPhase(Starting)
 		o.retryLater()
@@ -192,10 +192,10 @@
 	o.sweep(ctx)
 }
 
-// vouched returns another host that reaches the member, or the empty string.
+// hostReaching returns another host that reaches the member, or the empty string.
 // With one, only the way from this host to the member is broken: a promotion
 // would be false, and the other host can own the group.
-func (o *Owner) vouched(ctx context.Context, member int) string {
+func (o *Owner) hostReaching(ctx context.Context, member int) string {
 	if o.options.Witness == nil {
 		return ""
 	}
@@ -203,19 +203,19 @@
 	defer cancel()
 	t := o.options.Witness(ctx, o.options.Group.Members[member])
 	o.logStep("ask_witnesses", member, nil, "asked", t.Asked, "answered", t.Answered, "reached", t.Reached)
-	return t.By
+	return t.ReachedBy
 }
 
-// replace fences a majority in a new term and promotes the best of it.
-func (o *Owner) replace(ctx context.Context, highest group.Term) error {
+// replacePrimary fences a majority in a new term and promotes the best of it.
+func (o *Owner) replacePrimary(ctx context.Context, highest group.Term) error {
 	ctx, cancel := context.WithTimeout(ctx, promoteTimeout)
 	defer cancel()
 	fence := group.Fence{Term: highest + 1, Host: o.options.Host}
-	held := o.heldLock()
+	held := o.lockedPrimary()
 	fenced := o.fenceAll(ctx, fence)
-	ackAfter := o.afterLease(time.Now())
+	ackAfter := o.leaseExpiry(time.Now())
 	for _, f := range fenced {
-		if f.Member == held && held == o.heldLock() {
+		if f.Member == held && held == o.lockedPrimary() {
 			// The lock was ours until its primary was fenced, so that no other
 			// owner can have a lease.
 			ackAfter = time.Now()
@@ -227,7 +227,7 @@
 	}
 	o.attachOthers(ctx, fenced, best.Member, fence)
 	err := o.probers[best.Member].do(ctx, func(ctx context.Context, conn *pgconn.PgConn, number uint64) error {
-		return o.install(ctx, conn, number, best, fence, ackAfter)
+		return o.promoteMember(ctx, conn, number, best, fence, ackAfter)
 	})
 	if err != nil {
 		return err
@@ -242,8 +242,8 @@
 	return o.leaving[i]
 }
 
-// install promotes the chosen member and becomes its owner.
-func (o *Owner) install(ctx context.Context, conn *pgconn.PgConn, number uint64, best group.FenceAck, fence group.Fence, ackAfter time.Time) error {
+// promoteMember promotes the chosen member and becomes its owner.
+func (o *Owner) promoteMember(ctx context.Context, conn *pgconn.PgConn, number uint64, best group.FenceAck, fence group.Fence, ackAfter time.Time) error {
 	steps := []string{PromoteSQL, WriteTermSQL(fence)}
 	if o.options.Unsafe.SkipFence {
 		steps = []string{SetFenceSQL(fence), ReloadSQL, PromoteSQL, WriteTermSQL(fence)}
@@ -253,7 +253,7 @@
 		steps = []string{ReadWriteSQL, ReloadSQL, WriteTermSQL(fence)}
 	}
 	asked := time.Now()
-	rows, err := batch(ctx, conn, append(steps, TryOwnerLockSQL, StatusSQL)...)
+	rows, err := execBatch(ctx, conn, append(steps, TryOwnerLockSQL, StatusSQL)...)
 	if err != nil {
 		return err
 	}
@@ -268,7 +268,7 @@
 	o.mu.Lock()
 	o.lastTerm, o.lastEnd = best.LogTerm, best.Received
 	o.mu.Unlock()
-	return o.begin(group.Sample{Status: status, SentAt: asked, ReceivedAt: time.Now()}, number, best.Member, fence.Term, ackAfter)
+	return o.beginLeadership(group.Sample{Status: status, SentAt: asked, ReceivedAt: time.Now()}, number, best.Member, fence.Term, ackAfter)
 }
 
 // attach makes a replica follow the primary under the primary's fence.
@@ -295,7 +295,7 @@
 	err := o.quiesce(holdCtx, a)
 	cancel()
 	if err == nil {
-		err = o.replace(ctx, a.term)
+		err = o.replacePrimary(ctx, a.term)
 	}
 	o.logStep("switch_over", a.primary, err, "held", time.Since(started).String())
 	if err != nil {
--- a/io/upstream/fence.go
+++ b/io/upstream/fence.go
@@ -38,7 +38,7 @@
 	var fenced []group.FenceAck
 	var wg sync.WaitGroup
 	for i := range o.probers {
-		if !o.present(i) {
+		if !o.isPresent(i) {
 			continue
 		}
 		wg.Go(func() {
@@ -63,8 +63,8 @@
 	var out group.FenceAck
 	err := o.probers[i].do(ctx, func(ctx context.Context, conn *pgconn.PgConn, _ uint64) error {
 		if o.options.Unsafe.SkipFence {
-			status, err := askStatus(ctx, conn)
-			out = fencedAs(i, status)
+			status, err := queryStatus(ctx, conn)
+			out = fenceAckOf(i, status)
 			return err
 		}
 		before, status, err := storeFence(ctx, conn, fence, func(s group.Status) []string {
@@ -76,33 +76,33 @@
 		if err != nil {
 			return err
 		}
-		status, err = settled(ctx, conn, status, before.LogTerm == before.Fence.Term)
-		out = fencedAs(i, status)
+		status, err = awaitLogEnd(ctx, conn, status, before.LogTerm == before.Fence.Term)
+		out = fenceAckOf(i, status)
 		return err
 	})
 	return out, err
 }
 
-func fencedAs(i int, s group.Status) group.FenceAck {
+func fenceAckOf(i int, s group.Status) group.FenceAck {
 	return group.FenceAck{Member: i, LogTerm: s.LogTerm, Received: s.Received, InRecovery: s.InRecovery}
 }
 
-// settled waits until the member receives nothing more and the term of its last
+// awaitLogEnd waits until the member receives nothing more and the term of its last
 // record is known, and returns its status then. The term is known when that of
 // the last replayed record is the highest which the member had accepted: what it
 // received since can hold no later one. Otherwise all must be replayed first.
-func settled(ctx context.Context, conn *pgconn.PgConn, status group.Status, known bool) (group.Status, error) {
+func awaitLogEnd(ctx context.Context, conn *pgconn.PgConn, status group.Status, known bool) (group.Status, error) {
 	for status.InRecovery && (status.Streaming || !known && status.Replayed != status.Received) {
-		pause(ctx, settlePoll)
+		sleep(ctx, statusPollInterval)
 		var err error
-		if status, err = askStatus(ctx, conn); err != nil {
+		if status, err = queryStatus(ctx, conn); err != nil {
 			return status, err
 		}
 	}
 	return status, nil
 }
 
-const settlePoll = time.Millisecond
+const statusPollInterval = time.Millisecond
 
 // noSource is the address of a replica's source when it is to follow none.
 var noSource netip.AddrPort
@@ -111,7 +111,7 @@
 // it together with what more returns, and reloads. It returns the statuses before
 // and after that.
 func storeFence(ctx context.Context, conn *pgconn.PgConn, fence group.Fence, more func(group.Status) []string) (before, after group.Status, err error) {
-	rows, err := batch(ctx, conn, TakeFenceLockSQL, StatusSQL)
+	rows, err := execBatch(ctx, conn, TakeFenceLockSQL, StatusSQL)
 	if err != nil {
 		return before, after, err
 	}
@@ -119,13 +119,13 @@
 		return before, after, err
 	}
 	if !before.Fence.Accepts(fence) {
-		_, _ = one(ctx, conn, DropFenceLockSQL)
+		_, _ = queryRow(ctx, conn, DropFenceLockSQL)
 		return before, after, errors.Errorf("term %d refused: the member holds term %d of host %s",
 			fence.Term, before.Fence.Term, before.Fence.Host)
 	}
 	steps := append([]string{SetFenceSQL(fence)}, more(before)...)
 	steps = append(steps, ReloadSQL, DropFenceLockSQL, StatusSQL)
-	if rows, err = batch(ctx, conn, steps...); err != nil {
+	if rows, err = execBatch(ctx, conn, steps...); err != nil {
 		return before, after, err
 	}
 	after, err = parseStatus(rows[len(rows)-1])
--- a/io/upstream/handover.go
+++ b/io/upstream/handover.go
@@ -10,11 +10,11 @@
 )
 
 const (
-	// releaseLimit bounds how long reads and confirmations under way may delay
+	// releaseTimeout bounds how long reads and confirmations under way may delay
 	// the release of the owner lock.
-	releaseLimit = 200 * time.Millisecond
-	// releasePoll is how often the owner looks whether they have ended.
-	releasePoll = time.Millisecond
+	releaseTimeout = 200 * time.Millisecond
+	// releasePollInterval is how often the owner looks whether they have ended.
+	releasePollInterval = time.Millisecond
 )
 
 // Close hands the group over. New exchanges are refused at once. Reads and
@@ -23,13 +23,13 @@
 // ends, and the next owner confirms them.
 func (o *Owner) Close(ctx context.Context) {
 	o.pool.close()
-	quiet := o.settleBefore(ctx, releaseLimit)
+	quiet := o.awaitReadsAndWaiters(ctx, releaseTimeout)
 	o.mu.Lock()
-	o.phase = Handing
+	o.phase = HandingOver
 	o.publish()
 	o.mu.Unlock()
 	o.failWaiters()
-	o.release(ctx, quiet)
+	o.releaseOwnerLock(ctx, quiet)
 	o.pool.drain(ctx)
 	o.mu.Lock()
 	o.phase = Stopped
@@ -40,21 +40,21 @@
 	o.failWaiters()
 }
 
-// settleBefore waits until no read runs on a replica and no write waits for its
+// awaitReadsAndWaiters waits until no read runs on a replica and no write waits for its
 // confirmation, and reports whether that was so within the limit.
-func (o *Owner) settleBefore(ctx context.Context, limit time.Duration) bool {
+func (o *Owner) awaitReadsAndWaiters(ctx context.Context, limit time.Duration) bool {
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
 	for ctx.Err() == nil {
-		if o.settled() {
+		if o.readsAndWaitersDone() {
 			return true
 		}
-		pause(ctx, releasePoll)
+		sleep(ctx, releasePollInterval)
 	}
 	return false
 }
 
-func (o *Owner) settled() bool {
+func (o *Owner) readsAndWaitersDone() bool {
 	primary := o.view().primary
 	o.mu.Lock()
 	waiting := len(o.waiters)
@@ -63,25 +63,25 @@
 		return false
 	}
 	for i := range o.probers {
-		if i != primary && !o.pool.quiet(i) {
+		if i != primary && !o.pool.isIdle(i) {
 			return false
 		}
 	}
 	return true
 }
 
-// release gives the owner lock back, and tells the next owner if nothing is
+// releaseOwnerLock gives the owner lock back, and tells the next owner if nothing is
 // answered here any more that depends on it.
-func (o *Owner) release(ctx context.Context, quiet bool) {
+func (o *Owner) releaseOwnerLock(ctx context.Context, quiet bool) {
 	primary := o.view().primary
 	if primary == group.NoMember || ctx.Err() != nil {
 		return
 	}
-	unlockCtx, cancel := context.WithTimeout(ctx, releaseLimit)
+	unlockCtx, cancel := context.WithTimeout(ctx, releaseTimeout)
 	defer cancel()
 	held := false
 	err := o.probers[primary].do(unlockCtx, func(ctx context.Context, conn *pgconn.PgConn, _ uint64) error {
-		row, err := one(ctx, conn, DropOwnerLockSQL)
+		row, err := queryRow(ctx, conn, DropOwnerLockSQL)
 		held = err == nil && row[0] == "t"
 		return err
 	})
@@ -96,10 +96,10 @@
 func (o *Owner) PredecessorReleased() {
 	o.mu.Lock()
 	if o.holdsLock() {
-		o.lead.ackAfter = time.Time{}
-		o.evaluate()
+		o.leadership.ackAfter = time.Time{}
+		o.applySamples()
 	} else {
-		o.released = true
+		o.predecessorReleased = true
 	}
 	o.mu.Unlock()
 	o.wake()
@@ -115,5 +115,5 @@
 	return err
 }
 
-// handing reports whether the group is being handed over.
-func (o *Owner) handing() bool { return o.view().phase >= Handing }
+// isHandingOver reports whether the group is being handed over.
+func (o *Owner) isHandingOver() bool { return o.view().phase >= HandingOver }
--- a/io/upstream/ledger.go
+++ b/io/upstream/ledger.go
@@ -22,28 +22,28 @@
 // maxOutcome bounds the answer that the ledger keeps, in bytes.
 const maxOutcome = 256 << 10
 
-// once reports whether the unit must run at most once under its identifier.
+// runsAtMostOnce reports whether the unit must run at most runsAtMostOnce under its identifier.
 // Within a transaction of the caller's own the identifier has no meaning: the
 // caller decides by its COMMIT.
-func (x *Exchange) once(u *statement.Unit) bool {
+func (x *Exchange) runsAtMostOnce(u *statement.Unit) bool {
 	return u.RequestID != "" && !x.open && !u.ControlsTransaction && u.ReplyEnd == statement.EndsWithReady
 }
 
 // runOnce runs a unit under its request identifier, or passes on the outcome of
 // the first run.
 func (x *Exchange) runOnce(ctx context.Context, u *statement.Unit, sink Sink) (statement.Outcome, error) {
-	claimed, err := x.conn.simple("BEGIN; INSERT INTO pearlatch.requests (id) VALUES (" + quote(u.RequestID) + ")")
+	claimed, err := x.conn.exec("BEGIN; INSERT INTO pearlatch.requests (id) VALUES (" + quote(u.RequestID) + ")")
 	if err != nil {
-		return statement.Outcome{}, errors.Wrap(errRead, err.Error())
+		return statement.Outcome{}, errors.Wrap(errConnFailed, err.Error())
 	}
 	switch {
 	case claimed.code == "":
 	case claimed.code == postgres.CodeUniqueViolation:
-		return x.replay(ctx, u, sink)
+		return x.replayOutcome(ctx, u, sink)
 	case postgres.NotRun(claimed.code):
-		return statement.Outcome{}, errors.Wrap(errRead, claimed.message)
+		return statement.Outcome{}, errors.Wrap(errConnFailed, claimed.message)
 	default:
-		_, _ = x.conn.simple("ROLLBACK")
+		_, _ = x.conn.exec("ROLLBACK")
 		return statement.Outcome{}, &statement.Refusal{
 			Code: claimed.code, Reason: "the request could not be entered into the ledger: " + claimed.message, NotRun: true,
 		}
@@ -53,9 +53,9 @@
 		return statement.Outcome{}, err
 	}
 	if status == postgres.StatusFailed {
-		return x.withdraw(answer, sink)
+		return x.deliverFailure(answer, sink)
 	}
-	if err := x.record(u, answer); err != nil {
+	if err := x.recordOutcome(u, answer); err != nil {
 		return statement.Outcome{}, err
 	}
 	return x.deliver(ctx, u, answer, sink)
@@ -70,7 +70,7 @@
 		answer = append(answer, b...)
 		return nil
 	})
-	x.passed = false
+	x.delivered = false
 	if err != nil {
 		return nil, 0, err
 	}
@@ -83,34 +83,34 @@
 // readySize is the size of ReadyForQuery.
 const readySize = postgres.HeaderSize + 1
 
-// withdraw passes on the answer of a request that failed. It had no effect, so
+// deliverFailure passes on the answer of a request that failed. It had no effect, so
 // the ledger forgets it and it may be repeated.
-func (x *Exchange) withdraw(answer []byte, sink Sink) (statement.Outcome, error) {
-	if _, err := x.conn.simple("ROLLBACK"); err != nil {
-		return statement.Outcome{}, errors.Wrap(errRead, err.Error())
+func (x *Exchange) deliverFailure(answer []byte, sink Sink) (statement.Outcome, error) {
+	if _, err := x.conn.exec("ROLLBACK"); err != nil {
+		return statement.Outcome{}, errors.Wrap(errConnFailed, err.Error())
 	}
 	out := statement.Outcome{Status: postgres.StatusIdle}
 	return out, sink(postgres.AppendReady(answer, postgres.StatusIdle))
 }
 
-// record writes the outcome and commits.
-func (x *Exchange) record(u *statement.Unit, answer []byte) error {
-	outcome := shapeOf(u) + ":"
+// recordOutcome writes the outcome and commits.
+func (x *Exchange) recordOutcome(u *statement.Unit, answer []byte) error {
+	outcome := messageTypes(u) + ":"
 	if len(answer) <= maxOutcome {
 		outcome += base64.StdEncoding.EncodeToString(answer)
 	}
-	done, err := x.conn.simple("UPDATE pearlatch.requests SET outcome = " + quote(outcome) +
+	done, err := x.conn.exec("UPDATE pearlatch.requests SET outcome = " + quote(outcome) +
 		" WHERE id = " + quote(u.RequestID) + "; COMMIT")
 	if err != nil {
-		return errors.Wrap(errRead, err.Error())
+		return errors.Wrap(errConnFailed, err.Error())
 	}
 	if postgres.NotRun(done.code) {
 		// The member is a primary no more. Nothing was committed, and the ledger
 		// makes a repeat on the next primary safe.
-		return errors.Wrap(errRead, done.message)
+		return errors.Wrap(errConnFailed, done.message)
 	}
 	if done.code != "" {
-		_, _ = x.conn.simple("ROLLBACK")
+		_, _ = x.conn.exec("ROLLBACK")
 		return &statement.Refusal{Code: done.code, Reason: "the request was rolled back: " + done.message}
 	}
 	return nil
@@ -125,18 +125,18 @@
 	if err != nil {
 		return statement.Outcome{}, err
 	}
-	x.passed = true
+	x.delivered = true
 	return statement.Outcome{Status: postgres.StatusIdle}, sink(postgres.AppendReady(answer, postgres.StatusIdle))
 }
 
-// replay passes on the outcome of the first run of a request.
-func (x *Exchange) replay(ctx context.Context, u *statement.Unit, sink Sink) (statement.Outcome, error) {
-	if _, err := x.conn.simple("ROLLBACK"); err != nil {
-		return statement.Outcome{}, errors.Wrap(errRead, err.Error())
+// replayOutcome passes on the outcome of the first run of a request.
+func (x *Exchange) replayOutcome(ctx context.Context, u *statement.Unit, sink Sink) (statement.Outcome, error) {
+	if _, err := x.conn.exec("ROLLBACK"); err != nil {
+		return statement.Outcome{}, errors.Wrap(errConnFailed, err.Error())
 	}
-	kept, err := x.conn.simple("SELECT outcome FROM pearlatch.requests WHERE id = " + quote(u.RequestID))
+	kept, err := x.conn.exec("SELECT outcome FROM pearlatch.requests WHERE id = " + quote(u.RequestID))
 	if err != nil {
-		return statement.Outcome{}, errors.Wrap(errRead, err.Error())
+		return statement.Outcome{}, errors.Wrap(errConnFailed, err.Error())
 	}
 	shape, encoded, _ := strings.Cut(kept.value, ":")
 	answer, err := base64.StdEncoding.DecodeString(encoded)
@@ -144,16 +144,16 @@
 	case kept.code != "" || err != nil || encoded == "":
 		return statement.Outcome{}, &statement.Refusal{Code: postgres.CodeUniqueViolation,
 			Reason: "the request has run before; its answer was not kept"}
-	case shape != shapeOf(u):
+	case shape != messageTypes(u):
 		return statement.Outcome{}, &statement.Refusal{Code: postgres.CodeUniqueViolation,
 			Reason: "the request has run before; repeat it with the same protocol messages to get its answer"}
 	}
 	return x.deliver(ctx, u, answer, sink)
 }
 
-// shapeOf returns the types of a unit's messages: an answer fits only a unit
+// messageTypes returns the types of a unit's messages: an answer fits only a unit
 // that asks in the same way.
-func shapeOf(u *statement.Unit) string {
+func messageTypes(u *statement.Unit) string {
 	var out []byte
 	for rest := u.Data; len(rest) >= postgres.HeaderSize; {
 		f := postgres.Frame(rest)
@@ -163,8 +163,8 @@
 	return string(out)
 }
 
-// reply is what a simple query of pearlatch's own returned.
-type reply struct {
+// queryResult is what a simple query of pearlatch's own returned.
+type queryResult struct {
 	code, message string // of the first error, if any
 	value         string // first column of the first row
 	status        byte
@@ -173,12 +173,12 @@
 // simpleTimeout bounds a simple query of pearlatch's own.
 const simpleTimeout = 5 * time.Second
 
-// simple runs a simple query.
-func (c *conn) simple(sql string) (reply, error) {
-	var out reply
+// exec runs a exec query.
+func (c *conn) exec(sql string) (queryResult, error) {
+	var out queryResult
 	_ = c.net.SetDeadline(time.Now().Add(simpleTimeout))
 	defer func() { _ = c.net.SetDeadline(time.Time{}) }()
-	if _, err := c.net.Write(simpleQuery(sql)); err != nil {
+	if _, err := c.net.Write(encodeQuery(sql)); err != nil {
 		return out, err
 	}
 	var buf []byte
--- a/io/upstream/lock_test.go
+++ b/io/upstream/lock_test.go
@@ -15,28 +15,28 @@
 func TestPredecessorsWordHoldsForOneReign(t *testing.T) {
 	o := &Owner{
 		options: Options{Group: config.Group{Timing: config.DefaultTiming()}},
-		samples: make([]group.Sample, 1), conns: make([]uint64, 1), unheard: make([]time.Time, 1),
+		samples: make([]group.Sample, 1), sampleConns: make([]uint64, 1), unansweredSince: make([]time.Time, 1),
 		gone: make([]bool, 1), leaving: make([]bool, 1), wakeup: make(chan struct{}, 1),
 	}
 	now := time.Now()
 	take := func(conn uint64) time.Time {
 		t.Helper()
-		if err := o.begin(group.Sample{SentAt: now, ReceivedAt: now}, conn, 0, 0, o.ackAfter(now)); err != nil {
+		if err := o.beginLeadership(group.Sample{SentAt: now, ReceivedAt: now}, conn, 0, 0, o.ackTime(now)); err != nil {
 			t.Fatal(err)
 		}
-		return o.lead.ackAfter
+		return o.leadership.ackAfter
 	}
-	wait := o.afterLease(now)
+	wait := o.leaseExpiry(now)
 	if got := take(1); !got.Equal(wait) {
 		t.Errorf("without a word: acknowledges after %s", got.Sub(now))
 	}
-	o.conns[0] = 2 // the control connection was opened anew
+	o.sampleConns[0] = 2 // the control connection was opened anew
 	o.PredecessorReleased()
 	if got := take(2); !got.Equal(now) {
 		t.Errorf("after the word: acknowledges after %s", got.Sub(now))
 	}
 	o.PredecessorReleased() // arrives late: the lock is held already
-	if !o.lead.ackAfter.IsZero() {
+	if !o.leadership.ackAfter.IsZero() {
 		t.Error("a late word did not end the wait")
 	}
 	if got := take(3); !got.Equal(wait) {
--- a/io/upstream/next.go
+++ b/io/upstream/next.go
@@ -10,30 +10,30 @@
 // are takeLock, promote, switchOver, attach and sweep.
 type action interface{ isAction() }
 
-// next returns the action that is due, or nil.
-func (o *Owner) next(now time.Time) action {
+// nextAction returns the action that is due, or nil.
+func (o *Owner) nextAction(now time.Time) action {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if o.phase >= Handing || now.Before(o.notBefore) {
+	if o.phase >= HandingOver || now.Before(o.notBefore) {
 		return nil
 	}
 	led, ok := group.FindPrimary(o.samples).(group.Led)
 	if !ok {
 		return o.nextLeaderless(now)
 	}
-	if o.down(led.Primary, now) {
+	if o.isDown(led.Primary, now) {
 		return o.nextPromote(led.Term, led.Primary)
 	}
-	if l := o.lead; l == nil || l.term != led.Term || l.primary != led.Primary || l.conn != o.conns[l.primary] {
-		if o.unheard[led.Primary].IsZero() {
+	if l := o.leadership; l == nil || l.term != led.Term || l.primary != led.Primary || l.conn != o.sampleConns[l.primary] {
+		if o.unansweredSince[led.Primary].IsZero() {
 			return takeLock{primary: led.Primary, term: led.Term}
 		}
 		return nil
 	}
-	if o.leaving[led.Primary] && o.successor(led.Primary) {
+	if o.leaving[led.Primary] && o.hasSuccessor(led.Primary) {
 		return switchOver{primary: led.Primary, term: led.Term}
 	}
-	if o.strangers > 0 && now.Sub(o.swept) >= sweepInterval {
+	if o.foreignSessions > 0 && now.Sub(o.sweptAt) >= sweepInterval {
 		return sweep{}
 	}
 	return o.nextAttach(led, now)
@@ -43,43 +43,43 @@
 func (o *Owner) nextLeaderless(now time.Time) action {
 	var highest group.Term
 	for i, s := range o.samples {
-		if !s.Answered() && o.unheard[i].IsZero() {
+		if !s.Answered() && o.unansweredSince[i].IsZero() {
 			return nil
 		}
 		highest = max(highest, s.Status.Fence.Term)
 	}
-	if o.contended(now) {
+	if o.awaitsRival(now) {
 		return nil
 	}
 	return o.nextPromote(highest, group.NoMember)
 }
 
-// contended reports whether another host may be in the middle of a promotion, or
+// awaitsRival reports whether another host may be in the middle of a promotion, or
 // has promoted a member that is out of reach here. Two hosts that reach
 // different majorities would otherwise replace each other's primary for ever:
 // each waits twice as long as the last time, so that one gets to serve.
-func (o *Owner) contended(now time.Time) bool {
+func (o *Owner) awaitsRival(now time.Time) bool {
 	highest := group.Fence{}
 	for _, s := range o.samples {
 		if s.Status.Fence.Term >= highest.Term {
 			highest = s.Status.Fence
 		}
 	}
-	if highest != o.rival {
-		o.rival = highest
-		o.rivalUntil = now.Add(o.options.Group.Timing.Silence)
+	if highest != o.rivalFence {
+		o.rivalFence = highest
+		o.rivalWaitUntil = now.Add(o.options.Group.Timing.Silence)
 		if highest.Term > 0 && highest.Host != o.options.Host {
-			o.rivalUntil = now.Add(rivalPatience << min(o.rivals, maxRivals))
-			o.rivals++
+			o.rivalWaitUntil = now.Add(rivalBackoff << min(o.rivalWaits, maxRivalDoublings))
+			o.rivalWaits++
 		}
 	}
-	return now.Before(o.rivalUntil)
+	return now.Before(o.rivalWaitUntil)
 }
 
 func (o *Owner) nextPromote(highest group.Term, suspect int) action {
 	present := 0
 	for i := range o.samples {
-		if i != suspect && o.samples[i].Answered() && o.unheard[i].IsZero() {
+		if i != suspect && o.samples[i].Answered() && o.unansweredSince[i].IsZero() {
 			present++
 		}
 	}
@@ -89,19 +89,19 @@
 	return promote{highest: highest, suspect: suspect}
 }
 
-// down reports whether the member refuses connections, or has not answered for
+// isDown reports whether the member refuses connections, or has not answered for
 // the time of silence.
-func (o *Owner) down(i int, now time.Time) bool {
-	if o.unheard[i].IsZero() {
+func (o *Owner) isDown(i int, now time.Time) bool {
+	if o.unansweredSince[i].IsZero() {
 		return false
 	}
 	return o.gone[i] && !o.options.Unsafe.SilenceOnly || now.Sub(o.samples[i].ReceivedAt) > o.options.Group.Timing.Silence
 }
 
-// successor reports whether a member that stays could take over from primary.
-func (o *Owner) successor(primary int) bool {
+// hasSuccessor reports whether a member that stays could take over from primary.
+func (o *Owner) hasSuccessor(primary int) bool {
 	for i, s := range o.samples {
-		if i != primary && !o.leaving[i] && o.unheard[i].IsZero() && group.Follows(s.Status, o.samples[primary].Status) {
+		if i != primary && !o.leaving[i] && o.unansweredSince[i].IsZero() && group.Follows(s.Status, o.samples[primary].Status) {
 			return true
 		}
 	}
@@ -111,7 +111,7 @@
 func (o *Owner) nextAttach(led group.Led, now time.Time) action {
 	p := o.samples[led.Primary].Status
 	for i, s := range o.samples {
-		if i == led.Primary || !s.Answered() || !o.unheard[i].IsZero() || now.Before(o.attachAfter[i]) {
+		if i == led.Primary || !s.Answered() || !o.unansweredSince[i].IsZero() || now.Before(o.attachAfter[i]) {
 			continue
 		}
 		if s.Status.InRecovery && !group.Follows(s.Status, p) {
--- a/io/upstream/open.go
+++ b/io/upstream/open.go
@@ -7,18 +7,18 @@
 	"pearlatch/core/group"
 )
 
-// warm keeps half of each member's share of connections open, so that a
+// prewarm keeps half of each member's share of connections open, so that a
 // promoted member can be used at once.
-func (p *pool) warm() {
+func (p *pool) prewarm() {
 	if p.closed {
 		return
 	}
 	v, now := p.owner.view(), time.Now()
-	if v.phase >= Handing {
+	if v.phase >= HandingOver {
 		return
 	}
 	if v.successor != group.NoMember {
-		p.prepare(v.successor, now)
+		p.prewarmSuccessor(v.successor, now)
 		return
 	}
 	for i, m := range v.members {
@@ -26,42 +26,42 @@
 		if i == v.primary {
 			limit = p.primaryCap
 		}
-		if m.present && !m.leaving && p.members[i].open() < (limit+1)/2 && p.total() < p.room {
-			p.openMore(i, limit, now)
+		if m.present && !m.leaving && p.members[i].open() < (limit+1)/2 && p.totalOpen() < p.maxOpen {
+			p.tryOpen(i, limit, now)
 		}
 	}
 }
 
-// prepare opens a primary's share of connections to the member that is about to
+// prewarmSuccessor opens a primary's share of connections to the member that is about to
 // be promoted, as those to the old primary go: the requests that wait for the
 // promotion would otherwise wait for connections as well.
-func (p *pool) prepare(successor int, now time.Time) {
+func (p *pool) prewarmSuccessor(successor int, now time.Time) {
 	if p.primary != group.NoMember {
 		p.closeIdle(p.primary)
 	}
 	m := &p.members[successor]
-	for m.open() < p.primaryCap && p.total() < p.room && !now.Before(m.notBefore) {
+	for m.open() < p.primaryCap && p.totalOpen() < p.maxOpen && !now.Before(m.notBefore) {
 		m.opening++
-		go p.openOne(successor)
+		go p.openConn(successor)
 	}
 }
 
-// openMore opens a connection to member i if its share and the group's budget
+// tryOpen opens a connection to member i if its share and the group's budget
 // allow. When only the budget is in the way, an idle connection to another
 // member makes room.
-func (p *pool) openMore(i, limit int, now time.Time) {
+func (p *pool) tryOpen(i, limit int, now time.Time) {
 	m := &p.members[i]
 	if m.open() >= limit || m.opening >= maxOpening || now.Before(m.notBefore) || m.opening >= p.queue.Len()+1 {
 		return
 	}
-	if p.total() >= p.room && !p.makeRoom(i) {
+	if p.totalOpen() >= p.maxOpen && !p.evictIdle(i) {
 		return
 	}
 	m.opening++
-	go p.openOne(i)
+	go p.openConn(i)
 }
 
-func (p *pool) total() int {
+func (p *pool) totalOpen() int {
 	n := 0
 	for i := range p.members {
 		n += p.members[i].open()
@@ -69,18 +69,18 @@
 	return n
 }
 
-// reserve keeps the given number of connections for earlier owners, their
+// reserveForeign keeps the given number of connections for earlier owners, their
 // control connections included.
-func (p *pool) reserve(strangers int) {
+func (p *pool) reserveForeign(strangers int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	n := len(p.members)
-	p.room = min(p.limit, p.owner.options.Group.Connections-n-1-strangers)
-	p.serve()
+	p.maxOpen = min(p.limit, p.owner.options.Group.Connections-n-1-strangers)
+	p.assignQueued()
 }
 
-func (p *pool) makeRoom(except int) bool {
-	if p.total() > p.room {
+func (p *pool) evictIdle(except int) bool {
+	if p.totalOpen() > p.maxOpen {
 		return false
 	}
 	for i := range p.members {
@@ -93,7 +93,7 @@
 	return false
 }
 
-func (p *pool) openOne(i int) {
+func (p *pool) openConn(i int) {
 	ctx, cancel := context.WithTimeout(context.Background(), openTimeout)
 	defer cancel()
 	member := p.owner.options.Group.Members[i]
@@ -109,12 +109,12 @@
 	switch {
 	case err != nil:
 		p.owner.logStep("open_connection", i, err)
-		m.notBefore = time.Now().Add(openPause)
-		time.AfterFunc(openPause, p.dispatch)
+		m.notBefore = time.Now().Add(openRetryDelay)
+		time.AfterFunc(openRetryDelay, p.dispatch)
 	case p.closed:
 		c.close()
 	default:
 		m.idle = append(m.idle, c)
-		p.serve()
+		p.assignQueued()
 	}
 }
--- a/io/upstream/options.go
+++ b/io/upstream/options.go
@@ -30,9 +30,9 @@
 	Yield Yield
 	// Serial distinguishes the owners that one host starts for a group.
 	Serial uint64
-	// Gone reports whether a host is gone, so that what it left on the members
-	// may be ended. A nil Gone stands for none.
-	Gone func(host string) bool
+	// HostGone reports whether a host is gone, so that what it left on the members
+	// may be ended. A nil HostGone stands for none.
+	HostGone func(host string) bool
 	// Successor is the group's next owner, for the transactions that are still
 	// open while the group is handed over. It must not be nil if Close is ever
 	// called with transactions open.
@@ -96,14 +96,14 @@
 	Released(ctx context.Context)
 }
 
-// Testimony is what other hosts say of a member.
-type Testimony struct {
+// WitnessResult is what other hosts say of a member.
+type WitnessResult struct {
 	// Asked is how many hosts were asked, and Answered how many answered.
 	Asked, Answered int
 	// Reached is how many of them got an answer from the member, and By the first
 	// of them.
-	Reached int
-	By      string
+	Reached   int
+	ReachedBy string
 }
 
 // Yield is called when another host reaches the primary and this one does not:
@@ -111,4 +111,4 @@
 type Yield func(to string)
 
 // Witness asks other hosts to probe a member.
-type Witness func(ctx context.Context, member config.Member) Testimony
+type Witness func(ctx context.Context, member config.Member) WitnessResult
--- a/io/upstream/owner.go
+++ b/io/upstream/owner.go
@@ -14,39 +14,39 @@
 	"pearlatch/core/group"
 )
 
-// ownerTick is how often the owner looks for silence when nothing else wakes it.
-const ownerTick = 10 * time.Millisecond
+// stepInterval is how often the owner looks for silence when nothing else wakes it.
+const stepInterval = 10 * time.Millisecond
 
-// idleTick is the same while the group is idle.
-const idleTick = 200 * time.Millisecond
+// idleStepInterval is the same while the group is idle.
+const idleStepInterval = 200 * time.Millisecond
 
 // Owner owns a database group: it holds the group's connections, confirms its
 // writes and runs its failover. Use Start.
 type Owner struct {
-	options Options
-	logger  log.Logger
-	probers []*prober
-	pool    *pool
-	marks   freshness.SessionMarks
-	fixed   fixedPrimary
-	stats   ownerStats
-	wakeup  chan struct{}
-	stop    context.CancelFunc
-	done    sync.WaitGroup
-	current atomic.Pointer[view]
+	options     Options
+	logger      log.Logger
+	probers     []*prober
+	pool        *pool
+	marks       freshness.SessionMarks
+	fixed       fixedPrimary
+	stats       ownerStats
+	wakeup      chan struct{}
+	stop        context.CancelFunc
+	done        sync.WaitGroup
+	currentView atomic.Pointer[view]
 	// lastRequest is when the newest request came, in nanoseconds since 1970.
 	lastRequest atomic.Int64
 
-	mu      sync.Mutex
-	samples []group.Sample
-	conns   []uint64    // control connection of each sample
-	unheard []time.Time // when probes of the member began to fail, or zero
-	gone    []bool      // the member refused or reset
-	leaving []bool
-	ages    freshness.PositionHistory
-	phase   Phase
-	lead    *lead
-	waiters map[*waiter]struct{}
+	mu              sync.Mutex
+	samples         []group.Sample
+	sampleConns     []uint64    // control connection of each sample
+	unansweredSince []time.Time // when probes of the member began to fail, or zero
+	gone            []bool      // the member refused or reset
+	leaving         []bool
+	history         freshness.PositionHistory
+	phase           Phase
+	leadership      *leadership
+	waiters         map[*confirmWaiter]struct{}
 	// lastTerm and lastEnd are the term that ended in the newest promotion here,
 	// and the position up to which its log survived.
 	lastTerm group.Term
@@ -56,26 +56,26 @@
 	attachAfter []time.Time
 	started     time.Time
 
-	// rival is the highest fence seen while no primary was in sight, rivalUntil
+	// rivalFence is the highest fence seen while no primary was in sight, rivalUntil
 	// how long its host is waited for, and rivals how often that began.
-	rival      group.Fence
-	rivalUntil time.Time
-	rivals     int
-	// strangers is how many sessions of other owners were counted at swept.
-	strangers int
-	swept     time.Time
-	// released is true once the previous owner said that it answers nothing any
+	rivalFence     group.Fence
+	rivalWaitUntil time.Time
+	rivalWaits     int
+	// foreignSessions is how many sessions of other owners were counted at swept.
+	foreignSessions int
+	sweptAt         time.Time
+	// predecessorReleased is true once the previous owner said that it answers nothing any
 	// more, so that its lease need not be waited for.
-	released bool
+	predecessorReleased bool
 
-	// denied is when another session was first found to hold the owner lock, and
+	// lockDeniedAt is when another session was first found to hold the owner lock, and
 	// forced how often one was ended. They belong to run.
-	denied time.Time
-	forced int
+	lockDeniedAt  time.Time
+	forcedUnlocks int
 }
 
-// lead is a reign over the group: an owner lock on the primary.
-type lead struct {
+// leadership is a reign over the group: an owner lock on the primary.
+type leadership struct {
 	primary int
 	term    group.Term
 	// conn is the control connection that holds the owner lock. Answers that
@@ -96,17 +96,17 @@
 	n := len(o.Group.Members)
 	ctx, stop := context.WithCancel(context.Background())
 	w := &Owner{
-		options: o,
-		logger:  log.With(o.Logger, "group", o.Group.Name),
-		wakeup:  make(chan struct{}, 1),
-		stop:    stop,
-		samples: make([]group.Sample, n),
-		conns:   make([]uint64, n),
-		unheard: make([]time.Time, n),
-		gone:    make([]bool, n),
-		leaving: make([]bool, n),
-		waiters: map[*waiter]struct{}{},
-		started: time.Now(),
+		options:         o,
+		logger:          log.With(o.Logger, "group", o.Group.Name),
+		wakeup:          make(chan struct{}, 1),
+		stop:            stop,
+		samples:         make([]group.Sample, n),
+		sampleConns:     make([]uint64, n),
+		unansweredSince: make([]time.Time, n),
+		gone:            make([]bool, n),
+		leaving:         make([]bool, n),
+		waiters:         map[*confirmWaiter]struct{}{},
+		started:         time.Now(),
 
 		attachAfter: make([]time.Time, n),
 
@@ -114,7 +114,7 @@
 	}
 	for i, m := range o.Group.Members {
 		w.leaving[i] = m.Leaving
-		w.probers = append(w.probers, newProber(o, m, w.pace, func(a answer) { w.observe(i, a) }))
+		w.probers = append(w.probers, newProber(o, m, w.probeInterval, func(a probeResult) { w.observe(i, a) }))
 	}
 	w.publish()
 	w.pool = newPool(w)
@@ -126,27 +126,27 @@
 }
 
 const (
-	// idleAfter is how long a group must be without requests to count as idle.
-	idleAfter = time.Second
-	// idleInterval is the pause between probes of an idle group's members. Nobody
+	// idleTimeout is how long a group must be without requests to count as idle.
+	idleTimeout = time.Second
+	// idleProbeInterval is the pause between probes of an idle group's members. Nobody
 	// waits for what they would tell, and the next request has all asked at once.
-	idleInterval = 2 * time.Second
+	idleProbeInterval = 2 * time.Second
 )
 
-// pace returns the pause between two probes of a member.
-func (o *Owner) pace() time.Duration {
-	if o.view().phase == Serving && time.Since(time.Unix(0, o.lastRequest.Load())) > idleAfter {
-		return max(idleInterval, o.options.Group.Timing.ProbeInterval)
+// probeInterval returns the pause between two probes of a member.
+func (o *Owner) probeInterval() time.Duration {
+	if o.view().phase == Serving && time.Since(time.Unix(0, o.lastRequest.Load())) > idleTimeout {
+		return max(idleProbeInterval, o.options.Group.Timing.ProbeInterval)
 	}
 	return o.options.Group.Timing.ProbeInterval
 }
 
-// touch records a request, and wakes the probes of an idle group.
-func (o *Owner) touch() {
+// recordRequest records a request, and wakes the probes of an idle group.
+func (o *Owner) recordRequest() {
 	now := time.Now()
 	last := time.Unix(0, o.lastRequest.Swap(now.UnixNano()))
-	if now.Sub(last) > idleAfter {
-		o.kickAll()
+	if now.Sub(last) > idleTimeout {
+		o.probeAll()
 	}
 }
 
@@ -157,7 +157,7 @@
 func (o *Owner) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		o.step(ctx)
-		t := time.NewTimer(o.tick())
+		t := time.NewTimer(o.stepDelay())
 		select {
 		case <-o.wakeup:
 		case <-t.C:
@@ -167,13 +167,13 @@
 	}
 }
 
-// tick returns how long the owner waits for something to happen before it looks
+// stepDelay returns how long the owner waits for something to happen before it looks
 // by itself. Answers and missed probes wake it in any case.
-func (o *Owner) tick() time.Duration {
-	if o.pace() >= idleInterval {
-		return idleTick
+func (o *Owner) stepDelay() time.Duration {
+	if o.probeInterval() >= idleProbeInterval {
+		return idleStepInterval
 	}
-	return ownerTick
+	return stepInterval
 }
 
 // wake makes run take a step.
@@ -186,7 +186,7 @@
 
 // step carries out at most one change of the owner's standing.
 func (o *Owner) step(ctx context.Context) {
-	switch a := o.next(time.Now()).(type) {
+	switch a := o.nextAction(time.Now()).(type) {
 	case takeLock:
 		o.takeLock(ctx, a)
 	case promote:
@@ -202,33 +202,33 @@
 }
 
 // observe takes in the result of a probe.
-func (o *Owner) observe(i int, a answer) {
+func (o *Owner) observe(i int, a probeResult) {
 	o.mu.Lock()
 	switch a := a.(type) {
-	case heard:
-		o.samples[i], o.conns[i] = a.sample, a.conn
-		o.unheard[i], o.gone[i] = time.Time{}, false
-	case missed:
-		if o.unheard[i].IsZero() {
-			o.unheard[i] = time.Now()
+	case probeAnswered:
+		o.samples[i], o.sampleConns[i] = a.sample, a.conn
+		o.unansweredSince[i], o.gone[i] = time.Time{}, false
+	case probeFailed:
+		if o.unansweredSince[i].IsZero() {
+			o.unansweredSince[i] = time.Now()
 			_ = level.Warn(o.logger).Log("step", "probe", "peer", o.options.Group.Members[i].Name, "err", a.err)
 		}
 		o.gone[i] = a.gone
 	}
-	o.evaluate()
+	o.applySamples()
 	o.publish()
 	o.mu.Unlock()
-	if _, miss := a.(missed); miss {
-		o.pool.abandon(i)
+	if _, miss := a.(probeFailed); miss {
+		o.pool.closeReplica(i)
 	}
 	o.pool.dispatch()
 	o.wake()
 }
 
-// evaluate draws the consequences of the samples. o.mu is held.
-func (o *Owner) evaluate() {
-	l := o.lead
-	if l == nil || o.conns[l.primary] != l.conn {
+// applySamples draws the consequences of the samples. o.mu is held.
+func (o *Owner) applySamples() {
+	l := o.leadership
+	if l == nil || o.sampleConns[l.primary] != l.conn {
 		return
 	}
 	if o.samples[l.primary].Status.Fence.Term != l.term || o.samples[l.primary].Status.InRecovery {
@@ -237,16 +237,16 @@
 	if c, ok := group.Confirm(o.samples, l.primary, time.Time{}); ok {
 		l.confirmedAt = c.AsOf
 		l.leaseUntil = c.AsOf.Add(o.options.Group.Timing.Lease)
-		o.ages.Observe(c.AsOf, group.Position{Term: l.term, LSN: o.samples[l.primary].Status.Received})
+		o.history.Observe(c.AsOf, group.Position{Term: l.term, LSN: o.samples[l.primary].Status.Received})
 	}
-	o.settle(l)
-	o.forgetMarks(l)
+	o.resolveWaiters(l)
+	o.pruneMarks(l)
 }
 
-// forgetMarks drops the marks that all present replicas have passed. A replica
+// pruneMarks drops the marks that all present replicas have passed. A replica
 // that is away is checked against the mark when it returns only if the mark is
 // still there, so its absence keeps the marks.
-func (o *Owner) forgetMarks(l *lead) {
+func (o *Owner) pruneMarks(l *leadership) {
 	reached := group.Position{Term: l.term, LSN: o.samples[l.primary].Status.Received}
 	for i, s := range o.samples {
 		if i == l.primary {
@@ -266,26 +266,26 @@
 func (o *Owner) publish() {
 	v := &view{phase: o.phase, primary: group.NoMember, successor: group.NoMember, members: make([]memberView, len(o.samples))}
 	for i := range o.samples {
-		v.members[i].present = o.samples[i].Answered() && o.unheard[i].IsZero()
+		v.members[i].present = o.samples[i].Answered() && o.unansweredSince[i].IsZero()
 		v.members[i].leaving = o.leaving[i]
 	}
-	if l := o.lead; l != nil {
+	if l := o.leadership; l != nil {
 		v.primary, v.term, v.floor = l.primary, l.term, l.floor
 		v.leaseUntil, v.confirmedAt = l.leaseUntil, l.confirmedAt
 		o.viewReplicas(v, l)
 		if o.phase == Switching || o.phase == Promoting {
-			v.successor = o.likeliest(l)
+			v.successor = o.likelySuccessor(l)
 		}
 	}
-	o.current.Store(v)
+	o.currentView.Store(v)
 }
 
-// likeliest returns the replica that has received the most of those that may be
+// likelySuccessor returns the replica that has received the most of those that may be
 // promoted. o.mu is held.
-func (o *Owner) likeliest(l *lead) int {
+func (o *Owner) likelySuccessor(l *leadership) int {
 	best := group.NoMember
 	for i, s := range o.samples {
-		if i == l.primary || o.leaving[i] || !s.Answered() || !s.Status.InRecovery || !o.unheard[i].IsZero() {
+		if i == l.primary || o.leaving[i] || !s.Answered() || !s.Status.InRecovery || !o.unansweredSince[i].IsZero() {
 			continue
 		}
 		if best == group.NoMember || s.Status.Received > o.samples[best].Status.Received {
@@ -295,7 +295,7 @@
 	return best
 }
 
-func (o *Owner) viewReplicas(v *view, l *lead) {
+func (o *Owner) viewReplicas(v *view, l *leadership) {
 	p := o.samples[l.primary].Status
 	for i, s := range o.samples {
 		if i == l.primary || !s.Answered() || !s.Status.InRecovery || s.Status.Fence.Term != l.term {
@@ -306,7 +306,7 @@
 		// term's data: its position counts in that term.
 		m.replica.Position = group.Position{Term: s.Status.LogTerm, LSN: s.Status.Replayed}
 		m.follows = group.Follows(s.Status, p) || s.Status.LogTerm == l.term
-		m.replica.AsOf = o.ages.AsOf(m.replica.Position)
+		m.replica.AsOf = o.history.AsOf(m.replica.Position)
 	}
 }
 
@@ -315,7 +315,7 @@
 func (o *Owner) replicaWait(need freshness.Requirement, now time.Time) (time.Duration, bool) {
 	v := o.view()
 	o.mu.Lock()
-	reached := o.ages.ReachedAt(need.Position)
+	reached := o.history.ReachedAt(need.Position)
 	o.mu.Unlock()
 	best, found := time.Duration(0), false
 	for i, m := range v.members {
@@ -329,16 +329,16 @@
 	return best, found
 }
 
-func (o *Owner) view() *view { return o.current.Load() }
+func (o *Owner) view() *view { return o.currentView.Load() }
 
-// seen returns the primary's position as it was last heard.
-func (o *Owner) seen() group.Position {
+// lastPosition returns the primary's position as it was last heard.
+func (o *Owner) lastPosition() group.Position {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if o.lead == nil {
+	if o.leadership == nil {
 		return group.Position{}
 	}
-	return group.Position{Term: o.lead.term, LSN: o.samples[o.lead.primary].Status.Received}
+	return group.Position{Term: o.leadership.term, LSN: o.samples[o.leadership.primary].Status.Received}
 }
 
 // SetLeaving marks members that must get no new work, by name.
@@ -353,20 +353,20 @@
 	o.wake()
 }
 
-// kickAll makes all probers ask at once.
-func (o *Owner) kickAll() {
+// probeAll makes all probers ask at once.
+func (o *Owner) probeAll() {
 	for _, p := range o.probers {
 		p.wake()
 	}
 }
 
-// holdLimit is how long a group may be without a confirmed primary before new
+// leaderlessTimeout is how long a group may be without a confirmed primary before new
 // requests are refused at once instead of waiting for the failover to end.
-const holdLimit = 5 * time.Second
+const leaderlessTimeout = 5 * time.Second
 
-// confirmPatience is how old the last confirmation may be for new writes to be
+// confirmationTTL is how old the last confirmation may be for new writes to be
 // sent.
-func (o *Owner) confirmPatience() time.Duration {
+func (o *Owner) confirmationTTL() time.Duration {
 	t := o.options.Group.Timing
 	return t.ProbeInterval + t.Silence
 }
--- a/io/upstream/phase_string.go
+++ b/io/upstream/phase_string.go
@@ -12,7 +12,7 @@
 	_ = x[Serving-1]
 	_ = x[Switching-2]
 	_ = x[Promoting-3]
-	_ = x[Handing-4]
+	_ = x[HandingOver-4]
 	_ = x[Stopped-5]
 }
 
--- a/io/upstream/pool.go
+++ b/io/upstream/pool.go
@@ -17,18 +17,18 @@
 	queueLimit = 4096
 	// openTimeout bounds the opening of a pooled connection.
 	openTimeout = 2 * time.Second
-	// openPause is the pause after a failed attempt to open a connection.
-	openPause = 50 * time.Millisecond
+	// openRetryDelay is the pause after a failed attempt to open a connection.
+	openRetryDelay = 50 * time.Millisecond
 	// maxOpening is how many connections to one member are opened at once, so
 	// that the members are not flooded after an availability zone was lost.
 	maxOpening = 4
 )
 
-// want is a request for a connection.
-type want struct {
-	request *statement.Request
-	kind    statement.Kind
-	need    freshness.Requirement
+// connRequest is a request for a connection.
+type connRequest struct {
+	request     *statement.Request
+	kind        statement.Kind
+	requirement freshness.Requirement
 	// primaryAt is when a read may go to the primary.
 	primaryAt time.Time
 	deadline  time.Time
@@ -51,17 +51,17 @@
 	primaryCap int
 	replicaCap int
 
-	mu      sync.Mutex
-	members []memberPool
-	queue   *admission.Queue[*want]
-	held    admission.WaitEstimator
-	primary int // that the connections were opened for
-	// room is how many connections may be open now. It is below limit while an
+	mu        sync.Mutex
+	members   []memberPool
+	queue     *admission.Queue[*connRequest]
+	holdTimes admission.WaitEstimator
+	primary   int // that the connections were opened for
+	// maxOpen is how many connections may be open now. It is below limit while an
 	// earlier owner holds some, and zero until those were counted.
-	room   int
-	closed bool
-	// stale is how many reads wait for a replica to become fresh enough.
-	stale int
+	maxOpen int
+	closed  bool
+	// staleReads is how many reads wait for a replica to become fresh enough.
+	staleReads int
 }
 
 // memberPool is the part of a pool that belongs to one member.
@@ -69,9 +69,9 @@
 	idle    []*conn
 	busy    map[*conn]struct{}
 	opening int
-	// bound counts the reads that an early binding gave to the member and that
+	// boundReads counts the reads that an early binding gave to the member and that
 	// have not ended.
-	bound int
+	boundReads int
 	// notBefore delays the next attempt to open a connection.
 	notBefore time.Time
 }
@@ -87,7 +87,7 @@
 		dialer:  newDialer(o.options),
 		limit:   limit,
 		members: make([]memberPool, n),
-		queue:   admission.NewQueue[*want](queueLimit),
+		queue:   admission.NewQueue[*connRequest](queueLimit),
 		primary: group.NoMember,
 	}
 	p.primaryCap = max(1, limit/2)
@@ -99,35 +99,35 @@
 }
 
 // acquire returns a connection to a member that may serve the request.
-func (p *pool) acquire(ctx context.Context, w *want, deadline time.Time) (*conn, error) {
+func (p *pool) acquire(ctx context.Context, w *connRequest, deadline time.Time) (*conn, error) {
 	p.mu.Lock()
-	if refusal := p.refuse(w, deadline); refusal != nil {
+	if refusal := p.admissionRefusal(w, deadline); refusal != nil {
 		p.mu.Unlock()
 		return nil, refusal
 	}
-	p.bind(w)
-	if c := p.direct(w); c != nil {
+	p.bindEarly(w)
+	if c := p.acquireDirect(w); c != nil {
 		p.mu.Unlock()
 		return c, nil
 	}
 	waiter, ok := p.queue.Push(w, w.request.Priority, time.Now())
 	if !ok {
 		p.mu.Unlock()
-		return nil, p.tooMany(p.held.MeanHold())
+		return nil, p.overloadRefusal(p.holdTimes.MeanHold())
 	}
-	p.serve()
+	p.assignQueued()
 	p.mu.Unlock()
 	select {
 	case c := <-w.ready:
-		return p.given(w, c)
+		return p.assigned(w, c)
 	default:
 	}
 	return p.wait(ctx, w, waiter, deadline)
 }
 
-func (p *pool) wait(ctx context.Context, w *want, waiter *admission.Waiter[*want], deadline time.Time) (*conn, error) {
+func (p *pool) wait(ctx context.Context, w *connRequest, waiter *admission.Waiter[*connRequest], deadline time.Time) (*conn, error) {
 	if w.kind == statement.Read {
-		defer p.ask(w)()
+		defer p.probeWhileStale(w)()
 		t := time.AfterFunc(time.Until(w.primaryAt), p.dispatch)
 		defer t.Stop()
 	}
@@ -135,7 +135,7 @@
 	defer t.Stop()
 	select {
 	case c := <-w.ready:
-		return p.given(w, c)
+		return p.assigned(w, c)
 	case <-ctx.Done():
 	case <-t.C:
 	}
@@ -144,23 +144,23 @@
 	p.mu.Unlock()
 	if !queued {
 		// A connection, or the end of the pool, came at the last moment.
-		return p.given(w, <-w.ready)
+		return p.assigned(w, <-w.ready)
 	}
 	if ctx.Err() != nil {
 		return nil, statement.NewNotRunRefusal(postgres.CodeQueryCanceled, "canceled while waiting for a connection")
 	}
-	return nil, statement.NewNotRunRefusal(postgres.CodeCannotConnectNow, p.whyNot(w))
+	return nil, statement.NewNotRunRefusal(postgres.CodeCannotConnectNow, p.unavailableReason(w))
 }
 
-// given returns the connection that w got, or the reason why it got none.
-func (p *pool) given(w *want, c *conn) (*conn, error) {
+// assigned returns the connection that w got, or the reason why it got none.
+func (p *pool) assigned(w *connRequest, c *conn) (*conn, error) {
 	switch {
 	case c != nil:
 		return c, nil
 	case w.late:
-		return nil, p.tooMany(minRetryAfter)
+		return nil, p.overloadRefusal(minRetryAfter)
 	}
-	return nil, handedOver()
+	return nil, handoverRefusal()
 }
 
 // dispatch serves the queue. What still waits may wait for a replica's progress,
@@ -168,18 +168,18 @@
 func (p *pool) dispatch() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.follow()
-	p.serve()
-	p.warm()
-	if p.stale > 0 {
-		p.owner.kickAll()
+	p.followPrimary()
+	p.assignQueued()
+	p.prewarm()
+	if p.staleReads > 0 {
+		p.owner.probeAll()
 	}
 }
 
-// follow closes the connections that a change of primary has made useless.
+// followPrimary closes the connections that a change of primary has made useless.
 // Those to the old primary are closed even while they are in use: their
 // transactions can no longer be confirmed.
-func (p *pool) follow() {
+func (p *pool) followPrimary() {
 	v := p.owner.view()
 	if v.primary == p.primary || v.primary == group.NoMember {
 		return
@@ -190,10 +190,10 @@
 	p.primary = v.primary
 }
 
-// abandon closes the connections to a replica that does not answer probes. Its
+// closeReplica closes the connections to a replica that does not answer probes. Its
 // reads run anew on another member instead of waiting for their deadline. A
 // primary's are kept: its writes cannot be repeated, and it may come back.
-func (p *pool) abandon(i int) {
+func (p *pool) closeReplica(i int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if v := p.owner.view(); v.primary != group.NoMember && i != v.primary {
@@ -204,31 +204,31 @@
 func (p *pool) closeMember(i int) {
 	p.closeIdle(i)
 	for c := range p.members[i].busy {
-		c.doomed = true
+		c.unusable = true
 		c.close()
 	}
 }
 
-// serve binds waiting requests to free connections and opens connections for
+// assignQueued binds waiting requests to free connections and opens connections for
 // the rest. p.mu is held.
-func (p *pool) serve() {
+func (p *pool) assignQueued() {
 	if p.closed {
 		return
 	}
 	v, now := p.owner.view(), time.Now()
 	if p.queue.Len() > 0 {
-		p.expire(now)
+		p.refuseLate(now)
 	}
 	for {
 		var got *conn
-		w := p.queue.Pick(func(w *want) bool {
-			got = p.find(v, w, now)
+		w := p.queue.Pick(func(w *connRequest) bool {
+			got = p.findConn(v, w, now)
 			return got != nil
 		})
 		if w == nil {
 			return
 		}
-		got.take(v, now)
+		got.markAcquired(v, now)
 		w.Value.ready <- got
 	}
 }
@@ -243,27 +243,27 @@
 	defer p.mu.Unlock()
 	m := &p.members[c.member]
 	delete(m.busy, c)
-	if p.owner.options.Binding != Late && m.bound > 0 {
-		m.bound--
+	if p.owner.options.Binding != Late && m.boundReads > 0 {
+		m.boundReads--
 	}
-	p.held.Observe(time.Since(c.taken))
-	if !clean || c.doomed || p.closed {
+	p.holdTimes.Observe(time.Since(c.acquiredAt))
+	if !clean || c.unusable || p.closed {
 		c.close()
 	} else {
 		m.idle = append(m.idle, c)
 	}
-	p.serve()
+	p.assignQueued()
 }
 
-// doom keeps a connection from being used again.
-func (p *pool) doom(c *conn) {
+// markUnusable keeps a connection from being used again.
+func (p *pool) markUnusable(c *conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	c.doomed = true
+	c.unusable = true
 }
 
-// quiet reports whether no exchange holds a connection to the member.
-func (p *pool) quiet(i int) bool {
+// isIdle reports whether no exchange holds a connection to the member.
+func (p *pool) isIdle(i int) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return len(p.members[i].busy) == 0
@@ -275,7 +275,7 @@
 	defer p.mu.Unlock()
 	p.closed = true
 	for {
-		w := p.queue.Pick(func(*want) bool { return true })
+		w := p.queue.Pick(func(*connRequest) bool { return true })
 		if w == nil {
 			break
 		}
@@ -295,8 +295,8 @@
 
 // drain waits for open exchanges until ctx ends and closes all connections.
 func (p *pool) drain(ctx context.Context) {
-	for p.busy() > 0 && ctx.Err() == nil {
-		pause(ctx, drainPoll)
+	for p.busyConns() > 0 && ctx.Err() == nil {
+		sleep(ctx, drainPollInterval)
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -305,9 +305,9 @@
 	}
 }
 
-const drainPoll = 5 * time.Millisecond
+const drainPollInterval = 5 * time.Millisecond
 
-func (p *pool) busy() int {
+func (p *pool) busyConns() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	n := 0
--- a/io/upstream/prober.go
+++ b/io/upstream/prober.go
@@ -12,8 +12,8 @@
 	"pearlatch/core/group"
 )
 
-// reconnectPause is the pause between attempts to reach a member.
-const reconnectPause = 20 * time.Millisecond
+// reconnectDelay is the pause between attempts to reach a member.
+const reconnectDelay = 20 * time.Millisecond
 
 // connectTimeout bounds the opening of a control connection. It is above the
 // time that a loaded member takes to fork and authenticate.
@@ -24,9 +24,9 @@
 	member  config.Member
 	dial    dialer
 	silence time.Duration
-	// pace returns the pause between two probes.
-	pace   func() time.Duration
-	report func(answer)
+	// interval returns the pause between two probes.
+	interval func() time.Duration
+	report   func(probeResult)
 
 	kick chan struct{}
 	jobs chan job
@@ -35,24 +35,24 @@
 	conn uint64 // counts connections; zero before the first
 }
 
-// answer is the result of one probe. Its implementations are heard and missed.
-type answer interface{ isAnswer() }
+// probeResult is the result of one probe. Its implementations are heard and missed.
+type probeResult interface{ isProbeResult() }
 
-// heard is a status.
-type heard struct {
+// probeAnswered is a status.
+type probeAnswered struct {
 	sample group.Sample
 	conn   uint64 // the connection that it came over
 }
 
-// missed is a probe without an answer.
-type missed struct {
+// probeFailed is a probe without an answer.
+type probeFailed struct {
 	err error
 	// gone is true when the member ended or refused the connection.
 	gone bool
 }
 
-func (heard) isAnswer()  {}
-func (missed) isAnswer() {}
+func (probeAnswered) isProbeResult() {}
+func (probeFailed) isProbeResult()   {}
 
 // job is work for the control connection.
 type job struct {
@@ -61,15 +61,15 @@
 	done chan error
 }
 
-func newProber(o Options, m config.Member, pace func() time.Duration, report func(answer)) *prober {
+func newProber(o Options, m config.Member, pace func() time.Duration, report func(probeResult)) *prober {
 	return &prober{
-		member:  m,
-		dial:    newDialer(o).metered(o.ControlBytes),
-		silence: o.Group.Timing.Silence,
-		pace:    pace,
-		report:  report,
-		kick:    make(chan struct{}, 1),
-		jobs:    make(chan job),
+		member:   m,
+		dial:     newDialer(o).metered(o.ControlBytes),
+		silence:  o.Group.Timing.Silence,
+		interval: pace,
+		report:   report,
+		kick:     make(chan struct{}, 1),
+		jobs:     make(chan job),
 	}
 }
 
@@ -100,13 +100,13 @@
 // run probes until ctx ends.
 func (p *prober) run(ctx context.Context) {
 	for ctx.Err() == nil {
-		if !p.connected(ctx) {
-			pause(ctx, reconnectPause)
+		if !p.connectAndProbe(ctx) {
+			sleep(ctx, reconnectDelay)
 		}
 	}
 }
 
-func pause(ctx context.Context, d time.Duration) {
+func sleep(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
@@ -115,9 +115,9 @@
 	}
 }
 
-// connected opens a connection and probes over it until it fails. It returns
+// connectAndProbe opens a connection and probes over it until it fails. It returns
 // false when it could not open one.
-func (p *prober) connected(ctx context.Context) bool {
+func (p *prober) connectAndProbe(ctx context.Context) bool {
 	dialCtx, cancel := context.WithTimeout(ctx, connectTimeout)
 	conn, err := p.dial.connect(dialCtx, p.member)
 	if err == nil {
@@ -125,7 +125,7 @@
 	}
 	cancel()
 	if err != nil {
-		p.miss(ctx, err)
+		p.reportFailure(ctx, err)
 		return false
 	}
 	defer closeNow(conn)
@@ -134,21 +134,21 @@
 	number := p.conn
 	p.mu.Unlock()
 	for ctx.Err() == nil {
-		if err := p.ask(ctx, conn, number); err != nil {
-			p.miss(ctx, err)
+		if err := p.probe(ctx, conn, number); err != nil {
+			p.reportFailure(ctx, err)
 			return true
 		}
-		if err := p.idle(ctx, conn, number); err != nil {
-			p.miss(ctx, err)
+		if err := p.awaitNextProbe(ctx, conn, number); err != nil {
+			p.reportFailure(ctx, err)
 			return true
 		}
 	}
 	return true
 }
 
-func (p *prober) miss(ctx context.Context, err error) {
+func (p *prober) reportFailure(ctx context.Context, err error) {
 	if ctx.Err() == nil {
-		p.report(missed{err: err, gone: refused(err)})
+		p.report(probeFailed{err: err, gone: isConnRefused(err)})
 	}
 }
 
@@ -160,21 +160,21 @@
 	_ = conn.Conn().Close()
 }
 
-func (p *prober) ask(ctx context.Context, conn *pgconn.PgConn, number uint64) error {
+func (p *prober) probe(ctx context.Context, conn *pgconn.PgConn, number uint64) error {
 	askCtx, cancel := context.WithTimeout(ctx, p.silence)
 	defer cancel()
 	asked := time.Now()
-	status, err := askPrepared(askCtx, conn)
+	status, err := queryStatusPrepared(askCtx, conn)
 	if err != nil {
 		return err
 	}
-	p.report(heard{sample: group.Sample{Status: status, SentAt: asked, ReceivedAt: time.Now()}, conn: number})
+	p.report(probeAnswered{sample: group.Sample{Status: status, SentAt: asked, ReceivedAt: time.Now()}, conn: number})
 	return nil
 }
 
-// idle waits for the next probe and runs jobs meanwhile.
-func (p *prober) idle(ctx context.Context, conn *pgconn.PgConn, number uint64) error {
-	t := time.NewTimer(p.pace())
+// awaitNextProbe waits for the next probe and runs jobs meanwhile.
+func (p *prober) awaitNextProbe(ctx context.Context, conn *pgconn.PgConn, number uint64) error {
+	t := time.NewTimer(p.interval())
 	defer t.Stop()
 	for {
 		select {
--- a/io/upstream/quiesce.go
+++ b/io/upstream/quiesce.go
@@ -11,9 +11,9 @@
 // quiesce waits until no transaction is open on the primary, no write waits for
 // its confirmation, and a replica that stays holds everything.
 func (o *Owner) quiesce(ctx context.Context, a switchOver) error {
-	for !o.pool.quiet(a.primary) || !o.caughtUp(a.primary) {
-		o.kickAll()
-		pause(ctx, settlePoll)
+	for !o.pool.isIdle(a.primary) || !o.caughtUp(a.primary) {
+		o.probeAll()
+		sleep(ctx, statusPollInterval)
 		if ctx.Err() != nil {
 			return errors.New("work on the primary did not end in time")
 		}
--- a/io/upstream/snapshot.go
+++ b/io/upstream/snapshot.go
@@ -83,7 +83,7 @@
 func (p *pool) snapshot(s *Snapshot) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	s.Waiting, s.Open, s.Limit, s.Held = p.queue.Len(), p.total(), p.room, p.held.MeanHold()
+	s.Waiting, s.Open, s.Limit, s.Held = p.queue.Len(), p.totalOpen(), p.maxOpen, p.holdTimes.MeanHold()
 	for i := range s.Members {
 		s.Members[i].Idle, s.Members[i].Busy = len(p.members[i].idle), len(p.members[i].busy)
 	}
--- a/io/upstream/sql.go
+++ b/io/upstream/sql.go
@@ -52,9 +52,9 @@
 		` WHERE backend_type = 'client backend' AND pid <> pg_backend_pid()`
 )
 
-// StrangersSQL returns the statement that lists the sessions of all owners but
+// ForeignSessionsSQL returns the statement that lists the sessions of all owners but
 // the one of the given application name.
-func StrangersSQL(app string) string {
+func ForeignSessionsSQL(app string) string {
 	return "SELECT application_name FROM pg_stat_activity WHERE application_name LIKE " +
 		quote(AppPrefix+"%") + " AND application_name <> " + quote(app)
 }
--- a/io/upstream/view.go
+++ b/io/upstream/view.go
@@ -22,9 +22,9 @@
 	Switching // switching
 	// Promoting means that the owner is promoting a member.
 	Promoting // promoting
-	// Handing means that another owner takes the group over while the last
+	// HandingOver means that another owner takes the group over while the last
 	// transactions here end.
-	Handing // handing
+	HandingOver // handing
 	// Stopped means that the owner has closed everything.
 	Stopped // stopped
 )
@@ -58,16 +58,16 @@
 	leaving bool
 }
 
-// serves reports whether member i is a replica that may serve a read.
-func (v *view) serves(i int, need freshness.Requirement, now time.Time) bool {
+// canServe reports whether member i is a replica that may serve a read.
+func (v *view) canServe(i int, need freshness.Requirement, now time.Time) bool {
 	m := &v.members[i]
 	return i != v.primary && m.present && m.follows && !m.leaving && need.SatisfiedBy(m.replica, now)
 }
 
-// leads reports whether the primary may get work.
-func (v *view) leads() bool { return v.phase == Serving && v.primary != group.NoMember }
+// canSendToPrimary reports whether the primary may get work.
+func (v *view) canSendToPrimary() bool { return v.phase == Serving && v.primary != group.NoMember }
 
-// confirmable reports whether a write sent now can expect a confirmation.
-func (v *view) confirmable(now time.Time, patience time.Duration) bool {
-	return v.leads() && now.Sub(v.confirmedAt) <= patience
+// canConfirmWrites reports whether a write sent now can expect a confirmation.
+func (v *view) canConfirmWrites(now time.Time, patience time.Duration) bool {
+	return v.canSendToPrimary() && now.Sub(v.confirmedAt) <= patience
 }
