--- a/io/upstream/answer.go
+++ b/io/upstream/answer.go
@@ -21,8 +21,8 @@
 	maxHeldBytes = 4 << 20
 )
 
-// response is the state of an answer that is being read.
-type response struct {
+// answer is the state of an answer that is being read.
+type answer struct {
 	unit         *statement.Unit
 	sink         Sink
 	stage        wrapStage
@@ -76,12 +76,12 @@
 	if u.ReplyEnd == statement.EndsWithoutReply {
 		return statement.Outcome{CopyIn: true}, nil
 	}
-	a := &response{unit: u, sink: sink, extraReplies: extra, heldFrom: -1, repliesDue: u.Replies}
+	a := &answer{unit: u, sink: sink, extraReplies: extra, heldFrom: -1, repliesDue: u.Replies}
 	if wrapped {
 		a.stage = stageBegin
 	}
 	x.buf, x.delivered = x.buf[:0], false
-	out, err := x.readResponse(ctx, a)
+	out, err := x.readAnswer(ctx, a)
 	if a.failed && len(u.Prepared) > 0 {
 		x.conn.forgetPrepared(u.Prepared)
 	}
@@ -124,8 +124,8 @@
 // The statement is canceled at the deadline, which usually ends it in order.
 const deadlineCloseDelay = 500 * time.Millisecond
 
-// readResponse reads messages until the unit's answer is complete.
-func (x *Exchange) readResponse(ctx context.Context, a *response) (statement.Outcome, error) {
+// readAnswer reads messages until the unit's answer is complete.
+func (x *Exchange) readAnswer(ctx context.Context, a *answer) (statement.Outcome, error) {
 	for {
 		start := len(x.buf)
 		buf, err := postgres.ReadFrame(x.conn.r, x.buf)
@@ -163,7 +163,7 @@
 
 // dropWrapperMessage drops the messages of a wrapped read's own transaction, and reports
 // whether it dropped this one.
-func (x *Exchange) dropWrapperMessage(a *response, f postgres.Frame, start int) bool {
+func (x *Exchange) dropWrapperMessage(a *answer, f postgres.Frame, start int) bool {
 	ready := f.Type() == postgres.TypeReadyForQuery
 	switch {
 	case a.stage == stageBegin:
@@ -182,7 +182,7 @@
 
 // dropExtraReply drops the answers to messages that the caller did not send. They come
 // first; an error among them stands for the whole unit.
-func (x *Exchange) dropExtraReply(a *response, f postgres.Frame, start int) bool {
+func (x *Exchange) dropExtraReply(a *answer, f postgres.Frame, start int) bool {
 	if a.extraReplies == 0 || f.Type() != postgres.TypeParseComplete && f.Type() != postgres.TypeCloseComplete {
 		return false
 	}
@@ -193,7 +193,7 @@
 
 // isRefusedWrite reports whether a replica, or the transaction around a wrapped
 // read, refused the first unit of an exchange because it writes.
-func (x *Exchange) isRefusedWrite(a *response, f postgres.Frame) bool {
+func (x *Exchange) isRefusedWrite(a *answer, f postgres.Frame) bool {
 	if !x.replica && a.stage != stageUnit || x.delivered {
 		return false
 	}
@@ -203,7 +203,7 @@
 
 // drainRefusal reads to the end of a refused unit, so that the connection can be
 // used again.
-func (x *Exchange) drainRefusal(a *response) error {
+func (x *Exchange) drainRefusal(a *answer) error {
 	status, err := x.conn.skipToReady()
 	if a.stage == stageUnit && err == nil {
 		status, err = x.conn.skipToReady()
@@ -217,7 +217,7 @@
 
 // countReply counts an answer to a message before Flush and reports whether it was
 // the last one due.
-func (a *response) countReply(f postgres.Frame) bool {
+func (a *answer) countReply(f postgres.Frame) bool {
 	switch f.Type() {
 	case postgres.TypeErrorResponse:
 		return true
@@ -230,7 +230,7 @@
 }
 
 // flushChunk passes a full chunk on, up to where bytes are held.
-func (x *Exchange) flushChunk(a *response) error {
+func (x *Exchange) flushChunk(a *answer) error {
 	end := len(x.buf)
 	if a.heldFrom >= 0 {
 		if end-a.heldFrom > maxHeldBytes {
@@ -245,7 +245,7 @@
 }
 
 // flush passes the first end bytes on.
-func (x *Exchange) flush(a *response, end int) error {
+func (x *Exchange) flush(a *answer, end int) error {
 	if end == 0 {
 		return nil
 	}
@@ -266,7 +266,7 @@
 
 // awaitReadLease waits until the owner's lease covers an answer of a replica whose
 // session may have written through another owner.
-func (x *Exchange) awaitReadLease(a *response) error {
+func (x *Exchange) awaitReadLease(a *answer) error {
 	if !x.replica || x.delivered || x.request.NeverWrote {
 		return nil
 	}
@@ -277,7 +277,7 @@
 
 // handleReady ends a unit at ReadyForQuery. What a transaction on the primary did or
 // saw is confirmed before its end is passed on.
-func (x *Exchange) handleReady(ctx context.Context, a *response, status byte) (statement.Outcome, error) {
+func (x *Exchange) handleReady(ctx context.Context, a *answer, status byte) (statement.Outcome, error) {
 	out := statement.Outcome{Status: status}
 	if x.replica || status != postgres.StatusIdle {
 		return out, nil
