--- a/io/upstream/conn_test.go
+++ b/io/upstream/conn_test.go
@@ -11,7 +11,7 @@
 // member is promoted. If the exchange asked only then what its connection leads
 // to, it would hear "a replica", and acknowledge the write without confirmation:
 // the write is lost with the old primary.
-func TestConnectionRemembersThePrimaryItWasTakenUnder(t *testing.T) {
+func TestConnKeepsRoleAtAcquisition(t *testing.T) {
 	before := &view{phase: Serving, primary: 0, term: 3}
 	c := &conn{member: 0}
 	c.markAcquired(before, time.Now())
@@ -47,7 +47,7 @@
 	}
 }
 
-func TestHostOfApp(t *testing.T) {
+func TestHostFromAppName(t *testing.T) {
 	o := Options{Host: "host-1", Serial: 3}
 	if got := hostFromAppName(appName(o)); got != "host-1" {
 		t.Errorf("hostOfApp(%q) = %q", appName(o), got)
--- a/io/upstream/hijack_test.go
+++ b/io/upstream/hijack_test.go
@@ -26,8 +26,8 @@
 	return n, err
 }
 
-// answerQueries is a server that lets anybody in and answers each query with nothing.
-func answerQueries(t *testing.T, nc net.Conn) {
+// serveEmptyQueries is a server that lets anybody in and answers each query with nothing.
+func serveEmptyQueries(t *testing.T, nc net.Conn) {
 	b := pgproto3.NewBackend(nc, nc)
 	if _, err := b.ReceiveStartupMessage(); err != nil {
 		t.Error(err)
@@ -50,7 +50,7 @@
 // held, asked whether the connection was alive and waited for that read; all else waited for the pool. Seen in a dump of the
 // goroutines: "(*conn).alive" in "(*fdMutex).rwlock", beside "bgreader.(*BGReader).bgRead". A connection that is
 // taken over must be ours alone, and the look at it must not wait.
-func TestConnectionIsTakenOverWhole(t *testing.T) {
+func TestNewConnStopsBackgroundRead(t *testing.T) {
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -62,7 +62,7 @@
 			return
 		}
 		defer nc.Close()
-		answerQueries(t, nc)
+		serveEmptyQueries(t, nc)
 	}()
 	config, err := pgconn.ParseConfig("postgres://u@" + lis.Addr().String() + "/d?sslmode=disable")
 	if err != nil {
--- a/io/upstream/lock_test.go
+++ b/io/upstream/lock_test.go
@@ -12,7 +12,7 @@
 // at once. Later its control connection breaks, a third owner may come between,
 // and it takes the lock again: the old word must not shorten the wait for the
 // third one's lease, or a read under that lease could miss a write.
-func TestPredecessorsWordHoldsForOneReign(t *testing.T) {
+func TestPredecessorReleaseAppliesToOneLeadership(t *testing.T) {
 	o := &Owner{
 		options: Options{Group: config.Group{Timing: config.DefaultTiming()}},
 		samples: make([]group.Sample, 1), sampleConns: make([]uint64, 1), unansweredSince: make([]time.Time, 1),
