--- a/io/upstream/lock.go
+++ b/io/upstream/lock.go
@@ -85,7 +85,7 @@
 	o.predecessorReleased = false
 	o.samples[primary] = s
 	o.sampleConns[primary] = number
-	o.unansweredSince[primary], o.gone[primary] = time.Time{}, false
+	o.unansweredSince[primary], o.connRefused[primary] = time.Time{}, false
 	o.leadership = &leadership{
 		primary:  primary,
 		term:     term,
--- a/io/upstream/lock_test.go
+++ b/io/upstream/lock_test.go
@@ -16,7 +16,7 @@
 	o := &Owner{
 		options: Options{Group: config.Group{Timing: config.DefaultTiming()}},
 		samples: make([]group.Sample, 1), sampleConns: make([]uint64, 1), unansweredSince: make([]time.Time, 1),
-		gone: make([]bool, 1), leaving: make([]bool, 1), wakeup: make(chan struct{}, 1),
+		connRefused: make([]bool, 1), leaving: make([]bool, 1), wakeup: make(chan struct{}, 1),
 	}
 	now := time.Now()
 	take := func(conn uint64) time.Time {
--- a/io/upstream/next.go
+++ b/io/upstream/next.go
@@ -95,7 +95,7 @@
 	if o.unansweredSince[i].IsZero() {
 		return false
 	}
-	return o.gone[i] && !o.options.Unsafe.SilenceOnly || now.Sub(o.samples[i].ReceivedAt) > o.options.Group.Timing.Silence
+	return o.connRefused[i] && !o.options.Unsafe.SilenceOnly || now.Sub(o.samples[i].ReceivedAt) > o.options.Group.Timing.Silence
 }
 
 // hasSuccessor reports whether a member that stays could take over from primary.
--- a/io/upstream/owner.go
+++ b/io/upstream/owner.go
@@ -41,7 +41,7 @@
 	samples         []group.Sample
 	sampleConns     []uint64    // control connection of each sample
 	unansweredSince []time.Time // when probes of the member began to fail, or zero
-	gone            []bool      // the member refused or reset
+	connRefused     []bool      // the member refused or reset
 	leaving         []bool
 	history         freshness.PositionHistory
 	phase           Phase
@@ -103,7 +103,7 @@
 		samples:         make([]group.Sample, n),
 		sampleConns:     make([]uint64, n),
 		unansweredSince: make([]time.Time, n),
-		gone:            make([]bool, n),
+		connRefused:     make([]bool, n),
 		leaving:         make([]bool, n),
 		waiters:         map[*confirmWaiter]struct{}{},
 		started:         time.Now(),
@@ -207,13 +207,13 @@
 	switch a := a.(type) {
 	case probeAnswered:
 		o.samples[i], o.sampleConns[i] = a.sample, a.conn
-		o.unansweredSince[i], o.gone[i] = time.Time{}, false
+		o.unansweredSince[i], o.connRefused[i] = time.Time{}, false
 	case probeFailed:
 		if o.unansweredSince[i].IsZero() {
 			o.unansweredSince[i] = time.Now()
 			_ = level.Warn(o.logger).Log("step", "probe", "peer", o.options.Group.Members[i].Name, "err", a.err)
 		}
-		o.gone[i] = a.gone
+		o.connRefused[i] = a.connRefused
 	}
 	o.applySamples()
 	o.publish()
--- a/io/upstream/prober.go
+++ b/io/upstream/prober.go
@@ -47,8 +47,8 @@
 // probeFailed is a probe without an answer.
 type probeFailed struct {
 	err error
-	// gone is true when the member ended or refused the connection.
-	gone bool
+	// connRefused is true when the member ended or refused the connection.
+	connRefused bool
 }
 
 func (probeAnswered) isProbeResult() {}
@@ -148,7 +148,7 @@
 
 func (p *prober) reportFailure(ctx context.Context, err error) {
 	if ctx.Err() == nil {
-		p.report(probeFailed{err: err, gone: isConnRefused(err)})
+		p.report(probeFailed{err: err, connRefused: isConnRefused(err)})
 	}
 }
 
