--- a/cmd/pearlatch/config.go
+++ b/cmd/pearlatch/config.go
@@ -171,7 +171,7 @@
 	switch {
 	case errors.Is(err, operator.ErrConflict):
 		return &exitError{exitConflict, err}
-	case errors.Is(err, operator.ErrInvalid):
+	case errors.Is(err, operator.ErrInvalidDocument):
 		return &exitError{exitUsage, err}
 	case err != nil:
 		return err
--- a/internal/host/state.go
+++ b/internal/host/state.go
@@ -24,10 +24,10 @@
 	reason := h.Ready()
 	s := operator.State{
 		Host: h.settings.Host, Zone: h.settings.Zone, UptimeSeconds: int64(time.Since(h.started) / time.Second),
-		Ready: reason == "", NotReady: reason, Draining: h.stopping.Load(), Reader: h.isReader(),
+		Ready: reason == "", NotReady: reason, Draining: h.stopping.Load(), StoreReader: h.isReader(),
 		Config: h.conf.state(), Platform: operator.PlatformState{Calls: h.store.Calls()},
-		Callers:    h.callers.Callers(),
-		Goroutines: runtime.NumGoroutine(), HeapBytes: mem.HeapInuse,
+		CallersByRoute: h.callers.Callers(),
+		Goroutines:     runtime.NumGoroutine(), HeapBytes: mem.HeapInuse,
 	}
 	for _, c := range h.table.Statuses() {
 		s.Hosts = append(s.Hosts, operator.HostState{
@@ -72,9 +72,9 @@
 func groupState(s upstream.Snapshot) operator.GroupState {
 	out := operator.GroupState{
 		Group: s.Group, Phase: s.Phase.String(), Primary: s.Primary, Term: uint64(s.Term), Floor: s.Floor.String(),
-		LeaseMS: s.LeaseLeft.Milliseconds(), Confirmed: s.Confirmed.Milliseconds(), Marks: s.Marks,
-		Waiting: s.Waiting, Unconfirm: s.Unconfirmed, Open: s.Open, Limit: s.Limit, Budget: s.Budget,
-		HeldMS: float64(s.Held.Microseconds()) / 1000,
+		LeaseLeftMS: s.LeaseLeft.Milliseconds(), ConfirmedAgeMS: s.Confirmed.Milliseconds(), SessionMarks: s.Marks,
+		RequestsWaiting: s.Waiting, WritesWaiting: s.Unconfirmed, ConnectionsOpen: s.Open, ConnectionLimit: s.Limit, ConnectionBudget: s.Budget,
+		ConnectionHeldMS: float64(s.Held.Microseconds()) / 1000,
 	}
 	for _, m := range s.Members {
 		out.Members = append(out.Members, memberState(m))
@@ -93,8 +93,8 @@
 	}
 	return operator.MemberState{
 		Member: m.Name, Address: m.Address, Zone: m.Zone, Role: role, Present: m.Present, Leaving: m.Leaving,
-		Follows: m.Follows, Received: m.Received.String(), Replayed: m.Replayed.String(), AgeMS: age,
-		Idle: m.Idle, Busy: m.Busy,
+		FollowsPrimary: m.Follows, Received: m.Received.String(), Replayed: m.Replayed.String(), MaxAgeMS: age,
+		ConnectionsIdle: m.Idle, ConnectionsBusy: m.Busy,
 	}
 }
 
--- a/internal/standin/control.go
+++ b/internal/standin/control.go
@@ -76,7 +76,7 @@
 	s.member.mu.Lock()
 	defer s.member.mu.Unlock()
 	if !s.member.promote() {
-		return result{}, newError(postgres.CodeNotAvailable, "recovery is not in progress")
+		return result{}, newError(postgres.CodeNotInPrerequisiteState, "recovery is not in progress")
 	}
 	return oneRow("t"), nil
 }
--- a/internal/standin/session.go
+++ b/internal/standin/session.go
@@ -172,7 +172,7 @@
 	if s.tx.failed {
 		status = postgres.StatusFailed
 	} else if s.tx.open {
-		status = postgres.StatusInTx
+		status = postgres.StatusInTransaction
 	}
 	s.backend.Send(&pgproto3.ReadyForQuery{TxStatus: status})
 	return s.flush()
--- a/io/caller/builder.go
+++ b/io/caller/builder.go
@@ -18,55 +18,55 @@
 
 func (e *protocolError) Error() string { return "protocol violation: " + e.reason }
 
-// maxPrepared bounds the named statements of a caller.
-const maxPrepared = 10000
+// maxPreparedStatements bounds the named statements of a caller.
+const maxPreparedStatements = 10000
 
-// namePrefix starts the names of shared prepared statements.
-const namePrefix = "pearlatch_"
+// sharedNamePrefix starts the names of shared prepared statements.
+const sharedNamePrefix = "pearlatch_"
 
-// noStatement is a name under which no statement is ever prepared.
-const noStatement = namePrefix + "none"
+// unusedName is a name under which no statement is ever prepared.
+const unusedName = sharedNamePrefix + "none"
 
-// builder collects a caller's messages into units. Named statements get names
+// unitBuilder collects a caller's messages into units. Named statements get names
 // derived from their text, so that any pooled connection can hold them.
-type builder struct {
+type unitBuilder struct {
 	// named holds the caller's named statements.
-	named map[string]*prepared
+	named map[string]*preparedStatement
 	// unnamed is the caller's unnamed statement.
-	unnamed *prepared
-	// live is true while the connection's unnamed statement is the caller's:
+	unnamed *preparedStatement
+	// unnamedParsed is true while the connection's unnamed statement is the caller's:
 	// after Parse in the present unit, until a named Parse takes its place.
-	live bool
+	unnamedParsed bool
 	// copying is true between CopyInResponse and the end of the COPY.
 	copying bool
 	// extended is true when the present or last unit was of the extended
 	// protocol.
 	extended bool
 
-	unit statement.Unit
-	data []byte
-	in   []byte // the message as read
+	unit  statement.Unit
+	data  []byte
+	frame []byte // the message as read
 }
 
-// prepared is a statement that a caller has parsed.
-type prepared struct {
+// preparedStatement is a statement that a caller has parsed.
+type preparedStatement struct {
 	shared statement.Prepared
 	traits statement.Traits
 }
 
-// read reads messages up to the end of a unit. It calls arrived after the first
+// readUnit reads messages up to the end of a unit. It calls arrived after the first
 // one. It returns io.EOF when the caller ends the connection.
-func (b *builder) read(r *bufio.Reader, arrived func()) (*statement.Unit, error) {
+func (b *unitBuilder) readUnit(r *bufio.Reader, arrived func()) (*statement.Unit, error) {
 	b.reset()
 	for first := true; ; first = false {
 		var err error
-		if b.in, err = postgres.ReadFrame(r, b.in[:0]); err != nil {
+		if b.frame, err = postgres.ReadFrame(r, b.frame[:0]); err != nil {
 			return nil, err
 		}
 		if first {
 			arrived()
 		}
-		done, err := b.add(b.in)
+		done, err := b.addMessage(b.frame)
 		if err != nil {
 			return nil, err
 		}
@@ -77,31 +77,31 @@
 	}
 }
 
-// keepBuffer is the largest buffer that a session keeps between units, in bytes.
-const keepBuffer = 4 << 10
+// maxKeptBufferSize is the largest buffer that a session keeps between units, in bytes.
+const maxKeptBufferSize = 4 << 10
 
-func (b *builder) reset() {
-	if cap(b.in) > keepBuffer {
-		b.in = nil
+func (b *unitBuilder) reset() {
+	if cap(b.frame) > maxKeptBufferSize {
+		b.frame = nil
 	}
-	if cap(b.data) > keepBuffer {
+	if cap(b.data) > maxKeptBufferSize {
 		b.data = nil
 	}
 	b.data = b.data[:0]
-	b.live = false
+	b.unnamedParsed = false
 	b.unit = statement.Unit{Kind: statement.Read, Prepared: b.unit.Prepared[:0]}
 }
 
-// add adds a message and reports whether it ends the unit.
-func (b *builder) add(f postgres.Frame) (done bool, err error) {
+// addMessage adds a message and reports whether it ends the unit.
+func (b *unitBuilder) addMessage(f postgres.Frame) (done bool, err error) {
 	if b.copying {
-		return b.addCopy(f)
+		return b.addCopyMessage(f)
 	}
 	switch f.Type() {
 	case postgres.TypeTerminate:
 		return false, io.EOF
 	case postgres.TypeQuery:
-		return true, b.query(f)
+		return true, b.addQuery(f)
 	case postgres.TypeSync:
 		b.data = append(b.data, f...)
 		b.unit.ReplyEnd = statement.EndsWithReady
@@ -111,11 +111,11 @@
 		b.unit.ReplyEnd = statement.EndsAfterReplies
 		return b.unit.Replies > 0, nil
 	case postgres.TypeParse:
-		return false, b.parse(f)
+		return false, b.addParse(f)
 	case postgres.TypeBind:
-		return false, b.bind(f)
+		return false, b.addBind(f)
 	case postgres.TypeDescribe, postgres.TypeClose:
-		return false, b.object(f)
+		return false, b.addDescribeOrClose(f)
 	case postgres.TypeExecute:
 		b.data = append(b.data, f...)
 		b.unit.Replies++
@@ -126,9 +126,9 @@
 	return false, &protocolError{reason: "message type " + string(rune(f.Type())) + " is not supported"}
 }
 
-// addCopy adds a message while the member waits for COPY data. Each goes on at
+// addCopyMessage adds a message while the member waits for COPY data. Each goes on at
 // once, so that a large COPY does not gather in memory.
-func (b *builder) addCopy(f postgres.Frame) (done bool, err error) {
+func (b *unitBuilder) addCopyMessage(f postgres.Frame) (done bool, err error) {
 	b.unit.Kind = statement.Write
 	switch f.Type() {
 	case postgres.TypeCopyData:
@@ -149,20 +149,20 @@
 	return false, &protocolError{reason: "message type " + string(rune(f.Type())) + " during COPY"}
 }
 
-func (b *builder) query(f postgres.Frame) error {
+func (b *unitBuilder) addQuery(f postgres.Frame) error {
 	sql, _, ok := cutString(f.Body())
 	if !ok {
 		return &protocolError{reason: "Query without its end"}
 	}
 	b.extended = false
-	b.apply(statement.Classify(sql))
+	b.applyTraits(statement.Classify(sql))
 	b.data = append(b.data, f...)
 	b.unit.ReplyEnd = statement.EndsWithReady
 	return nil
 }
 
-// apply adds what a statement's text tells to the unit.
-func (b *builder) apply(t statement.Traits) {
+// applyTraits adds what a statement's text tells to the unit.
+func (b *unitBuilder) applyTraits(t statement.Traits) {
 	if t.Kind == statement.Write {
 		b.unit.Kind = statement.Write
 	}
@@ -173,7 +173,7 @@
 	}
 }
 
-func (b *builder) parse(f postgres.Frame) error {
+func (b *unitBuilder) addParse(f postgres.Frame) error {
 	name, rest, ok := cutString(f.Body())
 	if !ok {
 		return &protocolError{reason: "Parse without a name"}
@@ -186,20 +186,20 @@
 	p := newPrepared(sql, rest)
 	b.unit.Replies++
 	if name == "" {
-		b.unnamed, b.live = p, true
+		b.unnamed, b.unnamedParsed = p, true
 		b.data = append(b.data, f...)
 		return nil
 	}
-	if len(b.named) >= maxPrepared {
+	if len(b.named) >= maxPreparedStatements {
 		return &protocolError{reason: "too many prepared statements"}
 	}
 	if b.named == nil {
-		b.named = map[string]*prepared{}
+		b.named = map[string]*preparedStatement{}
 	}
 	b.named[name] = p
 	// The text goes to the unnamed statement, where the member checks it. The
 	// shared one is prepared when it is first used on a connection.
-	b.live = false
+	b.unnamedParsed = false
 	start := len(b.data)
 	b.data = append(postgres.BeginFrame(b.data, postgres.TypeParse), 0)
 	b.data = postgres.EndFrame(append(b.data, rest...), start)
@@ -208,25 +208,25 @@
 
 // newPrepared derives the shared name from rest, the body of a Parse message
 // after its name: the text and the parameter types.
-func newPrepared(sql string, rest []byte) *prepared {
+func newPrepared(sql string, rest []byte) *preparedStatement {
 	sum := xxhash.Sum64(rest)
 	var raw [8]byte
 	for i := range raw {
 		raw[i] = byte(sum >> (8 * i))
 	}
-	name := namePrefix + hex.EncodeToString(raw[:])
+	name := sharedNamePrefix + hex.EncodeToString(raw[:])
 	msg := append(postgres.BeginFrame(nil, postgres.TypeParse), name...)
 	msg = append(msg, 0)
 	msg = postgres.EndFrame(append(msg, rest...), 0)
-	return &prepared{shared: statement.Prepared{Name: name, Parse: msg}, traits: statement.Classify(sql)}
+	return &preparedStatement{shared: statement.Prepared{Name: name, Parse: msg}, traits: statement.Classify(sql)}
 }
 
 // resolve returns the statement that a name stands for and the name under which
 // the connection holds it.
-func (b *builder) resolve(name string) (p *prepared, shared string) {
+func (b *unitBuilder) resolve(name string) (p *preparedStatement, shared string) {
 	p = b.named[name]
 	if name == "" {
-		if b.live {
+		if b.unnamedParsed {
 			return b.unnamed, ""
 		}
 		p = b.unnamed
@@ -234,13 +234,13 @@
 	if p == nil {
 		// The connection may hold another caller's unnamed statement, so even
 		// that name must lead nowhere.
-		return nil, noStatement
+		return nil, unusedName
 	}
-	b.require(p.shared)
+	b.requirePrepared(p.shared)
 	return p, p.shared.Name
 }
 
-func (b *builder) require(s statement.Prepared) {
+func (b *unitBuilder) requirePrepared(s statement.Prepared) {
 	for _, each := range b.unit.Prepared {
 		if each.Name == s.Name {
 			return
@@ -249,7 +249,7 @@
 	b.unit.Prepared = append(b.unit.Prepared, s)
 }
 
-func (b *builder) bind(f postgres.Frame) error {
+func (b *unitBuilder) addBind(f postgres.Frame) error {
 	portal, rest, ok := cutString(f.Body())
 	if !ok {
 		return &protocolError{reason: "Bind without a portal"}
@@ -262,7 +262,7 @@
 	b.unit.Replies++
 	p, shared := b.resolve(name)
 	if p != nil {
-		b.apply(p.traits)
+		b.applyTraits(p.traits)
 	}
 	start := len(b.data)
 	b.data = append(postgres.BeginFrame(b.data, postgres.TypeBind), portal...)
@@ -271,8 +271,8 @@
 	return nil
 }
 
-// object handles Describe and Close, which name a statement or a portal.
-func (b *builder) object(f postgres.Frame) error {
+// addDescribeOrClose handles Describe and Close, which name a statement or a portal.
+func (b *unitBuilder) addDescribeOrClose(f postgres.Frame) error {
 	body := f.Body()
 	if len(body) < 2 {
 		return &protocolError{reason: "Describe or Close without a name"}
@@ -288,7 +288,7 @@
 		b.data = append(b.data, f...)
 		return nil
 	}
-	shared := noStatement
+	shared := unusedName
 	if f.Type() == postgres.TypeDescribe {
 		b.unit.Replies++
 		_, shared = b.resolve(name)
@@ -311,8 +311,8 @@
 	return string(body[:i]), body[i+1:], true
 }
 
-// appendRollback appends the answer to the end of a lost transaction.
-func appendRollback(out []byte, u *statement.Unit) []byte {
+// appendRollbackReply appends the answer to the end of a lost transaction.
+func appendRollbackReply(out []byte, u *statement.Unit) []byte {
 	for rest := u.Data; len(rest) >= postgres.HeaderSize; {
 		f := postgres.Frame(rest)
 		switch f.Type() {
--- a/io/caller/listener.go
+++ b/io/caller/listener.go
@@ -62,12 +62,12 @@
 	options Options
 	stats   stats
 
-	mu       sync.Mutex
-	sessions map[statement.CancelKey]*session
-	perRoute map[string]int
-	serial   uint16
-	draining bool
-	wait     sync.WaitGroup
+	mu             sync.Mutex
+	sessions       map[statement.CancelKey]*session
+	callersByRoute map[string]int
+	lastSerial     uint16
+	draining       bool
+	connections    sync.WaitGroup
 }
 
 type stats struct {
@@ -79,9 +79,9 @@
 // NewListener returns a listener. Serve makes it accept.
 func NewListener(o Options) *Listener {
 	return &Listener{
-		options:  o,
-		sessions: map[statement.CancelKey]*session{},
-		perRoute: map[string]int{},
+		options:        o,
+		sessions:       map[statement.CancelKey]*session{},
+		callersByRoute: map[string]int{},
 		stats: stats{
 			callers:    metrics.GetOrRegisterGauge("callers", o.Metrics),
 			statements: metrics.GetOrRegisterCounter("statements", o.Metrics),
@@ -90,29 +90,29 @@
 	}
 }
 
-// acceptPause is the pause after a failed accept, as when file descriptors run
+// acceptRetryDelay is the pause after a failed accept, as when file descriptors run
 // out, so that the loop does not spin.
-const acceptPause = 20 * time.Millisecond
+const acceptRetryDelay = 20 * time.Millisecond
 
 // Serve accepts callers from l until l closes.
 func (l *Listener) Serve(lis net.Listener) {
 	for {
 		conn, err := lis.Accept()
 		if err != nil {
-			if ne, ok := err.(net.Error); ok && ne.Timeout() || l.stopped() {
+			if ne, ok := err.(net.Error); ok && ne.Timeout() || l.isDraining() {
 				return
 			}
 			if isClosed(err) {
 				return
 			}
-			time.Sleep(acceptPause)
+			time.Sleep(acceptRetryDelay)
 			continue
 		}
-		l.wait.Go(func() { l.serve(conn) })
+		l.connections.Go(func() { l.serve(conn) })
 	}
 }
 
-func (l *Listener) stopped() bool {
+func (l *Listener) isDraining() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.draining
@@ -135,8 +135,8 @@
 func (l *Listener) Callers() map[string]int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	out := make(map[string]int, len(l.perRoute))
-	for route, n := range l.perRoute {
+	out := make(map[string]int, len(l.callersByRoute))
+	for route, n := range l.callersByRoute {
 		out[route] = n
 	}
 	return out
@@ -148,21 +148,21 @@
 func (l *Listener) Drain(ctx context.Context) {
 	l.mu.Lock()
 	l.draining = true
-	open := l.open()
+	open := l.openSessions()
 	l.mu.Unlock()
 	for _, s := range open {
 		s.drain()
 	}
 	done := make(chan struct{})
 	go func() {
-		l.wait.Wait()
+		l.connections.Wait()
 		close(done)
 	}()
 	select {
 	case <-done:
 	case <-ctx.Done():
 		l.mu.Lock()
-		open = l.open()
+		open = l.openSessions()
 		l.mu.Unlock()
 		for _, s := range open {
 			s.conn.Close()
@@ -171,7 +171,7 @@
 	}
 }
 
-func (l *Listener) open() []*session {
+func (l *Listener) openSessions() []*session {
 	out := make([]*session, 0, len(l.sessions))
 	for _, s := range l.sessions {
 		out = append(out, s)
@@ -184,29 +184,29 @@
 func (l *Listener) admit(s *session) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.draining || l.perRoute[s.route.Name] >= s.route.MaxCallers {
+	if l.draining || l.callersByRoute[s.route.Name] >= s.route.MaxCallers {
 		return false
 	}
 	for {
-		l.serial++
-		s.key.Process = uint32(l.options.HostNumber)<<16 | uint32(l.serial)
-		s.key.Secret = randomSecret()
-		if _, used := l.sessions[s.key]; !used {
+		l.lastSerial++
+		s.cancelKey.Process = uint32(l.options.HostNumber)<<16 | uint32(l.lastSerial)
+		s.cancelKey.Secret = randomSecret()
+		if _, used := l.sessions[s.cancelKey]; !used {
 			break
 		}
 	}
-	l.sessions[s.key] = s
-	l.perRoute[s.route.Name]++
+	l.sessions[s.cancelKey] = s
+	l.callersByRoute[s.route.Name]++
 	l.stats.callers.Update(int64(len(l.sessions)))
 	return true
 }
 
-func (l *Listener) leave(s *session) {
+func (l *Listener) remove(s *session) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	delete(l.sessions, s.key)
-	if l.perRoute[s.route.Name]--; l.perRoute[s.route.Name] == 0 {
-		delete(l.perRoute, s.route.Name)
+	delete(l.sessions, s.cancelKey)
+	if l.callersByRoute[s.route.Name]--; l.callersByRoute[s.route.Name] == 0 {
+		delete(l.callersByRoute, s.route.Name)
 	}
 	l.stats.callers.Update(int64(len(l.sessions)))
 }
--- a/io/caller/session.go
+++ b/io/caller/session.go
@@ -15,65 +15,65 @@
 	"pearlatch/io/postgres"
 )
 
-// readBuffer is the size of a caller's read buffer, in bytes. It is small since
+// readBufferSize is the size of a caller's read buffer, in bytes. It is small since
 // most callers are idle.
-const readBuffer = 2 << 10
+const readBufferSize = 2 << 10
 
 // session is a caller's connection. One goroutine runs it.
 type session struct {
-	listener *Listener
-	conn     net.Conn
-	r        *bufio.Reader
-	route    config.Route
-	key      statement.CancelKey
-	name     string // session key, or one made from key
-	own      bool   // name belongs to this connection alone
-	clean    bool   // own, and no write was sent
+	listener   *Listener
+	conn       net.Conn
+	reader     *bufio.Reader
+	route      config.Route
+	cancelKey  statement.CancelKey
+	sessionKey string // session key, or one made from key
+	ownSession bool   // name belongs to this connection alone
+	neverWrote bool   // own, and no write was sent
 
-	builder  builder
+	builder  unitBuilder
 	exchange Exchange
-	status   byte // of the last ReadyForQuery
-	// lost is true after the open transaction was lost: everything but its end
+	txStatus byte // of the last ReadyForQuery
+	// transactionLost is true after the open transaction was transactionLost: everything but its end
 	// is refused, so that later statements do not run outside of it.
-	lost bool
+	transactionLost bool
 
-	mu       sync.Mutex
-	running  Exchange // what Cancel reaches; nil between units
-	draining bool
-	idle     bool // waits outside of a transaction, perhaps with a pinned connection
+	mu              sync.Mutex
+	runningExchange Exchange // what Cancel reaches; nil between units
+	draining        bool
+	idle            bool // waits outside of a transaction, perhaps with a pinned connection
 }
 
 func newSession(l *Listener, conn net.Conn, route config.Route, name string) *session {
 	return &session{
-		listener: l,
-		conn:     conn,
-		r:        bufio.NewReaderSize(conn, readBuffer),
-		route:    route,
-		name:     name,
-		own:      name == "",
-		clean:    name == "",
-		status:   postgres.StatusIdle,
+		listener:   l,
+		conn:       conn,
+		reader:     bufio.NewReaderSize(conn, readBufferSize),
+		route:      route,
+		sessionKey: name,
+		ownSession: name == "",
+		neverWrote: name == "",
+		txStatus:   postgres.StatusIdle,
 	}
 }
 
 // loop serves the caller until either side ends the connection.
 func (s *session) loop() {
 	defer s.closeExchange()
-	if s.name == "" {
-		s.name = s.listener.options.Host + "/" + strconv.FormatUint(uint64(s.key.Process), 16) +
-			strconv.FormatUint(uint64(s.key.Secret), 16)
+	if s.sessionKey == "" {
+		s.sessionKey = s.listener.options.Host + "/" + strconv.FormatUint(uint64(s.cancelKey.Process), 16) +
+			strconv.FormatUint(uint64(s.cancelKey.Secret), 16)
 	}
 	for {
 		u, err := s.nextUnit()
 		if err != nil {
-			s.end(err)
+			s.reportEnd(err)
 			return
 		}
 		if u == nil {
 			continue
 		}
 		s.listener.stats.statements.Inc(1)
-		if err := s.do(u); err != nil {
+		if err := s.runUnit(u); err != nil {
 			return
 		}
 	}
@@ -91,9 +91,9 @@
 	if err := s.beginWait(); err != nil {
 		return nil, err
 	}
-	u, err := s.builder.read(s.r, s.endWait)
+	u, err := s.builder.readUnit(s.reader, s.endWait)
 	if err != nil && errors.Is(err, os.ErrDeadlineExceeded) {
-		return nil, s.whyTimedOut()
+		return nil, s.timeoutError()
 	}
 	return u, err
 }
@@ -102,11 +102,11 @@
 func (s *session) beginWait() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.idle = s.status == postgres.StatusIdle
+	s.idle = s.txStatus == postgres.StatusIdle
 	if s.idle && s.draining {
 		return errDrained
 	}
-	if s.status != postgres.StatusIdle {
+	if s.txStatus != postgres.StatusIdle {
 		return s.conn.SetReadDeadline(time.Now().Add(s.route.IdleInTransaction))
 	}
 	return nil
@@ -117,12 +117,12 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.idle = false
-	if s.status != postgres.StatusIdle || s.draining {
+	if s.txStatus != postgres.StatusIdle || s.draining {
 		_ = s.conn.SetReadDeadline(time.Time{})
 	}
 }
 
-func (s *session) whyTimedOut() error {
+func (s *session) timeoutError() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.draining && s.idle {
@@ -141,20 +141,20 @@
 	}
 }
 
-// end tells the caller why its connection closes, where the protocol allows.
-func (s *session) end(err error) {
+// reportEnd tells the caller why its connection closes, where the protocol allows.
+func (s *session) reportEnd(err error) {
 	var p *protocolError
 	switch {
 	case errors.Is(err, errDrained):
-		s.write(postgres.AppendFatal(nil, postgres.CodeAdminShutdown, "terminating connection: the host is shutting down", ""))
+		s.trySend(postgres.AppendFatal(nil, postgres.CodeAdminShutdown, "terminating connection: the host is shutting down", ""))
 	case errors.Is(err, errIdleInTransaction):
-		s.write(postgres.AppendFatal(nil, postgres.CodeIdleInTransaction, err.Error(), ""))
+		s.trySend(postgres.AppendFatal(nil, postgres.CodeIdleInTransaction, err.Error(), ""))
 	case errors.As(err, &p):
-		s.write(postgres.AppendFatal(nil, postgres.CodeProtocolViolation, p.Error(), ""))
+		s.trySend(postgres.AppendFatal(nil, postgres.CodeProtocolViolation, p.Error(), ""))
 	}
 }
 
-func (s *session) write(b []byte) { _, _ = s.conn.Write(b) }
+func (s *session) trySend(b []byte) { _, _ = s.conn.Write(b) }
 
 // send passes bytes of an answer to the caller.
 func (s *session) send(b []byte) error {
@@ -162,26 +162,26 @@
 	return err
 }
 
-// do runs a unit. It returns an error when the connection must close.
-func (s *session) do(u *statement.Unit) error {
-	if s.lost {
-		return s.refuseLost(u)
+// runUnit runs a unit. It returns an error when the connection must close.
+func (s *session) runUnit(u *statement.Unit) error {
+	if s.transactionLost {
+		return s.refuseInLostTransaction(u)
 	}
 	u.Deadline = time.Now().Add(s.route.Deadline)
 	if s.exchange == nil {
-		s.begin(u)
+		s.beginExchange(u)
 	}
 	s.setRunning(s.exchange)
 	out, err := s.exchange.Do(context.Background(), u, s.send)
 	s.setRunning(nil)
 	if err != nil {
-		return s.failed(u, err)
+		return s.sendFailure(u, err)
 	}
 	if out.Wrote {
-		s.clean = false
+		s.neverWrote = false
 	}
 	if out.Status != 0 {
-		s.status = out.Status
+		s.txStatus = out.Status
 	}
 	if out.CopyIn {
 		s.builder.copying = true
@@ -192,33 +192,33 @@
 	return nil
 }
 
-func (s *session) begin(u *statement.Unit) {
+func (s *session) beginExchange(u *statement.Unit) {
 	if u.Kind == statement.Write {
-		s.clean = false
+		s.neverWrote = false
 	}
 	s.exchange = s.listener.options.Router.Begin(&statement.Request{
 		Route:       s.route.Name,
 		Group:       s.route.Group,
-		Session:     s.name,
-		NeverWrote:  s.clean,
+		Session:     s.sessionKey,
+		NeverWrote:  s.neverWrote,
 		Class:       s.route.Reads,
 		Priority:    s.route.Priority,
 		Idempotent:  s.route.Idempotent,
 		ReplicaWait: s.route.Patience,
-		CancelKey:   s.key,
+		CancelKey:   s.cancelKey,
 	})
 }
 
 func (s *session) setRunning(x Exchange) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.running = x
+	s.runningExchange = x
 }
 
 // cancel cancels the running statement.
 func (s *session) cancel(ctx context.Context) {
 	s.mu.Lock()
-	x := s.running
+	x := s.runningExchange
 	s.mu.Unlock()
 	if x != nil {
 		_ = x.Cancel(ctx)
@@ -232,43 +232,43 @@
 	}
 }
 
-// failed answers a unit that the upstream did not answer.
-func (s *session) failed(u *statement.Unit, err error) error {
+// sendFailure answers a unit that the upstream did not answer.
+func (s *session) sendFailure(u *statement.Unit, err error) error {
 	s.closeExchange()
 	s.listener.stats.refusals.Inc(1)
 	var r *statement.Refusal
 	if !errors.As(err, &r) {
 		return err // the caller's own connection failed
 	}
-	inTransaction := s.status != postgres.StatusIdle
+	inTransaction := s.txStatus != postgres.StatusIdle
 	s.builder.copying = false
 	out := postgres.AppendError(nil, r.Code, r.Error(), r.Hint())
 	if inTransaction && !u.ControlsTransaction {
-		s.lost, s.status = true, postgres.StatusFailed
+		s.transactionLost, s.txStatus = true, postgres.StatusFailed
 	} else {
-		s.status = postgres.StatusIdle
+		s.txStatus = postgres.StatusIdle
 	}
 	// A simple COPY that fails half way ends at once; the caller's remaining data
 	// is dropped.
 	simpleCopy := u.ReplyEnd == statement.EndsWithoutReply && !s.builder.extended
 	if u.ReplyEnd == statement.EndsWithReady || simpleCopy {
-		out = postgres.AppendReady(out, s.status)
+		out = postgres.AppendReady(out, s.txStatus)
 	}
 	return s.send(out)
 }
 
-// refuseLost answers units after the transaction was lost, until its end.
-func (s *session) refuseLost(u *statement.Unit) error {
+// refuseInLostTransaction answers units after the transaction was lost, until its end.
+func (s *session) refuseInLostTransaction(u *statement.Unit) error {
 	if u.ReplyEnd != statement.EndsWithReady {
 		return nil
 	}
 	var out []byte
 	if u.ControlsTransaction {
-		s.lost, s.status = false, postgres.StatusIdle
-		out = appendRollback(out, u)
+		s.transactionLost, s.txStatus = false, postgres.StatusIdle
+		out = appendRollbackReply(out, u)
 	} else {
 		out = postgres.AppendError(out, postgres.CodeInFailedTransaction,
 			"current transaction is aborted: its connection was lost", "")
 	}
-	return s.send(postgres.AppendReady(out, s.status))
+	return s.send(postgres.AppendReady(out, s.txStatus))
 }
--- a/io/caller/startup.go
+++ b/io/caller/startup.go
@@ -19,12 +19,12 @@
 // SessionOption is the startup parameter that carries a session key.
 const SessionOption = "pearlatch.session"
 
-// maxSessionKey bounds a session key, in bytes.
-const maxSessionKey = 200
+// maxSessionKeySize bounds a session key, in bytes.
+const maxSessionKeySize = 200
 
-// reported are the parameters that callers are told at startup. Upstream
+// reportedParameters are the parameters that callers are told at startup. Upstream
 // sessions are reset to the same values.
-var reported = []pgproto3.ParameterStatus{
+var reportedParameters = []pgproto3.ParameterStatus{
 	{Name: "server_version", Value: "17.0"},
 	{Name: "server_encoding", Value: "UTF8"},
 	{Name: "client_encoding", Value: "UTF8"},
@@ -35,9 +35,9 @@
 	{Name: "standard_conforming_strings", Value: "on"},
 }
 
-// ignored are startup parameters that change nothing that pooled connections
+// ignoredParameters are startup parameters that change nothing that pooled connections
 // share.
-var ignored = map[string]bool{
+var ignoredParameters = map[string]bool{
 	"user": true, "database": true, "application_name": true, "options": true,
 	SessionOption: true, "extra_float_digits": true, "fallback_application_name": true,
 }
@@ -55,7 +55,7 @@
 
 func (r *refusal) Error() string { return r.message }
 
-func refuse(code, format string, args ...any) error {
+func newRefusal(code, format string, args ...any) error {
 	return &refusal{code: code, message: fmt.Sprintf(format, args...)}
 }
 
@@ -75,7 +75,7 @@
 		_ = conn.Close()
 		return
 	}
-	defer l.leave(s)
+	defer l.remove(s)
 	defer s.conn.Close()
 	s.loop()
 }
@@ -83,7 +83,7 @@
 // start runs startup and authentication. It returns nil after a cancel request.
 func (l *Listener) start(conn net.Conn) (*session, error) {
 	_ = conn.SetDeadline(time.Now().Add(l.options.StartupTimeout))
-	conn, msg, err := l.startupMessage(conn)
+	conn, msg, err := l.receiveStartup(conn)
 	if err != nil || msg == nil {
 		return nil, err
 	}
@@ -93,22 +93,22 @@
 		return nil, err
 	}
 	if !l.admit(s) {
-		if l.stopped() {
-			return nil, refuse(postgres.CodeAdminShutdown, "the host is shutting down")
+		if l.isDraining() {
+			return nil, newRefusal(postgres.CodeAdminShutdown, "the host is shutting down")
 		}
-		return nil, refuse(postgres.CodeTooManyConnections, "route %q has reached its limit of %d callers", s.route.Name, s.route.MaxCallers)
+		return nil, newRefusal(postgres.CodeTooManyConnections, "route %q has reached its limit of %d callers", s.route.Name, s.route.MaxCallers)
 	}
-	if err := greet(backend, s.key); err != nil {
-		l.leave(s)
+	if err := finishStartup(backend, s.cancelKey); err != nil {
+		l.remove(s)
 		return nil, err
 	}
 	_ = conn.SetDeadline(time.Time{})
 	return s, nil
 }
 
-// startupMessage negotiates encryption and reads the startup message. It
+// receiveStartup negotiates encryption and reads the startup message. It
 // returns none after a cancel request.
-func (l *Listener) startupMessage(conn net.Conn) (net.Conn, *pgproto3.StartupMessage, error) {
+func (l *Listener) receiveStartup(conn net.Conn) (net.Conn, *pgproto3.StartupMessage, error) {
 	for {
 		msg, err := pgproto3.NewBackend(conn, conn).ReceiveStartupMessage()
 		if err != nil {
@@ -118,10 +118,10 @@
 		case *pgproto3.StartupMessage:
 			return conn, msg, nil
 		case *pgproto3.CancelRequest:
-			l.options.Router.Cancel(keyOf(msg))
+			l.options.Router.Cancel(cancelKeyOf(msg))
 			return conn, nil, nil
 		case *pgproto3.SSLRequest:
-			if conn, err = l.secure(conn); err != nil {
+			if conn, err = l.startTLS(conn); err != nil {
 				return conn, nil, err
 			}
 		default:
@@ -132,7 +132,7 @@
 	}
 }
 
-func (l *Listener) secure(conn net.Conn) (net.Conn, error) {
+func (l *Listener) startTLS(conn net.Conn) (net.Conn, error) {
 	if l.options.TLS == nil {
 		_, err := conn.Write([]byte{'N'})
 		return conn, err
@@ -143,7 +143,7 @@
 	return tls.Server(conn, l.options.TLS), nil
 }
 
-func keyOf(msg *pgproto3.CancelRequest) statement.CancelKey {
+func cancelKeyOf(msg *pgproto3.CancelRequest) statement.CancelKey {
 	key := statement.CancelKey{Process: msg.ProcessID}
 	if len(msg.SecretKey) == 4 {
 		key.Secret = binary.BigEndian.Uint32(msg.SecretKey)
@@ -153,7 +153,7 @@
 
 func (l *Listener) authenticate(conn net.Conn, backend *pgproto3.Backend, params map[string]string) (*session, error) {
 	if reason := l.options.Routes.Ready(); reason != "" {
-		return nil, refuse(postgres.CodeCannotConnectNow, "the host is not ready: %s", reason)
+		return nil, newRefusal(postgres.CodeCannotConnectNow, "the host is not ready: %s", reason)
 	}
 	name := params["database"]
 	if name == "" {
@@ -167,8 +167,8 @@
 		verifier = l.options.Routes.Verifier(route.Credential, params["user"])
 	}
 	if err := postgres.Authenticate(backend, verifier); err != nil {
-		if errors.Is(err, postgres.ErrPassword) {
-			return nil, refuse(postgres.CodeInvalidPassword, "password authentication failed for user %q on route %q", params["user"], name)
+		if errors.Is(err, postgres.ErrInvalidPassword) {
+			return nil, newRefusal(postgres.CodeInvalidPassword, "password authentication failed for user %q on route %q", params["user"], name)
 		}
 		return nil, err
 	}
@@ -192,8 +192,8 @@
 			key, _, _ = strings.Cut(rest, " ")
 		}
 	}
-	if len(key) > maxSessionKey {
-		return "", refuse(postgres.CodeProtocolViolation, "%s: the key is longer than %d bytes", SessionOption, maxSessionKey)
+	if len(key) > maxSessionKeySize {
+		return "", newRefusal(postgres.CodeProtocolViolation, "%s: the key is longer than %d bytes", SessionOption, maxSessionKeySize)
 	}
 	return key, nil
 }
@@ -202,19 +202,19 @@
 // own on the upstream.
 func checkParameters(params map[string]string) error {
 	for name, value := range params {
-		if ignored[name] || strings.HasPrefix(name, "_pq_.") {
+		if ignoredParameters[name] || strings.HasPrefix(name, "_pq_.") {
 			continue
 		}
-		if !sameAsReported(name, value) {
-			return refuse(postgres.CodeFeatureNotSupported,
+		if !matchesReported(name, value) {
+			return newRefusal(postgres.CodeFeatureNotSupported,
 				"startup parameter %s=%q is not supported: upstream connections are shared; use SET after connecting", name, value)
 		}
 	}
 	return nil
 }
 
-func sameAsReported(name, value string) bool {
-	for _, p := range reported {
+func matchesReported(name, value string) bool {
+	for _, p := range reportedParameters {
 		if strings.EqualFold(p.Name, name) {
 			a := strings.ReplaceAll(strings.ToUpper(p.Value), "-", "")
 			b := strings.ReplaceAll(strings.ToUpper(value), "-", "")
@@ -224,10 +224,10 @@
 	return false
 }
 
-func greet(backend *pgproto3.Backend, key statement.CancelKey) error {
+func finishStartup(backend *pgproto3.Backend, key statement.CancelKey) error {
 	backend.Send(&pgproto3.AuthenticationOk{})
-	for i := range reported {
-		backend.Send(&reported[i])
+	for i := range reportedParameters {
+		backend.Send(&reportedParameters[i])
 	}
 	secret := binary.BigEndian.AppendUint32(nil, key.Secret)
 	backend.Send(&pgproto3.BackendKeyData{ProcessID: key.Process, SecretKey: secret})
--- a/io/etcd/etcd.go
+++ b/io/etcd/etcd.go
@@ -20,10 +20,10 @@
 // Etcd is a Store over the HTTP/JSON gateway of the etcd v3 API, as its
 // documentation describes it in "gRPC gateway". Use NewEtcd.
 type Etcd struct {
-	endpoints []netip.AddrPort
-	client    *http.Client
-	next      atomic.Uint32 // endpoint that answered last
-	calls     atomic.Int64
+	endpoints    []netip.AddrPort
+	client       *http.Client
+	lastEndpoint atomic.Uint32 // endpoint that answered last
+	calls        atomic.Int64
 }
 
 var _ Store = (*Etcd)(nil)
@@ -42,18 +42,18 @@
 // Calls returns how many calls were made, a watch counted as one.
 func (e *Etcd) Calls() int64 { return e.calls.Load() }
 
-// int64Text is a 64-bit number as the gateway writes it: a string.
-type int64Text int64
+// int64String is a 64-bit number as the gateway writes it: a string.
+type int64String int64
 
 // MarshalJSON implements json.Marshaler.
-func (n int64Text) MarshalJSON() ([]byte, error) {
+func (n int64String) MarshalJSON() ([]byte, error) {
 	return json.Marshal(strconv.FormatInt(int64(n), 10))
 }
 
 // UnmarshalJSON implements json.Unmarshaler. It takes numbers as well.
-func (n *int64Text) UnmarshalJSON(b []byte) error {
+func (n *int64String) UnmarshalJSON(b []byte) error {
 	v, err := strconv.ParseInt(strings.Trim(string(b), `"`), 10, 64)
-	*n = int64Text(v)
+	*n = int64String(v)
 	return err
 }
 
@@ -61,9 +61,9 @@
 // encoding/json.
 type (
 	keyValue struct {
-		Key         []byte    `json:"key"`
-		Value       []byte    `json:"value"`
-		ModRevision int64Text `json:"mod_revision"`
+		Key         []byte      `json:"key"`
+		Value       []byte      `json:"value"`
+		ModRevision int64String `json:"mod_revision"`
 	}
 	rangeRequest struct {
 		Key      []byte `json:"key"`
@@ -74,34 +74,34 @@
 		KVs []keyValue `json:"kvs"`
 	}
 	putRequest struct {
-		Key   []byte    `json:"key"`
-		Value []byte    `json:"value"`
-		Lease int64Text `json:"lease,omitempty"`
+		Key   []byte      `json:"key"`
+		Value []byte      `json:"value"`
+		Lease int64String `json:"lease,omitempty"`
 	}
 	compare struct {
-		Result      string    `json:"result"`
-		Target      string    `json:"target"`
-		Key         []byte    `json:"key"`
-		ModRevision int64Text `json:"mod_revision"`
+		Result      string      `json:"result"`
+		Target      string      `json:"target"`
+		Key         []byte      `json:"key"`
+		ModRevision int64String `json:"mod_revision"`
 	}
-	operation struct {
+	txnOperation struct {
 		Put    *putRequest   `json:"request_put,omitempty"`
 		Delete *rangeRequest `json:"request_delete_range,omitempty"`
 	}
 	txnRequest struct {
-		Compare []compare   `json:"compare"`
-		Success []operation `json:"success"`
+		Compare []compare      `json:"compare"`
+		Success []txnOperation `json:"success"`
 	}
 	header struct {
-		Revision int64Text `json:"revision"`
+		Revision int64String `json:"revision"`
 	}
 	txnResponse struct {
 		Header    header `json:"header"`
 		Succeeded bool   `json:"succeeded"`
 	}
 	watchCreate struct {
-		Key           []byte    `json:"key"`
-		StartRevision int64Text `json:"start_revision"`
+		Key           []byte      `json:"key"`
+		StartRevision int64String `json:"start_revision"`
 	}
 	watchRequest struct {
 		Create watchCreate `json:"create_request"`
@@ -115,12 +115,12 @@
 		} `json:"result"`
 	}
 	leaseRequest struct {
-		ID  int64Text `json:"ID,omitempty"`
-		TTL int64Text `json:"TTL,omitempty"`
+		ID  int64String `json:"ID,omitempty"`
+		TTL int64String `json:"TTL,omitempty"`
 	}
 	leaseResponse struct {
-		ID  int64Text `json:"ID"`
-		TTL int64Text `json:"TTL"`
+		ID  int64String `json:"ID"`
+		TTL int64String `json:"TTL"`
 	}
 	keepAliveResponse struct {
 		Result leaseResponse `json:"result"`
@@ -134,12 +134,12 @@
 		return nil, errors.Wrapf(err, "platform %s", path)
 	}
 	e.calls.Add(1)
-	first := e.next.Load()
+	first := e.lastEndpoint.Load()
 	for i := range e.endpoints {
 		k := (first + uint32(i)) % uint32(len(e.endpoints))
 		var out io.ReadCloser
 		if out, err = e.postTo(ctx, e.endpoints[k], path, body); err == nil {
-			e.next.Store(k)
+			e.lastEndpoint.Store(k)
 			return out, nil
 		}
 		if ctx.Err() != nil {
@@ -185,7 +185,7 @@
 	if err != nil || len(out.KVs) == 0 {
 		return Entry{}, err
 	}
-	return entryOf(out.KVs[0]), nil
+	return entryFromKeyValue(out.KVs[0]), nil
 }
 
 // Revision implements Store.
@@ -197,7 +197,9 @@
 	return int64(out.KVs[0].ModRevision), nil
 }
 
-func entryOf(kv keyValue) Entry { return Entry{Value: kv.Value, Revision: int64(kv.ModRevision)} }
+func entryFromKeyValue(kv keyValue) Entry {
+	return Entry{Value: kv.Value, Revision: int64(kv.ModRevision)}
+}
 
 // List implements Store.
 func (e *Etcd) List(ctx context.Context, prefix string) (map[string]Entry, error) {
@@ -209,22 +211,22 @@
 	}
 	entries := make(map[string]Entry, len(out.KVs))
 	for _, kv := range out.KVs {
-		entries[string(kv.Key)] = entryOf(kv)
+		entries[string(kv.Key)] = entryFromKeyValue(kv)
 	}
 	return entries, nil
 }
 
 // CompareAndSwap implements Store.
 func (e *Etcd) CompareAndSwap(ctx context.Context, key string, revision int64, puts []Put, deletes []string) (int64, error) {
-	var ops []operation
+	var ops []txnOperation
 	for _, p := range puts {
-		ops = append(ops, operation{Put: &putRequest{Key: []byte(p.Key), Value: p.Value}})
+		ops = append(ops, txnOperation{Put: &putRequest{Key: []byte(p.Key), Value: p.Value}})
 	}
 	for _, d := range deletes {
-		ops = append(ops, operation{Delete: &rangeRequest{Key: []byte(d)}})
+		ops = append(ops, txnOperation{Delete: &rangeRequest{Key: []byte(d)}})
 	}
 	out, err := call[txnResponse](ctx, e, "/v3/kv/txn", txnRequest{
-		Compare: []compare{{Result: "EQUAL", Target: "MOD", Key: []byte(key), ModRevision: int64Text(revision)}},
+		Compare: []compare{{Result: "EQUAL", Target: "MOD", Key: []byte(key), ModRevision: int64String(revision)}},
 		Success: ops,
 	})
 	if err != nil {
@@ -238,7 +240,7 @@
 
 // Watch implements Store.
 func (e *Etcd) Watch(ctx context.Context, key string, after int64, changed func(Entry)) error {
-	body, err := e.post(ctx, "/v3/watch", watchRequest{Create: watchCreate{Key: []byte(key), StartRevision: int64Text(after + 1)}})
+	body, err := e.post(ctx, "/v3/watch", watchRequest{Create: watchCreate{Key: []byte(key), StartRevision: int64String(after + 1)}})
 	if err != nil {
 		return err
 	}
@@ -250,20 +252,20 @@
 			return errors.Wrap(err, "platform /v3/watch")
 		}
 		for _, event := range out.Result.Events {
-			changed(entryOf(event.KV))
+			changed(entryFromKeyValue(event.KV))
 		}
 	}
 }
 
 // Grant implements Store.
 func (e *Etcd) Grant(ctx context.Context, seconds int64) (int64, error) {
-	out, err := call[leaseResponse](ctx, e, "/v3/lease/grant", leaseRequest{TTL: int64Text(seconds)})
+	out, err := call[leaseResponse](ctx, e, "/v3/lease/grant", leaseRequest{TTL: int64String(seconds)})
 	return int64(out.ID), err
 }
 
 // KeepAlive implements Store.
 func (e *Etcd) KeepAlive(ctx context.Context, lease int64) error {
-	out, err := call[keepAliveResponse](ctx, e, "/v3/lease/keepalive", leaseRequest{ID: int64Text(lease)})
+	out, err := call[keepAliveResponse](ctx, e, "/v3/lease/keepalive", leaseRequest{ID: int64String(lease)})
 	if err == nil && out.Result.TTL <= 0 {
 		return errors.Errorf("platform: lease %d has lapsed", lease)
 	}
@@ -272,7 +274,7 @@
 
 // PutLeased implements Store.
 func (e *Etcd) PutLeased(ctx context.Context, key string, value []byte, lease int64) error {
-	_, err := call[struct{}](ctx, e, "/v3/kv/put", putRequest{Key: []byte(key), Value: value, Lease: int64Text(lease)})
+	_, err := call[struct{}](ctx, e, "/v3/kv/put", putRequest{Key: []byte(key), Value: value, Lease: int64String(lease)})
 	return err
 }
 
--- a/io/etcd/revision.go
+++ b/io/etcd/revision.go
@@ -12,15 +12,15 @@
 	"pearlatch/core/config"
 )
 
-// MaxValue is the most that the platform's service holds in one value, in bytes.
-const MaxValue = 1 << 20
+// MaxValueSize is the most that the platform's service holds in one value, in bytes.
+const MaxValueSize = 1 << 20
 
-// maxDocument bounds a decoded revision, in bytes, so that a few hostile bytes
+// maxRevisionSize bounds a decoded revision, in bytes, so that a few hostile bytes
 // cannot stand for gigabytes.
-const maxDocument = 64 << 20
+const maxRevisionSize = 64 << 20
 
-// historyKept is how many revisions the store keeps.
-const historyKept = 100
+// maxHistory is how many revisions the store keeps.
+const maxHistory = 100
 
 // revisionRecord is a revision in the store, before compression.
 type revisionRecord struct {
@@ -33,24 +33,24 @@
 
 var (
 	encoder, _ = zstd.NewWriter(nil)
-	decoder, _ = zstd.NewReader(nil, zstd.WithDecoderMaxMemory(maxDocument))
+	decoder, _ = zstd.NewReader(nil, zstd.WithDecoderMaxMemory(maxRevisionSize))
 )
 
 // EncodeRevision returns the stored form of a revision: a JSON object,
 // compressed with zstd.
 func EncodeRevision(r config.Revision) ([]byte, error) {
-	plain, err := plainRevision(r)
+	plain, err := marshalRevision(r)
 	if err != nil {
 		return nil, err
 	}
 	out := encoder.EncodeAll(plain, nil)
-	if len(out) > MaxValue {
-		return nil, errors.Errorf("the document takes %d bytes in the platform's store, which holds at most %d", len(out), MaxValue)
+	if len(out) > MaxValueSize {
+		return nil, errors.Errorf("the document takes %d bytes in the platform's store, which holds at most %d", len(out), MaxValueSize)
 	}
 	return out, nil
 }
 
-func plainRevision(r config.Revision) ([]byte, error) {
+func marshalRevision(r config.Revision) ([]byte, error) {
 	out, err := json.Marshal(revisionRecord{
 		Number: r.Number, Author: r.Author, At: r.At, Submission: r.Submission, Document: string(r.Text),
 	})
@@ -63,10 +63,10 @@
 	if err != nil {
 		return config.Revision{}, errors.Wrap(err, "decode revision")
 	}
-	return revisionOf(plain)
+	return unmarshalRevision(plain)
 }
 
-func revisionOf(plain []byte) (config.Revision, error) {
+func unmarshalRevision(plain []byte) (config.Revision, error) {
 	var r revisionRecord
 	if err := json.Unmarshal(plain, &r); err != nil {
 		return config.Revision{}, errors.Wrap(err, "decode revision")
--- a/io/etcd/submit.go
+++ b/io/etcd/submit.go
@@ -23,11 +23,11 @@
 	return fmt.Sprintf("the configuration has changed meanwhile: revision %d by %q is in force", c.Current.Number, c.Current.Author)
 }
 
-// ErrUnsettled means that it is not known whether a submission was accepted.
-var ErrUnsettled = errors.New("the platform's store did not tell whether the submission was accepted: look at the history before submitting again")
+// ErrOutcomeUnknown means that it is not known whether a submission was accepted.
+var ErrOutcomeUnknown = errors.New("the platform's store did not tell whether the submission was accepted: look at the history before submitting again")
 
-// settlePause is the pause before a submission is tried or looked for again.
-const settlePause = 100 * time.Millisecond
+// submitRetryDelay is the pause before a submission is tried or looked for again.
+const submitRetryDelay = 100 * time.Millisecond
 
 // Submit makes a document the next revision if base is still in force, and
 // returns that revision. An answer that is lost after its write is settled by
@@ -41,43 +41,43 @@
 	}
 	tried := false
 	for {
-		done, err := attempt(ctx, s, base, r, value, tried)
+		done, err := trySubmit(ctx, s, base, r, value, tried)
 		if done {
 			return r, err
 		}
 		tried = true
 		select {
 		case <-ctx.Done():
-			return config.Revision{}, errors.Wrap(ErrUnsettled, err.Error())
-		case <-time.After(settlePause):
+			return config.Revision{}, errors.Wrap(ErrOutcomeUnknown, err.Error())
+		case <-time.After(submitRetryDelay):
 		}
 	}
 }
 
-// attempt tries to write the revision once. It returns false when the store did
+// trySubmit tries to write the revision once. It returns false when the store did
 // not tell what became of it.
-func attempt(ctx context.Context, s Store, base uint64, r config.Revision, value []byte, tried bool) (done bool, err error) {
+func trySubmit(ctx context.Context, s Store, base uint64, r config.Revision, value []byte, tried bool) (done bool, err error) {
 	entry, current, err := Current(ctx, s)
 	if err != nil {
 		return false, err
 	}
 	if current.Number != base {
 		if tried {
-			return settle(ctx, s, current, r)
+			return findOutcome(ctx, s, current, r)
 		}
 		return true, &Conflict{Current: current}
 	}
 	puts := []Put{{Key: ConfigKey, Value: value}, {Key: historyKey(r.Number), Value: value}}
 	var deletes []string
-	if r.Number > historyKept {
-		deletes = append(deletes, historyKey(r.Number-historyKept))
+	if r.Number > maxHistory {
+		deletes = append(deletes, historyKey(r.Number-maxHistory))
 	}
 	_, err = s.CompareAndSwap(ctx, ConfigKey, entry.Revision, puts, deletes)
 	if errors.Is(err, ErrConflict) {
 		if _, current, err = Current(ctx, s); err != nil {
 			return false, err
 		}
-		return settle(ctx, s, current, r)
+		return findOutcome(ctx, s, current, r)
 	}
 	return err == nil, err
 }
@@ -94,8 +94,8 @@
 	return err
 }
 
-// settle finds out whether the revision was accepted after all.
-func settle(ctx context.Context, s Store, current, r config.Revision) (done bool, err error) {
+// findOutcome finds out whether the revision was accepted after all.
+func findOutcome(ctx context.Context, s Store, current, r config.Revision) (done bool, err error) {
 	if current.Submission == r.Submission {
 		return true, nil
 	}
--- a/io/etcd/submit_test.go
+++ b/io/etcd/submit_test.go
@@ -17,12 +17,12 @@
 	"pearlatch/io/etcd"
 )
 
-var nets atomic.Uint32
+var lastNet atomic.Uint32
 
-// start runs a platform until the test ends.
-func start(t *testing.T) (*standin.Platform, *etcd.Etcd) {
+// startPlatform runs a platform until the test ends.
+func startPlatform(t *testing.T) (*standin.Platform, *etcd.Etcd) {
 	t.Helper()
-	addr := netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 4, byte(os.Getpid()), byte(nets.Add(1))}), 2379)
+	addr := netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 4, byte(os.Getpid()), byte(lastNet.Add(1))}), 2379)
 	p := standin.NewPlatform(0)
 	if err := p.Start(addr); err != nil {
 		t.Fatal(err)
@@ -40,8 +40,8 @@
 
 // Two operators fill their forms from the same revision and submit at the same
 // moment. Exactly one is accepted; the other is shown what the first one did.
-func TestOneOfTwoOperatorsIsAccepted(t *testing.T) {
-	_, store := start(t)
+func TestConcurrentSubmissionsAcceptOne(t *testing.T) {
+	_, store := startPlatform(t)
 	ctx := testContext(t)
 	var wg sync.WaitGroup
 	errs := make([]error, 8)
@@ -73,8 +73,8 @@
 
 // The store writes every submission and loses most of the answers. The operator
 // is told of an acceptance that did happen, and nothing is submitted twice.
-func TestLostAnswersAreSettled(t *testing.T) {
-	p, store := start(t)
+func TestSubmitWithLostReplies(t *testing.T) {
+	p, store := startPlatform(t)
 	ctx := testContext(t)
 	p.SetLoss(0.8)
 	for base := range uint64(20) {
@@ -97,14 +97,14 @@
 // An answer is lost after its effect, and another operator builds on the
 // revision before the first one looks. The first submission was accepted and
 // must be called so, although it is no longer in force.
-func TestAcceptedSubmissionIsFoundInHistory(t *testing.T) {
-	p, store := start(t)
+func TestAcceptedSubmissionFoundInHistory(t *testing.T) {
+	p, store := startPlatform(t)
 	ctx := testContext(t)
 	p.SetLoss(1)
 	first, cancel := context.WithTimeout(ctx, 50*time.Millisecond)
 	defer cancel()
 	_, err := etcd.Submit(first, store, 0, "first", []byte("one"))
-	if !errors.Is(err, etcd.ErrUnsettled) && err != nil {
+	if !errors.Is(err, etcd.ErrOutcomeUnknown) && err != nil {
 		t.Fatalf("got %v", err)
 	}
 	p.SetLoss(0)
@@ -117,12 +117,12 @@
 	}
 }
 
-func TestNothingIsAcceptedWhileTheStoreIsDown(t *testing.T) {
-	p, store := start(t)
+func TestSubmitWhileStoreIsDown(t *testing.T) {
+	p, store := startPlatform(t)
 	p.SetDown(true)
 	ctx, cancel := context.WithTimeout(testContext(t), 250*time.Millisecond)
 	defer cancel()
-	if _, err := etcd.Submit(ctx, store, 0, "operator", nil); !errors.Is(err, etcd.ErrUnsettled) {
+	if _, err := etcd.Submit(ctx, store, 0, "operator", nil); !errors.Is(err, etcd.ErrOutcomeUnknown) {
 		t.Fatalf("got %v", err)
 	}
 	p.SetDown(false)
@@ -133,8 +133,8 @@
 
 // A holder is paused while its lease lapses. When it wakes it must learn that,
 // rather than go on.
-func TestLapsedLeaseIsNoticed(t *testing.T) {
-	p, store := start(t)
+func TestKeepAliveOfLapsedLease(t *testing.T) {
+	p, store := startPlatform(t)
 	ctx := testContext(t)
 	lease, err := store.Grant(ctx, 10)
 	if err != nil {
@@ -155,8 +155,8 @@
 	}
 }
 
-func TestWatchStartsAfterARevision(t *testing.T) {
-	p, store := start(t)
+func TestWatchStartsAfterRevision(t *testing.T) {
+	p, store := startPlatform(t)
 	ctx, cancel := context.WithCancel(testContext(t))
 	defer cancel()
 	p.Set("/k", []byte("one"))
--- a/io/operator/api.go
+++ b/io/operator/api.go
@@ -49,7 +49,7 @@
 	Document string `json:"document"`
 }
 
-func revisionBody(r config.Revision, document bool) RevisionBody {
+func newRevisionBody(r config.Revision, document bool) RevisionBody {
 	out := RevisionBody{Revision: r.Number, Author: r.Author, At: r.At}
 	if document {
 		out.Document = string(r.Text)
@@ -57,13 +57,13 @@
 	return out
 }
 
-// maxBody bounds what a client may send, in bytes.
-const maxBody = 16 << 20
+// maxBodySize bounds what a client may send, in bytes.
+const maxBodySize = 16 << 20
 
-// addAPI adds the JSON interface that the command line uses.
-func addAPI(mux *http.ServeMux, c Configuration) {
+// registerAPI adds the JSON interface that the command line uses.
+func registerAPI(mux *http.ServeMux, c Configuration) {
 	mux.HandleFunc("GET /config", func(w http.ResponseWriter, _ *http.Request) {
-		writeJSON(w, revisionBody(c.InForce(), true))
+		writeJSON(w, newRevisionBody(c.InForce(), true))
 	})
 	mux.HandleFunc("GET /config/history", func(w http.ResponseWriter, r *http.Request) {
 		list, err := c.History(r.Context())
@@ -73,27 +73,27 @@
 		}
 		out := make([]RevisionBody, len(list))
 		for i, each := range list {
-			out[i] = revisionBody(each, false)
+			out[i] = newRevisionBody(each, false)
 		}
 		writeJSON(w, out)
 	})
 	mux.HandleFunc("POST /config", func(w http.ResponseWriter, r *http.Request) {
 		var in SubmitBody
-		if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBody)).Decode(&in); err != nil {
+		if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBodySize)).Decode(&in); err != nil {
 			http.Error(w, "the submission is not a JSON object: "+err.Error(), http.StatusBadRequest)
 			return
 		}
 		accepted, err := c.Submit(r.Context(), in.Base, in.Author, []byte(in.Document))
 		if err != nil {
-			http.Error(w, err.Error(), statusOf(err))
+			http.Error(w, err.Error(), submitStatus(err))
 			return
 		}
-		writeJSON(w, revisionBody(accepted, false))
+		writeJSON(w, newRevisionBody(accepted, false))
 	})
 }
 
-// statusOf returns the HTTP status of a failed submission.
-func statusOf(err error) int {
+// submitStatus returns the HTTP status of a failed submission.
+func submitStatus(err error) int {
 	var conflict *etcd.Conflict
 	var mistakes yamlmap.Mistakes
 	switch {
--- a/io/operator/client.go
+++ b/io/operator/client.go
@@ -26,8 +26,8 @@
 	TLS *tls.Config
 }
 
-// http returns the scheme and the client to use.
-func (c Client) http() (scheme string, client *http.Client) {
+// scheme returns the scheme and the client to use.
+func (c Client) scheme() (scheme string, client *http.Client) {
 	if c.TLS == nil {
 		return "http://", http.DefaultClient
 	}
@@ -37,8 +37,8 @@
 // ErrConflict means that the configuration has changed meanwhile.
 var ErrConflict = errors.New("conflict")
 
-// ErrInvalid means that a document is wrong.
-var ErrInvalid = errors.New("invalid document")
+// ErrInvalidDocument means that a document is wrong.
+var ErrInvalidDocument = errors.New("invalid document")
 
 // Dump returns the host's state as it sent it.
 func (c Client) Dump(ctx context.Context) ([]byte, error) {
@@ -81,7 +81,7 @@
 	if err != nil {
 		return errors.Wrapf(err, "%s %s%s", method, c.Addr, path)
 	}
-	scheme, client := c.http()
+	scheme, client := c.scheme()
 	req, err := http.NewRequestWithContext(ctx, method, scheme+c.Addr+path, bytes.NewReader(body))
 	if err != nil {
 		return errors.Wrapf(err, "%s %s%s", method, c.Addr, path)
@@ -95,7 +95,7 @@
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode >= http.StatusBadRequest {
-		return failure(resp)
+		return responseError(resp)
 	}
 	if out == nil {
 		return nil
@@ -103,17 +103,17 @@
 	return errors.Wrapf(json.NewDecoder(resp.Body).Decode(out), "%s %s%s", method, c.Addr, path)
 }
 
-// maxMessage bounds how much of a refusal is read, in bytes.
-const maxMessage = 64 << 10
+// maxErrorSize bounds how much of a refusal is read, in bytes.
+const maxErrorSize = 64 << 10
 
-func failure(resp *http.Response) error {
-	text, _ := io.ReadAll(io.LimitReader(resp.Body, maxMessage))
+func responseError(resp *http.Response) error {
+	text, _ := io.ReadAll(io.LimitReader(resp.Body, maxErrorSize))
 	message := strings.TrimSpace(string(text))
 	switch resp.StatusCode {
 	case http.StatusConflict:
 		return errors.WithMessage(ErrConflict, message)
 	case http.StatusUnprocessableEntity:
-		return errors.WithMessage(ErrInvalid, message)
+		return errors.WithMessage(ErrInvalidDocument, message)
 	}
 	return errors.Errorf("status %s: %s", resp.Status, message)
 }
--- a/io/operator/console.go
+++ b/io/operator/console.go
@@ -32,19 +32,19 @@
 // console serves the operators' forms.
 type console struct{ config Configuration }
 
-func addConsole(mux *http.ServeMux, c Configuration) {
+func registerConsole(mux *http.ServeMux, c Configuration) {
 	s := &console{config: c}
 	mux.HandleFunc("GET /{$}", s.overview)
 	mux.HandleFunc("GET /groups/{name}", s.groupForm)
-	mux.HandleFunc("POST /groups/{name}", s.groupSent)
+	mux.HandleFunc("POST /groups/{name}", s.previewGroup)
 	mux.HandleFunc("GET /routes/{name}", s.routeForm)
-	mux.HandleFunc("POST /routes/{name}", s.routeSent)
+	mux.HandleFunc("POST /routes/{name}", s.previewRoute)
 	mux.HandleFunc("GET /document", s.documentForm)
-	mux.HandleFunc("POST /preview", s.documentSent)
+	mux.HandleFunc("POST /preview", s.previewDocument)
 	mux.HandleFunc("POST /submit", s.submit)
 	mux.HandleFunc("GET /spread", s.spread)
 	mux.HandleFunc("GET /history", s.history)
-	mux.HandleFunc("GET /history/{number}", s.historyForm)
+	mux.HandleFunc("GET /history/{number}", s.previewHistory)
 }
 
 // page is what every page shows.
@@ -53,15 +53,15 @@
 	Content any
 }
 
-func show(w http.ResponseWriter, status int, name, title string, content any) {
+func renderPage(w http.ResponseWriter, status int, name, title string, content any) {
 	w.Header().Set("Content-Type", "text/html; charset=utf-8")
 	w.Header().Set("Content-Security-Policy", "default-src 'none'; style-src 'unsafe-inline'; form-action 'self'; base-uri 'none'; frame-ancestors 'none'")
 	w.WriteHeader(status)
 	_ = templates[name].ExecuteTemplate(w, "frame.html", page{Title: title, Content: content})
 }
 
-func showError(w http.ResponseWriter, status int, err error) {
-	show(w, status, "error", "It did not work", strings.Split(err.Error(), "\n"))
+func renderError(w http.ResponseWriter, status int, err error) {
+	renderPage(w, status, "error", "It did not work", strings.Split(err.Error(), "\n"))
 }
 
 // document returns the document in force and its revision. Without one it is
@@ -83,7 +83,7 @@
 
 func (s *console) overview(w http.ResponseWriter, r *http.Request) {
 	doc, rev := s.document()
-	show(w, http.StatusOK, "overview", "Configuration", overviewContent{rev, doc, s.spreadOf(r.Context(), rev.Number)})
+	renderPage(w, http.StatusOK, "overview", "Configuration", overviewContent{rev, doc, s.querySpread(r.Context(), rev.Number)})
 }
 
 // spreadContent says how many hosts have a revision in force.
@@ -93,7 +93,7 @@
 	Hosts    []HostRevision
 }
 
-func (s *console) spreadOf(ctx context.Context, revision uint64) spreadContent {
+func (s *console) querySpread(ctx context.Context, revision uint64) spreadContent {
 	out := spreadContent{Revision: revision, Hosts: s.config.Spread(ctx)}
 	for _, h := range out.Hosts {
 		if h.Answered && h.Revision >= revision {
@@ -114,7 +114,7 @@
 	Mistakes []string
 }
 
-func (s *console) preview(w http.ResponseWriter, base uint64, text []byte) {
+func (s *console) renderPreview(w http.ResponseWriter, base uint64, text []byte) {
 	rev := s.config.InForce()
 	content := previewContent{Base: base, Document: string(text), Diff: diff(string(rev.Text), string(text))}
 	status := http.StatusOK
@@ -122,27 +122,27 @@
 		content.Mistakes = strings.Split(err.Error(), "\n")
 		status = http.StatusUnprocessableEntity
 	}
-	show(w, status, "preview", "Check the change", content)
+	renderPage(w, status, "preview", "Check the change", content)
 }
 
 func (s *console) documentForm(w http.ResponseWriter, _ *http.Request) {
 	rev := s.config.InForce()
-	show(w, http.StatusOK, "document", "Whole document", previewContent{Base: rev.Number, Document: string(rev.Text)})
+	renderPage(w, http.StatusOK, "document", "Whole document", previewContent{Base: rev.Number, Document: string(rev.Text)})
 }
 
-func (s *console) documentSent(w http.ResponseWriter, r *http.Request) {
-	base, text, ok := sentDocument(w, r)
+func (s *console) previewDocument(w http.ResponseWriter, r *http.Request) {
+	base, text, ok := postedDocument(w, r)
 	if ok {
-		s.preview(w, base, text)
+		s.renderPreview(w, base, text)
 	}
 }
 
-// sentDocument reads the fields "base" and "document".
-func sentDocument(w http.ResponseWriter, r *http.Request) (base uint64, text []byte, ok bool) {
-	r.Body = http.MaxBytesReader(w, r.Body, maxBody)
+// postedDocument reads the fields "base" and "document".
+func postedDocument(w http.ResponseWriter, r *http.Request) (base uint64, text []byte, ok bool) {
+	r.Body = http.MaxBytesReader(w, r.Body, maxBodySize)
 	base, err := strconv.ParseUint(r.FormValue("base"), 10, 64)
 	if err != nil {
-		showError(w, http.StatusBadRequest, errors.New("the field base is not a revision number"))
+		renderError(w, http.StatusBadRequest, errors.New("the field base is not a revision number"))
 		return 0, nil, false
 	}
 	// Browsers send line ends as CR LF.
@@ -159,7 +159,7 @@
 }
 
 func (s *console) submit(w http.ResponseWriter, r *http.Request) {
-	base, text, ok := sentDocument(w, r)
+	base, text, ok := postedDocument(w, r)
 	if !ok {
 		return
 	}
@@ -168,15 +168,15 @@
 	var conflict *etcd.Conflict
 	switch {
 	case err == nil:
-		show(w, http.StatusOK, "accepted", "Accepted", s.spreadOf(r.Context(), accepted.Number))
+		renderPage(w, http.StatusOK, "accepted", "Accepted", s.querySpread(r.Context(), accepted.Number))
 	case errors.As(err, &conflict):
-		show(w, http.StatusConflict, "conflict", "Somebody else was faster", s.conflict(r.Context(), base, text, conflict))
+		renderPage(w, http.StatusConflict, "conflict", "Somebody else was faster", s.newConflictContent(r.Context(), base, text, conflict))
 	default:
-		showError(w, statusOf(err), err)
+		renderError(w, submitStatus(err), err)
 	}
 }
 
-func (s *console) conflict(ctx context.Context, base uint64, text []byte, c *etcd.Conflict) conflictContent {
+func (s *console) newConflictContent(ctx context.Context, base uint64, text []byte, c *etcd.Conflict) conflictContent {
 	out := conflictContent{Base: base, Current: c.Current, Document: string(text)}
 	before := ""
 	if list, err := s.config.History(ctx); err == nil {
@@ -196,32 +196,32 @@
 	if err != nil {
 		number = s.config.InForce().Number
 	}
-	show(w, http.StatusOK, "accepted", "Spread", s.spreadOf(r.Context(), number))
+	renderPage(w, http.StatusOK, "accepted", "Spread", s.querySpread(r.Context(), number))
 }
 
 func (s *console) history(w http.ResponseWriter, r *http.Request) {
 	list, err := s.config.History(r.Context())
 	if err != nil {
-		showError(w, http.StatusBadGateway, err)
+		renderError(w, http.StatusBadGateway, err)
 		return
 	}
-	show(w, http.StatusOK, "history", "History", list)
+	renderPage(w, http.StatusOK, "history", "History", list)
 }
 
-// historyForm shows the way back to an earlier content, as a new revision.
-func (s *console) historyForm(w http.ResponseWriter, r *http.Request) {
+// previewHistory shows the way back to an earlier content, as a new revision.
+func (s *console) previewHistory(w http.ResponseWriter, r *http.Request) {
 	list, err := s.config.History(r.Context())
 	if err != nil {
-		showError(w, http.StatusBadGateway, err)
+		renderError(w, http.StatusBadGateway, err)
 		return
 	}
 	for _, each := range list {
 		if strconv.FormatUint(each.Number, 10) == r.PathValue("number") {
-			s.preview(w, s.config.InForce().Number, each.Text)
+			s.renderPreview(w, s.config.InForce().Number, each.Text)
 			return
 		}
 	}
-	showError(w, http.StatusNotFound, errors.Errorf("the store keeps no revision %s", r.PathValue("number")))
+	renderError(w, http.StatusNotFound, errors.Errorf("the store keeps no revision %s", r.PathValue("number")))
 }
 
 // diffLine is a line of a difference. Sign is '+', '-' or ' '.
--- a/io/operator/console_test.go
+++ b/io/operator/console_test.go
@@ -17,12 +17,12 @@
 	"pearlatch/io/etcd"
 )
 
-// memory is a Configuration in memory.
-type memory struct{ revisions []config.Revision }
+// memoryConfiguration is a Configuration in memoryConfiguration.
+type memoryConfiguration struct{ revisions []config.Revision }
 
-func (m *memory) InForce() config.Revision { return m.revisions[len(m.revisions)-1] }
+func (m *memoryConfiguration) InForce() config.Revision { return m.revisions[len(m.revisions)-1] }
 
-func (m *memory) Submit(_ context.Context, base uint64, author string, text []byte) (config.Revision, error) {
+func (m *memoryConfiguration) Submit(_ context.Context, base uint64, author string, text []byte) (config.Revision, error) {
 	if _, err := config.Parse(text); err != nil {
 		return config.Revision{}, err
 	}
@@ -34,34 +34,36 @@
 	return r, nil
 }
 
-func (m *memory) History(context.Context) ([]config.Revision, error) { return m.revisions, nil }
+func (m *memoryConfiguration) History(context.Context) ([]config.Revision, error) {
+	return m.revisions, nil
+}
 
-func (m *memory) Spread(context.Context) []HostRevision {
+func (m *memoryConfiguration) Spread(context.Context) []HostRevision {
 	return []HostRevision{{"host-1", m.InForce().Number, true}, {"host-2", 1, true}, {"host-3", 0, false}}
 }
 
-type process struct{ drained bool }
+type fakeProcess struct{ drained bool }
 
-func (p *process) State() State { return State{Host: "host-1", Ready: true} }
-func (p *process) Drain()       { p.drained = true }
+func (p *fakeProcess) State() State { return State{Host: "host-1", Ready: true} }
+func (p *fakeProcess) Drain()       { p.drained = true }
 
 var login = Login{User: "ops", Password: "secret"}
 
-func newConsole(t *testing.T) (*memory, *httptest.Server) {
+func newConsole(t *testing.T) (*memoryConfiguration, *httptest.Server) {
 	t.Helper()
 	text, err := os.ReadFile(filepath.Join("..", "..", "core", "config", "testdata", "valid.golden"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	m := &memory{revisions: []config.Revision{{Number: 1, Author: "first", Text: text}}}
-	s := NewServer(Options{Process: &process{}, Metrics: metrics.NewRegistry(), Configuration: m, Login: login})
+	m := &memoryConfiguration{revisions: []config.Revision{{Number: 1, Author: "first", Text: text}}}
+	s := NewServer(Options{Process: &fakeProcess{}, Metrics: metrics.NewRegistry(), Configuration: m, Login: login})
 	server := httptest.NewServer(s.http.Handler)
 	t.Cleanup(server.Close)
 	return m, server
 }
 
-// ask sends a request as the operator and returns status and body.
-func ask(t *testing.T, method, target string, form url.Values, change func(*http.Request)) (int, string) {
+// sendRequest sends a request as the operator and returns status and body.
+func sendRequest(t *testing.T, method, target string, form url.Values, change func(*http.Request)) (int, string) {
 	t.Helper()
 	req, err := http.NewRequestWithContext(t.Context(), method, target, strings.NewReader(form.Encode()))
 	if err != nil {
@@ -84,7 +86,7 @@
 	return resp.StatusCode, string(body)
 }
 
-func routeForm(name, deadline string) url.Values {
+func routeFormValues(name, deadline string) url.Values {
 	return url.Values{
 		"base": {"1"}, "name": {name}, "group": {"allergen-core"}, "credential": {"app"}, "reads": {"own_writes"},
 		"deadline": {deadline}, "patience": {"50ms"}, "priority": {"normal"}, "max_callers": {"10"},
@@ -92,14 +94,14 @@
 	}
 }
 
-func TestFormsLeadToAnAcceptedRevision(t *testing.T) {
+func TestFormsSubmitRevision(t *testing.T) {
 	m, server := newConsole(t)
 	for _, path := range []string{"/", "/groups/allergen-core", "/groups/new", "/routes/desk", "/routes/new", "/document", "/history", "/spread"} {
-		if status, body := ask(t, "GET", server.URL+path, nil, nil); status != http.StatusOK || !strings.Contains(body, "</html>") {
+		if status, body := sendRequest(t, "GET", server.URL+path, nil, nil); status != http.StatusOK || !strings.Contains(body, "</html>") {
 			t.Errorf("%s: status %d", path, status)
 		}
 	}
-	status, body := ask(t, "POST", server.URL+"/routes/desk", routeForm("desk", "7s"), nil)
+	status, body := sendRequest(t, "POST", server.URL+"/routes/desk", routeFormValues("desk", "7s"), nil)
 	if status != http.StatusOK || !strings.Contains(body, "deadline: 7s") || !strings.Contains(body, "Submit on revision 1") {
 		t.Fatalf("preview: status %d\n%s", status, body)
 	}
@@ -107,7 +109,7 @@
 		t.Fatal("a preview was accepted")
 	}
 	text := strings.Replace(string(m.revisions[0].Text), "deadline: 5s", "deadline: 7s", 1)
-	status, body = ask(t, "POST", server.URL+"/submit", url.Values{"base": {"1"}, "document": {strings.ReplaceAll(text, "\n", "\r\n")}}, nil)
+	status, body = sendRequest(t, "POST", server.URL+"/submit", url.Values{"base": {"1"}, "document": {strings.ReplaceAll(text, "\n", "\r\n")}}, nil)
 	if status != http.StatusOK || !strings.Contains(body, "Revision 2 is in force on 1 of 3 hosts") {
 		t.Fatalf("submit: status %d\n%s", status, body)
 	}
@@ -116,24 +118,24 @@
 	}
 }
 
-func TestFormShowsEveryMistake(t *testing.T) {
+func TestFormShowsValidationErrors(t *testing.T) {
 	_, server := newConsole(t)
-	status, body := ask(t, "POST", server.URL+"/routes/desk", routeForm("desk", "soon"), nil)
+	status, body := sendRequest(t, "POST", server.URL+"/routes/desk", routeFormValues("desk", "soon"), nil)
 	if status != http.StatusUnprocessableEntity || !strings.Contains(body, "is not a duration") {
 		t.Errorf("status %d\n%s", status, body)
 	}
-	status, body = ask(t, "POST", server.URL+"/routes/new", routeForm("desk", "5s"), nil)
+	status, body = sendRequest(t, "POST", server.URL+"/routes/new", routeFormValues("desk", "5s"), nil)
 	if status != http.StatusUnprocessableEntity || !strings.Contains(body, "is used twice") {
 		t.Errorf("a new route took an old one's place: status %d", status)
 	}
 }
 
-func TestSecondOperatorSeesBothChanges(t *testing.T) {
+func TestConflictShowsBothChanges(t *testing.T) {
 	m, server := newConsole(t)
 	theirs := strings.Replace(string(m.revisions[0].Text), "slots: 3", "slots: 4", 1)
 	mine := strings.Replace(string(m.revisions[0].Text), "deadline: 5s", "deadline: 9s", 1)
 	for i, text := range []string{theirs, mine} {
-		status, body := ask(t, "POST", server.URL+"/submit", url.Values{"base": {"1"}, "document": {text}}, nil)
+		status, body := sendRequest(t, "POST", server.URL+"/submit", url.Values{"base": {"1"}, "document": {text}}, nil)
 		if i == 0 && status != http.StatusOK {
 			t.Fatalf("status %d", status)
 		}
@@ -143,18 +145,18 @@
 	}
 }
 
-func TestOnlyTheOperatorMayChange(t *testing.T) {
+func TestChangesRequireLogin(t *testing.T) {
 	_, server := newConsole(t)
 	for _, path := range []string{"/", "/config", "/history"} {
-		if status, _ := ask(t, "GET", server.URL+path, nil, func(r *http.Request) { r.SetBasicAuth("ops", "wrong") }); status != http.StatusUnauthorized {
+		if status, _ := sendRequest(t, "GET", server.URL+path, nil, func(r *http.Request) { r.SetBasicAuth("ops", "wrong") }); status != http.StatusUnauthorized {
 			t.Errorf("%s: status %d", path, status)
 		}
 	}
 	fromElsewhere := func(r *http.Request) { r.Header.Set("Sec-Fetch-Site", "cross-site") }
-	if status, _ := ask(t, "POST", server.URL+"/drain", nil, fromElsewhere); status != http.StatusForbidden {
+	if status, _ := sendRequest(t, "POST", server.URL+"/drain", nil, fromElsewhere); status != http.StatusForbidden {
 		t.Errorf("another site's page drained the host: status %d", status)
 	}
-	if status, _ := ask(t, "GET", server.URL+"/state", nil, func(r *http.Request) { r.Header.Del("Authorization") }); status != http.StatusOK {
+	if status, _ := sendRequest(t, "GET", server.URL+"/state", nil, func(r *http.Request) { r.Header.Del("Authorization") }); status != http.StatusOK {
 		t.Errorf("the dump: status %d", status)
 	}
 }
--- a/io/operator/forms.go
+++ b/io/operator/forms.go
@@ -10,8 +10,8 @@
 	"pearlatch/core/config"
 )
 
-// newName is the name under which forms for new sections are reached.
-const newName = "new"
+// newSectionPath is the name under which forms for new sections are reached.
+const newSectionPath = "new"
 
 // formField is a field of a form.
 type formField struct {
@@ -37,16 +37,16 @@
 	Leaving             bool
 }
 
-// spareRows is how many empty rows a form offers for new members.
-const spareRows = 2
+// emptyMemberRows is how many empty rows a form offers for new members.
+const emptyMemberRows = 2
 
 func (s *console) groupForm(w http.ResponseWriter, r *http.Request) {
 	doc, rev := s.document()
 	g := &config.Group{Slots: 1, Timing: config.DefaultTiming()}
-	if name := r.PathValue("name"); name != newName {
+	if name := r.PathValue("name"); name != newSectionPath {
 		var ok bool
 		if g, ok = doc.Group(name); !ok {
-			showError(w, http.StatusNotFound, errors.Errorf("there is no group %q", name))
+			renderError(w, http.StatusNotFound, errors.Errorf("there is no group %q", name))
 			return
 		}
 	}
@@ -54,10 +54,10 @@
 	for i, m := range g.Members {
 		content.Members = append(content.Members, memberRow{i, m.Name, m.Addr.String(), m.Zone, m.Leaving})
 	}
-	for range spareRows {
+	for range emptyMemberRows {
 		content.Members = append(content.Members, memberRow{Index: len(content.Members)})
 	}
-	show(w, http.StatusOK, "group", "Group "+g.Name, content)
+	renderPage(w, http.StatusOK, "group", "Group "+g.Name, content)
 }
 
 func groupFields(g *config.Group) []formField {
@@ -74,24 +74,24 @@
 	}
 }
 
-func (s *console) groupSent(w http.ResponseWriter, r *http.Request) {
+func (s *console) previewGroup(w http.ResponseWriter, r *http.Request) {
 	doc, _ := s.document()
-	fields := sentFields(r, groupFields(&config.Group{}))
+	fields := postedFields(r, groupFields(&config.Group{}))
 	var members [][]config.Field
-	for i := 0; r.PostForm.Has(memberField(i, "name")); i++ {
-		if row := sentMember(r, i); row != nil {
+	for i := 0; r.PostForm.Has(memberFieldName(i, "name")); i++ {
+		if row := postedMember(r, i); row != nil {
 			members = append(members, row)
 		}
 	}
 	fields = append(fields, config.Field{Name: "members", Sections: members})
-	s.edited(w, r, doc, config.Edit{Group: sectionName(r), Fields: fields})
+	s.previewEdit(w, r, doc, config.Edit{Group: sectionName(r), Fields: fields})
 }
 
-func memberField(i int, name string) string { return fmt.Sprintf("members[%d].%s", i, name) }
+func memberFieldName(i int, name string) string { return fmt.Sprintf("members[%d].%s", i, name) }
 
-// sentMember returns the fields of a member's row, or nil for an empty one.
-func sentMember(r *http.Request, i int) []config.Field {
-	value := func(name string) string { return r.PostForm.Get(memberField(i, name)) }
+// postedMember returns the fields of a member's row, or nil for an empty one.
+func postedMember(r *http.Request, i int) []config.Field {
+	value := func(name string) string { return r.PostForm.Get(memberFieldName(i, name)) }
 	if value("name") == "" && value("address") == "" {
 		return nil
 	}
@@ -109,21 +109,21 @@
 func (s *console) routeForm(w http.ResponseWriter, r *http.Request) {
 	doc, rev := s.document()
 	route, err := defaultRoute(doc)
-	if name := r.PathValue("name"); name != newName {
+	if name := r.PathValue("name"); name != newSectionPath {
 		var ok bool
 		if route, ok = doc.Route(name); !ok {
 			err = errors.Errorf("there is no route %q", name)
 		}
 	}
 	if err != nil {
-		showError(w, http.StatusNotFound, err)
+		renderError(w, http.StatusNotFound, err)
 		return
 	}
 	content := formContent{Base: rev.Number, Name: r.PathValue("name"), Fields: routeFields(route)}
 	for _, g := range doc.Groups {
 		content.Groups = append(content.Groups, g.Name)
 	}
-	show(w, http.StatusOK, "route", "Route "+route.Name, content)
+	renderPage(w, http.StatusOK, "route", "Route "+route.Name, content)
 }
 
 // defaultRoute returns a route with the defaults that a document gives it.
@@ -131,14 +131,14 @@
 	if len(doc.Groups) == 0 {
 		return nil, errors.New("there is no group yet that a route could lead to")
 	}
-	text := config.EncodeEdited(doc, config.Edit{Route: newName, Fields: []config.Field{
-		{Name: "name", Value: newName}, {Name: "group", Value: doc.Groups[0].Name}, {Name: "credential", Value: newName},
+	text := config.EncodeEdited(doc, config.Edit{Route: newSectionPath, Fields: []config.Field{
+		{Name: "name", Value: newSectionPath}, {Name: "group", Value: doc.Groups[0].Name}, {Name: "credential", Value: newSectionPath},
 	}})
 	d, err := config.Parse(text)
 	if err != nil {
 		return nil, err
 	}
-	route, _ := d.Route(newName)
+	route, _ := d.Route(newSectionPath)
 	route.Name, route.Credential = "", ""
 	return route, nil
 }
@@ -164,27 +164,27 @@
 	}
 }
 
-func (s *console) routeSent(w http.ResponseWriter, r *http.Request) {
+func (s *console) previewRoute(w http.ResponseWriter, r *http.Request) {
 	doc, _ := s.document()
-	fields := sentFields(r, routeFields(&config.Route{}))
-	s.edited(w, r, doc, config.Edit{Route: sectionName(r), Fields: fields})
+	fields := postedFields(r, routeFields(&config.Route{}))
+	s.previewEdit(w, r, doc, config.Edit{Route: sectionName(r), Fields: fields})
 }
 
 // sectionName returns the name of the section that a form edits.
 func sectionName(r *http.Request) string {
-	if name := r.PathValue("name"); name != newName {
+	if name := r.PathValue("name"); name != newSectionPath {
 		return name
 	}
 	// A new section must not replace one that exists: its name may be taken, and
 	// then the document says so.
-	return newSection
+	return noSectionName
 }
 
-// newSection is a name that no section can have.
-const newSection = " "
+// noSectionName is a name that no section can have.
+const noSectionName = " "
 
-// sentFields returns the form's fields as they were entered.
-func sentFields(r *http.Request, known []formField) []config.Field {
+// postedFields returns the form's fields as they were entered.
+func postedFields(r *http.Request, known []formField) []config.Field {
 	_ = r.ParseForm()
 	var out []config.Field
 	for _, f := range known {
@@ -193,15 +193,15 @@
 	return out
 }
 
-func (s *console) edited(w http.ResponseWriter, r *http.Request, doc *config.Document, edit config.Edit) {
+func (s *console) previewEdit(w http.ResponseWriter, r *http.Request, doc *config.Document, edit config.Edit) {
 	base, err := strconv.ParseUint(r.PostForm.Get("base"), 10, 64)
 	if err != nil {
-		showError(w, http.StatusBadRequest, errors.New("the field base is not a revision number"))
+		renderError(w, http.StatusBadRequest, errors.New("the field base is not a revision number"))
 		return
 	}
 	text := config.EncodeEdited(doc, edit)
 	if clean, err := config.Parse(text); err == nil {
 		text = config.Encode(clean)
 	}
-	s.preview(w, base, text)
+	s.renderPreview(w, base, text)
 }
--- a/io/operator/gateway.go
+++ b/io/operator/gateway.go
@@ -32,19 +32,19 @@
 		Members     []memberDump `json:"members"`
 	}
 	memberDump struct {
-		ID          string `json:"member"`
-		Zone        string `json:"availability_zone"`
-		Leaving     bool   `json:"leaving"`
-		Missing     bool   `json:"missing"`
-		Suspect     bool   `json:"suspect"`
-		Held        string `json:"held"`
-		HeardAgeMS  int64  `json:"heard_age_ms"`
-		Connections int    `json:"connections"`
-		InUse       int    `json:"in_use"`
-		Running     int    `json:"running"`
-		Idle        int    `json:"idle"`
-		Window      int    `json:"window"`
-		LatencyMS   int64  `json:"latency_ms"`
+		ID             string `json:"member"`
+		Zone           string `json:"availability_zone"`
+		Leaving        bool   `json:"leaving"`
+		Missing        bool   `json:"missing"`
+		Suspect        bool   `json:"suspect"`
+		Applied        string `json:"held"`
+		LastReplyAgeMS int64  `json:"heard_age_ms"`
+		Connections    int    `json:"connections"`
+		InUse          int    `json:"in_use"`
+		Running        int    `json:"running"`
+		Idle           int    `json:"idle"`
+		Window         int    `json:"window"`
+		LatencyMS      int64  `json:"latency_ms"`
 	}
 )
 
@@ -59,11 +59,11 @@
 			http.Error(w, err.Error(), http.StatusInternalServerError)
 		}
 	})
-	mux.HandleFunc("GET /state", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, dumpGateway(state())) })
+	mux.HandleFunc("GET /state", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, newGatewayDump(state())) })
 	return mux
 }
 
-func dumpGateway(s gateway.HostState) gatewayDump {
+func newGatewayDump(s gateway.HostState) gatewayDump {
 	out := gatewayDump{
 		Host: s.Host, Zone: s.Zone, Ready: s.Ready, Stopping: s.Stopping, Sessions: s.Sessions,
 		ConfigVersion: s.ConfigVersion, StoreRevision: s.StoreRevision.Number(), StoreEpoch: int64(s.StoreRevision.Epoch()),
@@ -76,7 +76,7 @@
 		for _, m := range g.Members {
 			d.Members = append(d.Members, memberDump{
 				ID: m.ID, Zone: m.Zone, Leaving: m.Leaving, Missing: m.Missing, Suspect: m.Suspect,
-				Held: m.Applied.String(), HeardAgeMS: ageMS(m.LastReplyAge), Connections: m.Connections, InUse: m.InUse,
+				Applied: m.Applied.String(), LastReplyAgeMS: ageMS(m.LastReplyAge), Connections: m.Connections, InUse: m.InUse,
 				Running: m.Running, Idle: m.Idle, Window: m.Window, LatencyMS: m.Latency.Milliseconds(),
 			})
 		}
--- a/io/operator/server.go
+++ b/io/operator/server.go
@@ -49,21 +49,21 @@
 		w.Header().Set("Content-Type", "application/json")
 		metrics.WriteJSONOnce(o.Metrics, w)
 	})
-	mux.HandleFunc("GET /ready", func(w http.ResponseWriter, _ *http.Request) { ready(w, o.Process.State()) })
+	mux.HandleFunc("GET /ready", func(w http.ResponseWriter, _ *http.Request) { serveReady(w, o.Process.State()) })
 	inner := http.NewServeMux()
 	inner.HandleFunc("POST /drain", func(w http.ResponseWriter, _ *http.Request) {
 		o.Process.Drain()
 		w.WriteHeader(http.StatusAccepted)
 	})
-	addAPI(inner, o.Configuration)
-	addConsole(inner, o.Configuration)
-	mux.Handle("/", guard(o.Login, inner))
+	registerAPI(inner, o.Configuration)
+	registerConsole(inner, o.Configuration)
+	mux.Handle("/", requireLogin(o.Login, inner))
 	return &Server{http: &http.Server{Handler: mux, ReadHeaderTimeout: headerTimeout}}
 }
 
-// guard lets only the operator pass, and no request that another site's page
+// requireLogin lets only the operator pass, and no request that another site's page
 // makes in the operator's browser.
-func guard(login Login, next http.Handler) http.Handler {
+func requireLogin(login Login, next http.Handler) http.Handler {
 	next = http.NewCrossOriginProtection().Handler(next)
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if login.User == "" {
@@ -94,8 +94,8 @@
 // Close ends the server at once.
 func (s *Server) Close() { _ = s.http.Close() }
 
-// ready answers the platform's balancer: 200 when callers are welcome.
-func ready(w http.ResponseWriter, s State) {
+// serveReady answers the platform's balancer: 200 when callers are welcome.
+func serveReady(w http.ResponseWriter, s State) {
 	if s.Ready && !s.Draining {
 		w.WriteHeader(http.StatusOK)
 		return
--- a/io/peer/server.go
+++ b/io/peer/server.go
@@ -41,7 +41,7 @@
 
 // maxMessageSize bounds a message of the inner protocol, in bytes. A unit is one
 // message, so it is a little more than a caller's largest message.
-const maxMessageSize = postgres.MaxFrame + 1<<20
+const maxMessageSize = postgres.MaxFrameSize + 1<<20
 
 // streamOptions are what both sides of a connection use.
 func streamOptions() drpcmanager.Options {
--- a/io/postgres/auth.go
+++ b/io/postgres/auth.go
@@ -34,8 +34,8 @@
 	return &Verifier{stored: stored}, nil
 }
 
-// ErrPassword is returned by Authenticate for a wrong password.
-var ErrPassword = errors.New("password authentication failed")
+// ErrInvalidPassword is returned by Authenticate for a wrong password.
+var ErrInvalidPassword = errors.New("password authentication failed")
 
 // Authenticate runs the server's side of SCRAM-SHA-256 over backend. A nil
 // verifier, of an unknown user, fails after the same exchange as a wrong
@@ -58,7 +58,7 @@
 		return err
 	}
 	if !known {
-		return ErrPassword
+		return ErrInvalidPassword
 	}
 	return nil
 }
@@ -74,7 +74,7 @@
 	}
 	challenge, err := conv.Step(string(first.Data))
 	if err != nil {
-		return ErrPassword
+		return ErrInvalidPassword
 	}
 	backend.Send(&pgproto3.AuthenticationSASLContinue{Data: []byte(challenge)})
 	second, err := receiveSASL[*pgproto3.SASLResponse](backend, pgproto3.AuthTypeSASLContinue)
@@ -83,7 +83,7 @@
 	}
 	final, err := conv.Step(string(second.Data))
 	if err != nil || !conv.Valid() {
-		return ErrPassword
+		return ErrInvalidPassword
 	}
 	backend.Send(&pgproto3.AuthenticationSASLFinal{Data: []byte(final)})
 	return nil
--- a/io/postgres/frame.go
+++ b/io/postgres/frame.go
@@ -24,38 +24,38 @@
 	TypeSync      = 'S'
 	TypeTerminate = 'X'
 
-	TypeCommandComplete  = 'C'
-	TypeDataRow          = 'D'
-	TypeCopyInResponse   = 'G'
-	TypeErrorResponse    = 'E'
-	TypeNotice           = 'N'
-	TypeNotification     = 'A'
-	TypeParameterStatus  = 'S'
-	TypeParseComplete    = '1'
-	TypeBindComplete     = '2'
-	TypeCloseComplete    = '3'
-	TypeReadyForQuery    = 'Z'
-	TypeEmptyQuery       = 'I'
-	TypePortalSuspended  = 's'
-	TypeNoData           = 'n'
-	TypeRowDescription   = 'T'
-	TypeParameterDescrip = 't'
+	TypeCommandComplete      = 'C'
+	TypeDataRow              = 'D'
+	TypeCopyInResponse       = 'G'
+	TypeErrorResponse        = 'E'
+	TypeNotice               = 'N'
+	TypeNotification         = 'A'
+	TypeParameterStatus      = 'S'
+	TypeParseComplete        = '1'
+	TypeBindComplete         = '2'
+	TypeCloseComplete        = '3'
+	TypeReadyForQuery        = 'Z'
+	TypeEmptyQuery           = 'I'
+	TypePortalSuspended      = 's'
+	TypeNoData               = 'n'
+	TypeRowDescription       = 'T'
+	TypeParameterDescription = 't'
 )
 
 // Status bytes of ReadyForQuery.
 const (
-	StatusIdle   = 'I'
-	StatusInTx   = 'T'
-	StatusFailed = 'E'
+	StatusIdle          = 'I'
+	StatusInTransaction = 'T'
+	StatusFailed        = 'E'
 )
 
 // HeaderSize is the size of a message's type and length, in bytes.
 const HeaderSize = 5
 
-// MaxFrame bounds one message from a caller, in bytes. A larger one closes the
+// MaxFrameSize bounds one message from a caller, in bytes. A larger one closes the
 // connection: a length field is the one place where a few hostile bytes could
 // make the process allocate a gigabyte.
-const MaxFrame = 64 << 20
+const MaxFrameSize = 64 << 20
 
 // A Frame is one message with its header. Its bytes are valid until the next
 // call on the reader that returned it.
@@ -78,7 +78,7 @@
 		return buf, err
 	}
 	size := int(binary.BigEndian.Uint32(header[1:])) + 1
-	if size < HeaderSize || size > MaxFrame {
+	if size < HeaderSize || size > MaxFrameSize {
 		return buf, errors.Errorf("message of type %q has length %d", header[0], size-1)
 	}
 	start := len(buf)
--- a/io/upstream/answer.go
+++ b/io/upstream/answer.go
@@ -153,7 +153,7 @@
 			}
 		}
 		if a.unit.ReplyEnd == statement.EndsAfterReplies && a.countReply(frame) {
-			return statement.Outcome{Status: postgres.StatusInTx}, nil
+			return statement.Outcome{Status: postgres.StatusInTransaction}, nil
 		}
 		if err := x.flushChunk(a); err != nil {
 			return statement.Outcome{}, err
@@ -222,7 +222,7 @@
 	case postgres.TypeErrorResponse:
 		return true
 	case postgres.TypeParseComplete, postgres.TypeBindComplete, postgres.TypeCloseComplete,
-		postgres.TypeParameterDescrip, postgres.TypeRowDescription, postgres.TypeNoData,
+		postgres.TypeParameterDescription, postgres.TypeRowDescription, postgres.TypeNoData,
 		postgres.TypeCommandComplete, postgres.TypeEmptyQuery, postgres.TypePortalSuspended:
 		a.repliesDue--
 	}
--- a/io/upstream/ledger.go
+++ b/io/upstream/ledger.go
@@ -74,7 +74,7 @@
 	if err != nil {
 		return nil, 0, err
 	}
-	if out.Status != postgres.StatusInTx && out.Status != postgres.StatusFailed {
+	if out.Status != postgres.StatusInTransaction && out.Status != postgres.StatusFailed {
 		return nil, 0, errors.Errorf("the request ended the transaction of the ledger: COPY and transaction control cannot carry an identifier")
 	}
 	return answer[:len(answer)-readySize], out.Status, nil
