--- a/internal/host/submit.go
+++ b/internal/host/submit.go
@@ -46,8 +46,8 @@
 	return etcd.History(ctx, o.store)
 }
 
-// Spread implements operator.Configuration.
-func (o operators) Spread(ctx context.Context) []operator.HostRevision {
+// HostRevisions implements operator.Configuration.
+func (o operators) HostRevisions(ctx context.Context) []operator.HostRevision {
 	live := o.table.Live()
 	out := make([]operator.HostRevision, len(live))
 	slots := make(chan struct{}, spreadLimit)
--- a/io/operator/api.go
+++ b/io/operator/api.go
@@ -22,8 +22,8 @@
 	Submit(ctx context.Context, base uint64, author string, text []byte) (config.Revision, error)
 	// History returns the revisions that the store keeps, newest first.
 	History(ctx context.Context) ([]config.Revision, error)
-	// Spread asks all live hosts which revision they have in force.
-	Spread(ctx context.Context) []HostRevision
+	// HostRevisions asks all live hosts which revision they have in force.
+	HostRevisions(ctx context.Context) []HostRevision
 }
 
 // HostRevision is the revision that a host has in force.
--- a/io/operator/client.go
+++ b/io/operator/client.go
@@ -26,8 +26,8 @@
 	TLS *tls.Config
 }
 
-// scheme returns the scheme and the client to use.
-func (c Client) scheme() (scheme string, client *http.Client) {
+// httpClient returns the httpClient and the client to use.
+func (c Client) httpClient() (scheme string, client *http.Client) {
 	if c.TLS == nil {
 		return "http://", http.DefaultClient
 	}
@@ -81,7 +81,7 @@
 	if err != nil {
 		return errors.Wrapf(err, "%s %s%s", method, c.Addr, path)
 	}
-	scheme, client := c.scheme()
+	scheme, client := c.httpClient()
 	req, err := http.NewRequestWithContext(ctx, method, scheme+c.Addr+path, bytes.NewReader(body))
 	if err != nil {
 		return errors.Wrapf(err, "%s %s%s", method, c.Addr, path)
--- a/io/operator/console.go
+++ b/io/operator/console.go
@@ -94,7 +94,7 @@
 }
 
 func (s *console) querySpread(ctx context.Context, revision uint64) spreadContent {
-	out := spreadContent{Revision: revision, Hosts: s.config.Spread(ctx)}
+	out := spreadContent{Revision: revision, Hosts: s.config.HostRevisions(ctx)}
 	for _, h := range out.Hosts {
 		if h.Answered && h.Revision >= revision {
 			out.Reached++
--- a/io/operator/console_test.go
+++ b/io/operator/console_test.go
@@ -38,7 +38,7 @@
 	return m.revisions, nil
 }
 
-func (m *memoryConfiguration) Spread(context.Context) []HostRevision {
+func (m *memoryConfiguration) HostRevisions(context.Context) []HostRevision {
 	return []HostRevision{{"host-1", m.InForce().Number, true}, {"host-2", 1, true}, {"host-3", 0, false}}
 }
 
