--- a/cmd/pearlatch-lab/bench.go
+++ b/cmd/pearlatch-lab/bench.go
@@ -11,20 +11,20 @@
 	"pearlatch/internal/lab"
 )
 
-// output is where a bench's result goes.
-type output struct {
+// outputOptions is where a bench's result goes.
+type outputOptions struct {
 	JSON    string `long:"json" description:"file for the result, as one JSON object"`
 	Verbose bool   `long:"verbose" description:"write the hosts' logs to standard error"`
 }
 
-func (o output) logger() log.Logger {
+func (o outputOptions) logger() log.Logger {
 	if !o.Verbose {
 		return log.NewNopLogger()
 	}
 	return log.With(log.NewJSONLogger(log.NewSyncWriter(os.Stderr)), "ts", log.DefaultTimestampUTC)
 }
 
-func (o output) write(v any) error {
+func (o outputOptions) writeResult(v any) error {
 	if o.JSON == "" {
 		return nil
 	}
@@ -44,7 +44,7 @@
 
 // configBenchCommand measures the spread of configurations.
 type configBenchCommand struct {
-	output
+	outputOptions
 	Fleets  []int  `long:"fleet" default:"8" default:"128" description:"number of hosts"`
 	Changes int    `long:"changes" default:"10" description:"documents submitted in each condition"`
 	Bytes   int    `long:"bytes" default:"1000000" description:"size of the document"`
@@ -59,12 +59,12 @@
 	if err != nil {
 		return err
 	}
-	return c.write(res)
+	return c.writeResult(res)
 }
 
 // overloadCommand measures overload.
 type overloadCommand struct {
-	output
+	outputOptions
 	Duration time.Duration `long:"duration" default:"8s" description:"how long each load is measured"`
 	Seed     uint64        `long:"seed" default:"1" description:"seed of the arrivals"`
 }
@@ -75,12 +75,12 @@
 	if err != nil {
 		return err
 	}
-	return c.write(res)
+	return c.writeResult(res)
 }
 
 // membershipCommand measures membership.
 type membershipCommand struct {
-	output
+	outputOptions
 	Fleets   []int         `long:"fleet" default:"8" default:"32" default:"128" default:"512" description:"number of hosts"`
 	Duration time.Duration `long:"duration" default:"10s" description:"how long a quiet fleet is measured"`
 	Deaths   int           `long:"deaths" default:"5" description:"hosts killed, one after another"`
@@ -94,12 +94,12 @@
 	if err != nil {
 		return err
 	}
-	return c.write(res)
+	return c.writeResult(res)
 }
 
 // overheadCommand measures overhead.
 type overheadCommand struct {
-	output
+	outputOptions
 	Duration time.Duration `long:"duration" default:"5s" description:"how long each path is measured"`
 	Callers  int           `long:"callers" default:"16" description:"callers at once"`
 	Idle     int           `long:"idle" default:"5000" description:"idle callers to count"`
@@ -108,7 +108,7 @@
 
 // Execute implements flags.Commander.
 func (c *overheadCommand) Execute([]string) error {
-	stop, err := profile(c.Profile)
+	stop, err := startProfile(c.Profile)
 	if err != nil {
 		return err
 	}
@@ -119,11 +119,11 @@
 	if err != nil {
 		return err
 	}
-	return c.write(res)
+	return c.writeResult(res)
 }
 
-// profile starts a CPU profile, if a file is named, and returns what ends it.
-func profile(path string) (stop func(), err error) {
+// startProfile starts a CPU startProfile, if a file is named, and returns what ends it.
+func startProfile(path string) (stop func(), err error) {
 	if path == "" {
 		return func() {}, nil
 	}
@@ -143,7 +143,7 @@
 
 // readsCommand measures reads.
 type readsCommand struct {
-	output
+	outputOptions
 	Duration time.Duration `long:"duration" default:"20s" description:"how long each variant is measured"`
 	Seed     uint64        `long:"seed" default:"1" description:"seed of the load's choices"`
 	Sessions int           `long:"sessions" default:"240" description:"sessions at once"`
@@ -158,12 +158,12 @@
 	if err != nil {
 		return err
 	}
-	return c.write(res)
+	return c.writeResult(res)
 }
 
 // failoverCommand measures failovers.
 type failoverCommand struct {
-	output
+	outputOptions
 	Only    string `long:"only" description:"the one fault to measure: crash, partition, planned or owner_loss"`
 	Trials  int    `long:"trials" default:"20" description:"faults of each kind"`
 	Seed    uint64 `long:"seed" default:"1" description:"seed of the load's choices"`
@@ -178,5 +178,5 @@
 	if err != nil {
 		return err
 	}
-	return c.write(res)
+	return c.writeResult(res)
 }
--- a/cmd/pearlatch-lab/capacity.go
+++ b/cmd/pearlatch-lab/capacity.go
@@ -12,7 +12,7 @@
 )
 
 // slopesCommand measures slopes.
-type slopesCommand struct{ output }
+type slopesCommand struct{ outputOptions }
 
 // Execute implements flags.Commander.
 func (c *slopesCommand) Execute([]string) error {
@@ -20,7 +20,7 @@
 	if err != nil {
 		return err
 	}
-	return c.write(slopes)
+	return c.writeResult(slopes)
 }
 
 // capacityCommand works the capacity table out.
--- a/cmd/pearlatch-lab/demo.go
+++ b/cmd/pearlatch-lab/demo.go
@@ -12,7 +12,7 @@
 
 // demoCommand runs the demo.
 type demoCommand struct {
-	output
+	outputOptions
 	Duration time.Duration `long:"duration" default:"10s" description:"how long the load runs"`
 	Seed     uint64        `long:"seed" default:"1" description:"seed of the load's choices"`
 }
@@ -24,7 +24,7 @@
 		return err
 	}
 	res.Print(os.Stdout)
-	if err := c.write(res); err != nil {
+	if err := c.writeResult(res); err != nil {
 		return err
 	}
 	if broken := res.Broken(); len(broken) > 0 {
--- a/cmd/pearlatch-lab/main.go
+++ b/cmd/pearlatch-lab/main.go
@@ -19,13 +19,13 @@
 func main() {
 	p := flags.NewNamedParser("pearlatch-lab", flags.HelpFlag|flags.PassDoubleDash)
 	p.LongDescription = "Runs pearlatch hosts and stand-ins in one process. Exit codes: 0 done, 1 failed or an invariant broke, 2 wrong usage."
-	add(p, "demo", "Run a site, kill a primary, report", &demoCommand{})
-	add(p, "up", "Run a site until interrupted, with faults on request", &upCommand{})
-	add(p, "bench", "Measure", &benchCommand{})
-	add(p, "host", "Run one host as a process, for the soak", &hostCommand{})
-	add(p, "site", "Run a site with hosts as processes until interrupted", &siteCommand{})
-	add(p, "soak", "Run hosts as processes, make things fail, check promises", &soakCommand{})
-	add(p, "capacity", "Work the capacity table out of measured slopes", &capacityCommand{})
+	addCommand(p, "demo", "Run a site, kill a primary, report", &demoCommand{})
+	addCommand(p, "up", "Run a site until interrupted, with faults on request", &upCommand{})
+	addCommand(p, "bench", "Measure", &benchCommand{})
+	addCommand(p, "host", "Run one host as a process, for the soak", &hostCommand{})
+	addCommand(p, "site", "Run a site with hosts as processes until interrupted", &siteCommand{})
+	addCommand(p, "soak", "Run hosts as processes, make things fail, check promises", &soakCommand{})
+	addCommand(p, "capacity", "Work the capacity table out of measured slopes", &capacityCommand{})
 	_, err := p.Parse()
 	var flagsErr *flags.Error
 	switch {
@@ -41,8 +41,8 @@
 	}
 }
 
-// add adds a command. The parser refuses only a name that is used twice.
-func add(p *flags.Parser, name, short string, command any) {
+// addCommand adds a command. The parser refuses only a name that is used twice.
+func addCommand(p *flags.Parser, name, short string, command any) {
 	if _, err := p.AddCommand(name, short, short+".", command); err != nil {
 		panic(err)
 	}
--- a/cmd/pearlatch-lab/soak.go
+++ b/cmd/pearlatch-lab/soak.go
@@ -36,8 +36,8 @@
 	File string `long:"file" description:"site file (YAML); without it a small site"`
 }
 
-// plan returns the site to run, with this program to run its hosts.
-func (o siteOptions) plan() (*soak.Plan, error) {
+// loadPlan returns the site to run, with this program to run its hosts.
+func (o siteOptions) loadPlan() (*soak.Plan, error) {
 	p := &soak.Plan{Options: soak.DefaultOptions(), Seed: 1}
 	if o.File != "" {
 		var err error
@@ -57,7 +57,7 @@
 func (c *siteCommand) Execute([]string) error {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	p, err := c.plan()
+	p, err := c.loadPlan()
 	if err != nil {
 		return err
 	}
@@ -94,7 +94,7 @@
 func (c *soakCommand) Execute([]string) error {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	p, err := c.plan()
+	p, err := c.loadPlan()
 	if err != nil {
 		return err
 	}
@@ -107,7 +107,7 @@
 		if len(faults) == 0 {
 			faults = soak.Schedule(seed, c.Faults)
 		}
-		ok, err := c.play(ctx, p.Options, seed, faults)
+		ok, err := c.runSeed(ctx, p.Options, seed, faults)
 		if err != nil {
 			return err
 		}
@@ -121,10 +121,10 @@
 	return ctx.Err()
 }
 
-// play plays one seed, and keeps its logs if it breaks a promise.
-func (c *soakCommand) play(ctx context.Context, o soak.Options, seed uint64, faults []soak.Fault) (ok bool, err error) {
+// runSeed plays one seed, and keeps its logs if it breaks a promise.
+func (c *soakCommand) runSeed(ctx context.Context, o soak.Options, seed uint64, faults []soak.Fault) (ok bool, err error) {
 	o.Folder = filepath.Join(c.Folder, fmt.Sprint("seed-", seed))
-	r, err := playIn(ctx, o, seed, faults)
+	r, err := runSchedule(ctx, o, seed, faults)
 	if err != nil {
 		return false, errors.Wrapf(err, "seed %d", seed)
 	}
@@ -146,14 +146,14 @@
 func (c *soakCommand) shrink(ctx context.Context, o soak.Options, seed uint64, faults []soak.Fault) {
 	o.Folder += "-shrunk"
 	left := soak.Shrink(faults, func(faults []soak.Fault) bool {
-		r, err := playIn(ctx, o, seed, faults)
+		r, err := runSchedule(ctx, o, seed, faults)
 		return err == nil && len(r.Findings) > 0
 	})
 	fmt.Printf("  shrunk to %d faults:\n%s", len(left), (&soak.Plan{Options: o, Seed: seed, Faults: left}).Format())
 }
 
-// playIn plays a schedule in a fresh folder, and leaves a report there.
-func playIn(ctx context.Context, o soak.Options, seed uint64, faults []soak.Fault) (*soak.Report, error) {
+// runSchedule plays a schedule in a fresh folder, and leaves a report there.
+func runSchedule(ctx context.Context, o soak.Options, seed uint64, faults []soak.Fault) (*soak.Report, error) {
 	if err := os.RemoveAll(o.Folder); err != nil {
 		return nil, errors.Wrap(err, "drop earlier logs")
 	}
--- a/cmd/pearlatch-lab/up.go
+++ b/cmd/pearlatch-lab/up.go
@@ -11,7 +11,7 @@
 
 // upCommand runs a site until it is interrupted.
 type upCommand struct {
-	output
+	outputOptions
 }
 
 // Execute implements flags.Commander.
--- a/cmd/pearlatch/check.go
+++ b/cmd/pearlatch/check.go
@@ -30,7 +30,7 @@
 	case isGatewaySettings(text):
 		kind = "settings of a gateway"
 		_, err = platform.ParseSettings(text)
-	case isSettings(text):
+	case isHostSettings(text):
 		kind = "settings"
 		_, err = host.ParseSettings(text)
 	default:
@@ -49,8 +49,8 @@
 	return yamlmap.Parse(text, &ignored).Has("promotions")
 }
 
-// isSettings tells settings from a configuration document, which has a version.
-func isSettings(text []byte) bool {
+// isHostSettings tells settings from a configuration document, which has a version.
+func isHostSettings(text []byte) bool {
 	var ignored yamlmap.Mistakes
 	m := yamlmap.Parse(text, &ignored)
 	return m.Has("host") || m.Has("callers") || m.Has("peers")
--- a/cmd/pearlatch/config.go
+++ b/cmd/pearlatch/config.go
@@ -19,19 +19,19 @@
 	"pearlatch/io/operator"
 )
 
-// login is how commands that change something identify themselves.
-type login struct {
+// loginOptions is how commands that change something identify themselves.
+type loginOptions struct {
 	User         string `long:"user" env:"PEARLATCH_OPERATOR" description:"operator's user"`
 	PasswordFile string `long:"password-file" env:"PEARLATCH_PASSWORD_FILE" description:"file with the operator's password"`
-	secure
+	tlsOptions
 }
 
-// secure says how commands reach a host's operator address.
-type secure struct {
+// tlsOptions says how commands reach a host's operator address.
+type tlsOptions struct {
 	Authority string `long:"authority" env:"PEARLATCH_AUTHORITY" description:"PEM file with the authority of the host's certificate; plain HTTP without it"`
 }
 
-func (s secure) tls() (*tls.Config, error) {
+func (s tlsOptions) tlsConfig() (*tls.Config, error) {
 	if s.Authority == "" {
 		return nil, nil
 	}
@@ -46,8 +46,8 @@
 	return &tls.Config{RootCAs: pool, MinVersion: tls.VersionTLS12}, nil
 }
 
-func (l login) client(addr string) (operator.Client, error) {
-	secured, err := l.tls()
+func (l loginOptions) client(addr string) (operator.Client, error) {
+	secured, err := l.tlsConfig()
 	if err != nil {
 		return operator.Client{}, err
 	}
@@ -62,8 +62,8 @@
 	return out, nil
 }
 
-// addConfig adds the command config with its subcommands.
-func addConfig(p *flags.Parser) {
+// addConfigCommands adds the command config with its subcommands.
+func addConfigCommands(p *flags.Parser) {
 	c, err := p.AddCommand("config", "Read and change the configuration", "Reads and changes the configuration by way of a running host.", &struct{}{})
 	if err != nil {
 		panic(err) // only a name used twice
@@ -85,13 +85,13 @@
 
 // getCommand prints the document in force.
 type getCommand struct {
-	login
-	Args target `positional-args:"true"`
+	loginOptions
+	Args addrArgs `positional-args:"true"`
 }
 
 // Execute implements flags.Commander.
 func (c *getCommand) Execute([]string) error {
-	r, err := c.get(c.Args.Addr)
+	r, err := c.currentRevision(c.Args.Addr)
 	if err != nil {
 		return err
 	}
@@ -100,7 +100,7 @@
 	return nil
 }
 
-func (l login) get(addr string) (operator.RevisionBody, error) {
+func (l loginOptions) currentRevision(addr string) (operator.RevisionBody, error) {
 	client, err := l.client(addr)
 	if err != nil {
 		return operator.RevisionBody{}, err
@@ -116,7 +116,7 @@
 
 // diffCommand compares a document with the one in force.
 type diffCommand struct {
-	login
+	loginOptions
 	Args fileArgs `positional-args:"true"`
 }
 
@@ -130,7 +130,7 @@
 	if err != nil {
 		return &exitError{exitUsage, err}
 	}
-	r, err := c.get(c.Args.Addr)
+	r, err := c.currentRevision(c.Args.Addr)
 	if err != nil {
 		return err
 	}
@@ -147,7 +147,7 @@
 
 // submitCommand submits a document.
 type submitCommand struct {
-	login
+	loginOptions
 	Base   uint64   `long:"base" required:"true" description:"revision that the document is based on, as printed by get"`
 	Author string   `long:"author" description:"name to record; the system's user if empty"`
 	Args   fileArgs `positional-args:"true"`
@@ -182,8 +182,8 @@
 
 // historyCommand lists revisions.
 type historyCommand struct {
-	login
-	Args target `positional-args:"true"`
+	loginOptions
+	Args addrArgs `positional-args:"true"`
 }
 
 // Execute implements flags.Commander.
--- a/cmd/pearlatch/main.go
+++ b/cmd/pearlatch/main.go
@@ -31,19 +31,19 @@
 func main() {
 	p := flags.NewNamedParser("pearlatch", flags.HelpFlag|flags.PassDoubleDash)
 	p.LongDescription = longDescription
-	add(p, "serve", "Run a host", "Runs a host until SIGTERM or SIGINT, which drain it: no request in flight is cut.", &serveCommand{})
-	add(p, "check", "Check a settings file or a configuration document", "Reports every mistake found, with line, field and reason. Exit code 2 if there is one.", &checkCommand{})
-	add(p, "dump", "Show the state of a running host", "Prints the state of the host whose operator address is given, as JSON.", &dumpCommand{})
-	add(p, "drain", "Drain a running host", "Orders the host whose operator address is given to shut down gracefully.", &drainCommand{})
-	add(p, "gateway", "Run a host on the platform of the users", "Runs a host whose members acknowledge writes themselves, until SIGTERM. The settings file may also be named by PEARLATCH_SETTINGS.", &gatewayCommand{})
-	addConfig(p)
-	add(p, "version", "Show the version", "Prints the version of the program and of the protocols it speaks.", &versionCommand{})
+	addCommand(p, "serve", "Run a host", "Runs a host until SIGTERM or SIGINT, which drain it: no request in flight is cut.", &serveCommand{})
+	addCommand(p, "check", "Check a settings file or a configuration document", "Reports every mistake found, with line, field and reason. Exit code 2 if there is one.", &checkCommand{})
+	addCommand(p, "dump", "Show the state of a running host", "Prints the state of the host whose operator address is given, as JSON.", &dumpCommand{})
+	addCommand(p, "drain", "Drain a running host", "Orders the host whose operator address is given to shut down gracefully.", &drainCommand{})
+	addCommand(p, "gateway", "Run a host on the platform of the users", "Runs a host whose members acknowledge writes themselves, until SIGTERM. The settings file may also be named by PEARLATCH_SETTINGS.", &gatewayCommand{})
+	addConfigCommands(p)
+	addCommand(p, "version", "Show the version", "Prints the version of the program and of the protocols it speaks.", &versionCommand{})
 	_, err := p.Parse()
-	os.Exit(report(err))
+	os.Exit(reportError(err))
 }
 
-// report prints an error where it belongs and returns the exit code.
-func report(err error) int {
+// reportError prints an error where it belongs and returns the exit code.
+func reportError(err error) int {
 	var flagsErr *flags.Error
 	var exit *exitError
 	switch {
@@ -63,8 +63,8 @@
 	return exitFailed
 }
 
-// add adds a command. The parser refuses only a name that is used twice.
-func add(p *flags.Parser, name, short, long string, command any) {
+// addCommand adds a command. The parser refuses only a name that is used twice.
+func addCommand(p *flags.Parser, name, short, long string, command any) {
 	if _, err := p.AddCommand(name, short, long, command); err != nil {
 		panic(err)
 	}
--- a/cmd/pearlatch/remote.go
+++ b/cmd/pearlatch/remote.go
@@ -15,20 +15,20 @@
 	"pearlatch/io/peer"
 )
 
-// target is the operator address of a running host.
-type target struct {
+// addrArgs is the operator address of a running host.
+type addrArgs struct {
 	Addr string `positional-arg-name:"HOST:PORT" required:"true"`
 }
 
 // dumpCommand prints a host's state.
 type dumpCommand struct {
-	secure
-	Args target `positional-args:"true"`
+	tlsOptions
+	Args addrArgs `positional-args:"true"`
 }
 
 // Execute implements flags.Commander.
 func (c *dumpCommand) Execute([]string) error {
-	secured, err := c.tls()
+	secured, err := c.tlsConfig()
 	if err != nil {
 		return err
 	}
@@ -47,8 +47,8 @@
 
 // drainCommand drains a host.
 type drainCommand struct {
-	login
-	Args target `positional-args:"true"`
+	loginOptions
+	Args addrArgs `positional-args:"true"`
 }
 
 // Execute implements flags.Commander.
--- a/cmd/pearlatch/serve.go
+++ b/cmd/pearlatch/serve.go
@@ -38,7 +38,7 @@
 	defer stop()
 	select {
 	case <-ctx.Done():
-	case <-h.Drains():
+	case <-h.DrainRequested():
 	}
 	drain, cancel := context.WithTimeout(context.Background(), s.Drain)
 	defer cancel()
--- a/internal/host/configure.go
+++ b/internal/host/configure.go
@@ -15,22 +15,22 @@
 )
 
 const (
-	// readers is how many hosts watch the platform. The others learn from peers.
-	readers = 2
-	// readersKey is the name under which hosts are ranked for that.
-	readersKey = "/readers"
-	// hostsInterval is how often a reader fetches the platform's host list.
-	hostsInterval = time.Second
-	// checkInterval is how often every other host looks at the revision of the
+	// maxStoreReaders is how many hosts watch the platform. The others learn from peers.
+	maxStoreReaders = 2
+	// storeReadersKey is the name under which hosts are ranked for that.
+	storeReadersKey = "/readers"
+	// hostListInterval is how often a reader fetches the platform's host list.
+	hostListInterval = time.Second
+	// configCheckInterval is how often every other host looks at the revision of the
 	// configuration itself, in case the readers are cut off from the platform.
-	checkInterval = 10 * time.Second
-	// pushed is how many hosts a host tells of a new revision at once.
-	pushed = 3
-	// basesKept is how many earlier revisions a host keeps to make deltas from.
-	basesKept = 4
-	// lonelyInterval is how often a host without a configuration, or without
+	configCheckInterval = 10 * time.Second
+	// pushFanout is how many hosts a host tells of a new revision at once.
+	pushFanout = 3
+	// maxDeltaBases is how many earlier revisions a host keeps to make deltas from.
+	maxDeltaBases = 4
+	// storeRetryInterval is how often a host without a configuration, or without
 	// peers, asks the platform itself.
-	lonelyInterval = 500 * time.Millisecond
+	storeRetryInterval = 500 * time.Millisecond
 	// pullTimeout bounds a call for the configuration.
 	pullTimeout = 2 * time.Second
 )
@@ -42,32 +42,32 @@
 	// newest is what is passed on. Its number only rises, and is never below
 	// that of the revision in force.
 	newest config.Revision
-	// revision is in force, with its document. Its number only rises.
-	revision config.Revision
-	doc      *config.Document
-	applied  time.Time
-	pulling  bool
+	// current is in force, with its document. Its number only rises.
+	current   config.Revision
+	doc       *config.Document
+	appliedAt time.Time
+	pulling   bool
 	// earlier holds revisions that were received before, newest first.
 	earlier []config.Revision
 	// deltas holds encoded deltas to the newest revision, by their base.
 	deltas map[uint64][]byte
 }
 
-// latest returns the newest revision that was received.
-func (c *configuration) latest() config.Revision {
+// newestRevision returns the newest revision that was received.
+func (c *configuration) newestRevision() config.Revision {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.newest
 }
 
-// received returns the number of the newest revision that was received.
-func (c *configuration) received() uint64 { return c.latest().Number }
+// newestNumber returns the number of the newest revision that was newestNumber.
+func (c *configuration) newestNumber() uint64 { return c.newestRevision().Number }
 
 // inForce returns the revision in force.
 func (c *configuration) inForce() config.Revision {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.revision
+	return c.current
 }
 
 func (c *configuration) document() *config.Document {
@@ -76,7 +76,7 @@
 	return c.doc
 }
 
-func (c *configuration) number() uint64 { return c.inForce().Number }
+func (c *configuration) inForceNumber() uint64 { return c.inForce().Number }
 
 // receive keeps a revision if it is newer than all before, and reports whether
 // it is.
@@ -87,7 +87,7 @@
 		return false
 	}
 	if c.newest.Number > 0 {
-		c.earlier = append([]config.Revision{c.newest}, c.earlier[:min(len(c.earlier), basesKept-1)]...)
+		c.earlier = append([]config.Revision{c.newest}, c.earlier[:min(len(c.earlier), maxDeltaBases-1)]...)
 	}
 	c.newest, c.deltas = r, map[uint64][]byte{}
 	return true
@@ -95,7 +95,7 @@
 
 // apply puts a revision in force if it is higher than the present one.
 func (c *configuration) apply(r config.Revision) (bool, error) {
-	if r.Number <= c.number() {
+	if r.Number <= c.inForceNumber() {
 		return false, nil
 	}
 	doc, err := config.Parse(r.Text)
@@ -104,15 +104,15 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if r.Number <= c.revision.Number {
+	if r.Number <= c.current.Number {
 		return false, nil
 	}
-	c.revision, c.doc, c.applied = r, doc, time.Now()
+	c.current, c.doc, c.appliedAt = r, doc, time.Now()
 	return true, nil
 }
 
-// answer returns what a host that has the given revision lacks.
-func (c *configuration) answer(have uint64) *peer.Pulled {
+// pullResponse returns what a host that has the given revision lacks.
+func (c *configuration) pullResponse(have uint64) *peer.Pulled {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.newest.Number <= have {
@@ -142,13 +142,13 @@
 	return 0, delta, err
 }
 
-// take passes a revision on, puts it in force, and tells the owners. It is passed
+// adoptRevision passes a revision on, puts it in force, and tells the owners. It is passed
 // on first: it was checked when it was accepted, and to parse a document of a
-// megabyte at every step would take most of the time that it needs to spread.
-func (h *Host) take(r config.Revision, from string) {
+// megabyte at every step would adoptRevision most of the time that it needs to spread.
+func (h *Host) adoptRevision(r config.Revision, from string) {
 	if h.conf.receive(r) {
-		for _, other := range h.someNeighbours(pushed) {
-			h.done.Go(func() { _ = h.probeOnce(context.Background(), other) })
+		for _, other := range h.randomNeighbours(pushFanout) {
+			h.background.Go(func() { _ = h.probeOnce(context.Background(), other) })
 		}
 	}
 	applied, err := h.conf.apply(r)
@@ -166,26 +166,26 @@
 func (h *Host) configureLoop(ctx context.Context) {
 	checked := time.Now()
 	for ctx.Err() == nil {
-		reader := h.isReader()
+		reader := h.isStoreReader()
 		if reader || h.conf.document() == nil {
 			h.fetchHosts(ctx)
 			h.fetchConfig(ctx)
 		}
 		if h.conf.document() == nil {
-			h.askSeeds(ctx)
+			h.probeSeeds(ctx)
 		}
-		wait := lonelyInterval
+		wait := storeRetryInterval
 		if h.conf.document() != nil {
-			wait = hostsInterval
+			wait = hostListInterval
 		}
 		switch {
 		case reader && h.conf.document() != nil:
 			h.watchConfig(ctx, wait)
-		case time.Since(checked) >= checkInterval:
+		case time.Since(checked) >= configCheckInterval:
 			checked = time.Now()
 			h.checkConfig(ctx)
 		default:
-			pauseFor(ctx, wait)
+			sleep(ctx, wait)
 		}
 	}
 }
@@ -194,28 +194,28 @@
 // when this host last looked.
 func (h *Host) checkConfig(ctx context.Context) {
 	revision, err := h.store.Revision(ctx, etcd.ConfigKey)
-	if err != nil || revision == h.storeRevision.Swap(revision) {
+	if err != nil || revision == h.lastStoreRevision.Swap(revision) {
 		return
 	}
 	h.fetchConfig(ctx)
 }
 
-// askSeeds probes the hosts that the settings name. Their answers tell of all
+// probeSeeds probes the hosts that the settings name. Their answers tell of all
 // others and of the configuration in force.
-func (h *Host) askSeeds(ctx context.Context) {
+func (h *Host) probeSeeds(ctx context.Context) {
 	for _, seed := range h.settings.Seeds {
 		if seed == h.settings.Peers {
 			continue
 		}
 		if err := h.probeOnce(ctx, membership.Host{Peer: seed}); err == nil {
-			h.acquainted.Store(true)
+			h.membershipKnown.Store(true)
 			h.wakeReconcile()
 			return
 		}
 	}
 }
 
-func pauseFor(ctx context.Context, d time.Duration) {
+func sleep(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
@@ -224,13 +224,13 @@
 	}
 }
 
-// isReader reports whether this host is one of those that watch the platform.
-func (h *Host) isReader() bool {
-	if h.allRead {
+// isStoreReader reports whether this host is one of those that watch the platform.
+func (h *Host) isStoreReader() bool {
+	if h.allStoreReaders {
 		return true
 	}
-	for i, other := range h.ranked(readersKey) {
-		if i >= readers {
+	for i, other := range h.ranked(storeReadersKey) {
+		if i >= maxStoreReaders {
 			return false
 		}
 		if other.ID == h.settings.Host {
@@ -247,9 +247,9 @@
 		return
 	}
 	h.table.MergeHostList(hosts, time.Now())
-	if !h.acquainted.Load() {
+	if !h.membershipKnown.Load() {
 		h.announce(ctx)
-		h.acquainted.Store(true)
+		h.membershipKnown.Store(true)
 		h.wakeReconcile()
 	}
 }
@@ -260,18 +260,18 @@
 		_ = level.Warn(h.logger).Log("step", "fetch_configuration", "peer", "platform", "err", err)
 		return
 	}
-	h.settleEntry(ctx, entry)
+	h.syncEntry(ctx, entry)
 }
 
-// settleEntry takes an entry over, or writes back what the store has lost of it.
-func (h *Host) settleEntry(ctx context.Context, entry etcd.Entry) {
-	if stored, ok := h.takeEntry(entry); ok {
+// syncEntry takes an entry over, or writes back what the store has lost of it.
+func (h *Host) syncEntry(ctx context.Context, entry etcd.Entry) {
+	if stored, ok := h.adoptEntry(entry); ok {
 		h.writeBack(ctx, entry, stored)
 	}
 }
 
-// takeEntry takes over the revision that an entry holds. It returns false if there is none that can be read.
-func (h *Host) takeEntry(entry etcd.Entry) (config.Revision, bool) {
+// adoptEntry takes over the revision that an entry holds. It returns false if there is none that can be read.
+func (h *Host) adoptEntry(entry etcd.Entry) (config.Revision, bool) {
 	if entry.Revision == 0 {
 		return config.Revision{}, false
 	}
@@ -280,14 +280,14 @@
 		_ = level.Error(h.logger).Log("step", "fetch_configuration", "peer", "platform", "err", err)
 		return config.Revision{}, false
 	}
-	h.take(r, "platform")
+	h.adoptRevision(r, "platform")
 	return r, true
 }
 
 // writeBack writes the newest revision that was received into the store, if that holds an older one: it has come back
 // from a copy, and would refuse whatever operators submit on top of what is in force.
 func (h *Host) writeBack(ctx context.Context, entry etcd.Entry, stored config.Revision) {
-	newest := h.conf.latest()
+	newest := h.conf.newestRevision()
 	if stored.Number >= newest.Number {
 		return
 	}
@@ -301,16 +301,16 @@
 	defer cancel()
 	entry, err := h.store.Get(ctx, etcd.ConfigKey)
 	if err == nil {
-		h.settleEntry(ctx, entry)
-		err = h.store.Watch(ctx, etcd.ConfigKey, entry.Revision, func(changed etcd.Entry) { h.takeEntry(changed) })
+		h.syncEntry(ctx, entry)
+		err = h.store.Watch(ctx, etcd.ConfigKey, entry.Revision, func(changed etcd.Entry) { h.adoptEntry(changed) })
 	}
 	if err != nil && ctx.Err() == nil {
-		pauseFor(ctx, lonelyInterval)
+		sleep(ctx, storeRetryInterval)
 	}
 }
 
-// pullFrom asks a host for its configuration, in the background.
-func (h *Host) pullFrom(other membership.Host) {
+// startPull asks a host for its configuration, in the background.
+func (h *Host) startPull(other membership.Host) {
 	h.conf.mu.Lock()
 	running := h.conf.pulling
 	h.conf.pulling = true
@@ -318,7 +318,7 @@
 	if running {
 		return
 	}
-	h.done.Go(func() {
+	h.background.Go(func() {
 		h.pull(other)
 		h.conf.mu.Lock()
 		h.conf.pulling = false
@@ -329,7 +329,7 @@
 func (h *Host) pull(other membership.Host) {
 	ctx, cancel := context.WithTimeout(context.Background(), pullTimeout)
 	defer cancel()
-	got, err := h.client.Pull(ctx, other.Peer, &peer.Pull{Have: h.conf.received()})
+	got, err := h.client.Pull(ctx, other.Peer, &peer.Pull{Have: h.conf.newestNumber()})
 	if err != nil || got.Revision == 0 {
 		return
 	}
@@ -338,14 +338,14 @@
 		_ = level.Error(h.logger).Log("step", "pull_configuration", "peer", other.ID, "err", err)
 		return
 	}
-	h.take(r, other.ID)
+	h.adoptRevision(r, other.ID)
 }
 
 func (h *Host) decodePulled(got *peer.Pulled) (config.Revision, error) {
 	if got.Base == 0 {
 		return etcd.DecodeRevision(got.Delta)
 	}
-	base := h.conf.latest()
+	base := h.conf.newestRevision()
 	if base.Number != got.Base {
 		return config.Revision{}, errors.Errorf("the delta is based on revision %d", got.Base)
 	}
--- a/internal/host/host.go
+++ b/internal/host/host.go
@@ -35,8 +35,8 @@
 	// Membership is the timing of probes between hosts. The zero value stands
 	// for the default.
 	Membership membership.Timing
-	// AllRead makes every host watch the platform, as a baseline.
-	AllRead bool
+	// AllStoreReaders makes every host watch the platform, as a baseline.
+	AllStoreReaders bool
 	// Binding says when a read is bound to a member, for measurements.
 	Binding upstream.Binding
 	// Unsafe switches safeguards off, for tests and baselines.
@@ -45,45 +45,45 @@
 
 // Host is a running host.
 type Host struct {
-	settings Settings
-	logger   log.Logger
-	metrics  metrics.Registry
-	store    *etcd.Etcd
-	operator *operator.Server
-	drains   chan struct{}
-	table    *membership.Table
-	timing   membership.Timing
-	binding  upstream.Binding
-	allRead  bool
-	unsafe   upstream.Unsafe
-	client   *peer.Client
-	traffic  *peer.Traffic
-	callers  *caller.Listener
-	server   net.Listener
-	started  time.Time
-	stop     context.CancelFunc
-	done     sync.WaitGroup
+	settings        Settings
+	logger          log.Logger
+	metrics         metrics.Registry
+	store           *etcd.Etcd
+	operator        *operator.Server
+	drainRequested  chan struct{}
+	table           *membership.Table
+	timing          membership.Timing
+	binding         upstream.Binding
+	allStoreReaders bool
+	unsafe          upstream.Unsafe
+	client          *peer.Client
+	traffic         *peer.Traffic
+	callers         *caller.Listener
+	callerListener  net.Listener
+	started         time.Time
+	stop            context.CancelFunc
+	background      sync.WaitGroup
 
-	reconciled chan struct{} // wakes the reconciling of owners
-	news       chan struct{} // wakes the passing on of claims
-	conf       configuration
-	verifiers  verifiers
-	stopping   atomic.Bool
-	// storeRevision is the store's revision of the configuration at the last look.
-	storeRevision atomic.Int64
-	// acquainted is true once the host has asked the hosts that the platform
+	reconcileWake chan struct{} // wakes the reconciling of owners
+	gossipWake    chan struct{} // wakes the passing on of claims
+	conf          configuration
+	verifiers     verifierCache
+	stopping      atomic.Bool
+	// lastStoreRevision is the store's revision of the configuration at the last look.
+	lastStoreRevision atomic.Int64
+	// membershipKnown is true once the host has asked the hosts that the platform
 	// lists. Until then it does not know what others own, and owns nothing.
-	acquainted atomic.Bool
+	membershipKnown atomic.Bool
 
-	ownerSerial atomic.Uint64
-	memberBytes atomic.Int64 // on control connections to members
+	ownerSerial  atomic.Uint64
+	controlBytes atomic.Int64 // on control connections to members
 
 	ownersMu sync.Mutex
 	owners   map[string]*upstream.Owner
-	doubts   map[string]bool // hosts that are being probed on a doubt
+	probing  map[string]bool // hosts that are being probed on a doubt
 
-	exchanges   exchanges
-	substitutes substitutes
+	exchanges      exchanges
+	ownerOverrides ownerOverrides
 }
 
 // Start starts a host. It serves callers once it has a configuration.
@@ -109,22 +109,22 @@
 	}
 	traffic := &peer.Traffic{}
 	h := &Host{
-		settings:   s,
-		logger:     log.With(o.Logger, "host", s.Host),
-		metrics:    metrics.NewRegistry(),
-		store:      etcd.NewEtcd(s.Platform),
-		timing:     o.Membership,
-		binding:    o.Binding,
-		allRead:    o.AllRead,
-		unsafe:     o.Unsafe,
-		client:     peer.NewClient(s.Peers.Addr(), peerTLS, traffic),
-		traffic:    traffic,
-		started:    time.Now(),
-		reconciled: make(chan struct{}, 1),
-		owners:     map[string]*upstream.Owner{},
-		doubts:     map[string]bool{},
-		drains:     make(chan struct{}, 1),
-		news:       make(chan struct{}, 1),
+		settings:        s,
+		logger:          log.With(o.Logger, "host", s.Host),
+		metrics:         metrics.NewRegistry(),
+		store:           etcd.NewEtcd(s.Platform),
+		timing:          o.Membership,
+		binding:         o.Binding,
+		allStoreReaders: o.AllStoreReaders,
+		unsafe:          o.Unsafe,
+		client:          peer.NewClient(s.Peers.Addr(), peerTLS, traffic),
+		traffic:         traffic,
+		started:         time.Now(),
+		reconcileWake:   make(chan struct{}, 1),
+		owners:          map[string]*upstream.Owner{},
+		probing:         map[string]bool{},
+		drainRequested:  make(chan struct{}, 1),
+		gossipWake:      make(chan struct{}, 1),
 	}
 	self := membership.Host{ID: s.Host, Zone: s.Zone, Peer: s.Peers, Incarnation: uint64(time.Now().UnixMilli())}
 	h.table = membership.NewTable(self, o.Membership, h.membersChanged)
@@ -133,13 +133,13 @@
 		Router: h, Routes: h, Logger: h.logger, Metrics: h.metrics,
 	})
 	h.operator = operator.NewServer(operator.Options{
-		Process: process{h}, Metrics: h.metrics, Configuration: operators{h}, Login: operator.Login(s.OperatorLogin),
+		Process: operatorProcess{h}, Metrics: h.metrics, Configuration: operatorConfig{h}, Login: operator.Login(s.OperatorLogin),
 	})
 	l, err := listen(s, o.ListenPeers)
 	if err != nil {
 		return nil, err
 	}
-	h.server = l.callers
+	h.callerListener = l.callers
 	if operatorTLS != nil {
 		l.operators = tls.NewListener(l.operators, operatorTLS)
 	}
@@ -171,13 +171,13 @@
 func (h *Host) run(l listeners, peerTLS *tls.Config) {
 	ctx, stop := context.WithCancel(context.Background())
 	h.stop = stop
-	h.done.Go(func() { _ = peer.Serve(ctx, l.peers, handler{h}, peerTLS, h.traffic) })
-	h.done.Go(func() { h.probeLoop(ctx) })
-	h.done.Go(func() { h.newsLoop(ctx) })
-	h.done.Go(func() { h.configureLoop(ctx) })
-	h.done.Go(func() { h.reconcileLoop(ctx) })
-	h.done.Go(func() { h.callers.Serve(l.callers) })
-	h.done.Go(func() { _ = h.operator.Serve(l.operators) })
+	h.background.Go(func() { _ = peer.Serve(ctx, l.peers, peerHandler{h}, peerTLS, h.traffic) })
+	h.background.Go(func() { h.probeLoop(ctx) })
+	h.background.Go(func() { h.gossipLoop(ctx) })
+	h.background.Go(func() { h.configureLoop(ctx) })
+	h.background.Go(func() { h.reconcileLoop(ctx) })
+	h.background.Go(func() { h.callers.Serve(l.callers) })
+	h.background.Go(func() { _ = h.operator.Serve(l.operators) })
 }
 
 func listenTCP(a netip.AddrPort) (net.Listener, error) { return net.Listen("tcp", a.String()) }
@@ -193,9 +193,9 @@
 	h.table.Leave()
 	h.announce(ctx)
 	h.callers.Drain(ctx)
-	_ = h.server.Close()
+	_ = h.callerListener.Close()
 	h.closeOwners(ctx)
-	h.halt()
+	h.stopBackground()
 }
 
 // Kill ends the host at once, as a crash does.
@@ -203,20 +203,20 @@
 	h.stopping.Store(true)
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
-	_ = h.server.Close()
+	_ = h.callerListener.Close()
 	h.operator.Close()
 	h.stop()
 	h.client.Close()
 	h.closeOwners(ctx)
 	h.callers.Drain(ctx)
-	h.done.Wait()
+	h.background.Wait()
 }
 
-func (h *Host) halt() {
+func (h *Host) stopBackground() {
 	h.operator.Close()
 	h.stop()
 	h.client.Close()
-	h.done.Wait()
+	h.background.Wait()
 	_ = level.Info(h.logger).Log("step", "stopped")
 }
 
@@ -247,29 +247,29 @@
 	if !ok || c.User != user {
 		return nil
 	}
-	return h.verifiers.of(credential, c.Password)
+	return h.verifiers.get(credential, c.Password)
 }
 
-// verifiers keeps the verifiers of credentials, whose derivation is slow on
+// verifierCache keeps the verifierCache of credentials, whose derivation is slow on
 // purpose.
-type verifiers struct {
-	mu    sync.Mutex
-	known map[string]*postgres.Verifier
+type verifierCache struct {
+	mu           sync.Mutex
+	byCredential map[string]*postgres.Verifier
 }
 
-func (v *verifiers) of(credential, password string) *postgres.Verifier {
+func (v *verifierCache) get(credential, password string) *postgres.Verifier {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if got := v.known[credential]; got != nil {
+	if got := v.byCredential[credential]; got != nil {
 		return got
 	}
 	got, err := postgres.NewVerifier(password)
 	if err != nil {
 		return nil
 	}
-	if v.known == nil {
-		v.known = map[string]*postgres.Verifier{}
+	if v.byCredential == nil {
+		v.byCredential = map[string]*postgres.Verifier{}
 	}
-	v.known[credential] = got
+	v.byCredential[credential] = got
 	return got
 }
--- a/internal/host/owners.go
+++ b/internal/host/owners.go
@@ -14,8 +14,8 @@
 	"pearlatch/io/upstream"
 )
 
-// handOverLimit bounds how long open transactions may delay a hand-over.
-const handOverLimit = 10 * time.Second
+// handOverTimeout bounds how long open transactions may delay a hand-over.
+const handOverTimeout = 10 * time.Second
 
 // membersChanged is called when the set of live hosts has changed.
 func (h *Host) membersChanged() {
@@ -26,14 +26,14 @@
 	}
 	h.wakeReconcile()
 	select {
-	case h.news <- struct{}{}:
+	case h.gossipWake <- struct{}{}:
 	default:
 	}
 }
 
 func (h *Host) wakeReconcile() {
 	select {
-	case h.reconciled <- struct{}{}:
+	case h.reconcileWake <- struct{}{}:
 	default:
 	}
 }
@@ -43,7 +43,7 @@
 func (h *Host) reconcileLoop(ctx context.Context) {
 	for {
 		select {
-		case <-h.reconciled:
+		case <-h.reconcileWake:
 			h.reconcile()
 		case <-ctx.Done():
 			return
@@ -53,7 +53,7 @@
 
 func (h *Host) reconcile() {
 	doc := h.conf.document()
-	if doc == nil || h.stopping.Load() || !h.acquainted.Load() {
+	if doc == nil || h.stopping.Load() || !h.membershipKnown.Load() {
 		return
 	}
 	h.ownersMu.Lock()
@@ -85,9 +85,9 @@
 	h.owners[g.Name] = upstream.Start(upstream.Options{
 		Host: h.settings.Host, Group: g, User: c.User, Password: c.Password,
 		Local: h.settings.Peers.Addr(), Serial: h.ownerSerial.Add(1),
-		ControlBytes: &h.memberBytes,
-		HostGone:     h.gone,
-		Yield:        func(to string) { h.done.Go(func() { h.yield(g.Name, to) }) },
+		ControlBytes: &h.controlBytes,
+		HostGone:     h.isGone,
+		Yield:        func(to string) { h.background.Go(func() { h.yieldGroup(g.Name, to) }) },
 		Binding:      h.binding,
 		Unsafe:       h.unsafe,
 		Successor:    successor{host: h, group: g.Name},
@@ -104,8 +104,8 @@
 	name := owner.Group().Name
 	delete(h.owners, name)
 	_ = level.Info(h.logger).Log("step", "hand_over", "group", name)
-	h.done.Go(func() {
-		ctx, cancel := context.WithTimeout(context.Background(), handOverLimit)
+	h.background.Go(func() {
+		ctx, cancel := context.WithTimeout(context.Background(), handOverTimeout)
 		defer cancel()
 		owner.Close(ctx)
 	})
@@ -147,11 +147,11 @@
 	wg.Wait()
 }
 
-// gone reports whether a host is known to be gone. A host never heard of counts
-// as gone only once the platform's list was seen.
-func (h *Host) gone(id string) bool {
+// isGone reports whether a host is known to be isGone. A host never heard of counts
+// as isGone only once the platform's list was seen.
+func (h *Host) isGone(id string) bool {
 	_, live := h.table.Lookup(id)
-	return !live && h.acquainted.Load()
+	return !live && h.membershipKnown.Load()
 }
 
 // successor reaches the next owner of a group.
@@ -162,8 +162,8 @@
 
 var _ upstream.Successor = successor{}
 
-// successorPause is the pause before the next owner is asked again.
-const successorPause = 5 * time.Millisecond
+// successorRetryInterval is the pause before the next owner is asked again.
+const successorRetryInterval = 5 * time.Millisecond
 
 // Confirm implements upstream.Successor. It asks until the next owner, which may
 // still have to start, has answered.
@@ -173,7 +173,7 @@
 		if err == nil || ctx.Err() != nil {
 			return err
 		}
-		pauseFor(ctx, successorPause)
+		sleep(ctx, successorRetryInterval)
 	}
 }
 
@@ -182,7 +182,7 @@
 	if next.ID == s.host.settings.Host {
 		owner := s.host.owner(s.group)
 		if owner == nil {
-			return errNotYet
+			return errNoOwner
 		}
 		return owner.ConfirmFor(ctx, term, session)
 	}
@@ -192,7 +192,7 @@
 	}
 	v, err := s.host.client.Confirm(ctx, next.Peer, m)
 	if err == nil && !v.Yes {
-		err = errNotYet
+		err = errNoOwner
 	}
 	return err
 }
--- a/internal/host/peers.go
+++ b/internal/host/peers.go
@@ -15,58 +15,58 @@
 	"pearlatch/io/upstream"
 )
 
-// witnesses is how many other hosts are asked whether a member is reachable.
-const witnesses = 2
+// maxWitnesses is how many other hosts are asked whether a member is reachable.
+const maxWitnesses = 2
 
-// relays is how many other hosts are asked to probe a silent one.
-const relays = 2
+// maxRelays is how many other hosts are asked to probe a silent one.
+const maxRelays = 2
 
-// handler answers other hosts.
-type handler struct{ *Host }
+// peerHandler answers other hosts.
+type peerHandler struct{ *Host }
 
-var _ peer.Handler = handler{}
+var _ peer.Handler = peerHandler{}
 
 // Begin implements peer.Handler.
-func (h handler) Begin(r *statement.Request) (peer.Exchange, error) {
+func (h peerHandler) Begin(r *statement.Request) (peer.Exchange, error) {
 	owner := h.owner(r.Group)
 	if owner == nil {
 		// The sender believes that the hosts ranked before this one are gone.
 		if first := h.ranked(r.Group)[0]; first.ID != h.settings.Host {
-			h.doubt(first)
+			h.probeNow(first)
 		}
-		return nil, h.elsewhere(r.Group)
+		return nil, h.notOwnerRefusal(r.Group)
 	}
-	x := &tracked{Exchange: owner.Begin(r), host: h.Host, key: r.CancelKey}
+	x := &cancelableExchange{Exchange: owner.Begin(r), host: h.Host, key: r.CancelKey}
 	h.exchanges.add(r.CancelKey, x)
 	return x, nil
 }
 
-// tracked is an exchange that cancel requests can find.
-type tracked struct {
+// cancelableExchange is an exchange that cancel requests can find.
+type cancelableExchange struct {
 	*upstream.Exchange
 	host *Host
 	key  statement.CancelKey
 }
 
 // Do implements peer.Exchange.
-func (t *tracked) Do(ctx context.Context, u *statement.Unit, sink func([]byte) error) (statement.Outcome, error) {
+func (t *cancelableExchange) Do(ctx context.Context, u *statement.Unit, sink func([]byte) error) (statement.Outcome, error) {
 	return t.Exchange.Do(ctx, u, sink)
 }
 
 // Close implements peer.Exchange.
-func (t *tracked) Close() {
+func (t *cancelableExchange) Close() {
 	t.host.exchanges.remove(t.key, t)
 	t.Exchange.Close()
 }
 
 // Probe implements peer.Handler.
-func (h handler) Probe(_ context.Context, m *peer.Probe) (*peer.Probe, error) {
-	h.heard(m)
+func (h peerHandler) Probe(_ context.Context, m *peer.Probe) (*peer.Probe, error) {
+	h.mergeProbe(m)
 	return h.ownProbe(), nil
 }
 
 // Relay implements peer.Handler.
-func (h handler) Relay(ctx context.Context, m *peer.Relay) (*peer.Verdict, error) {
+func (h peerHandler) Relay(ctx context.Context, m *peer.Relay) (*peer.Verdict, error) {
 	ctx, cancel := context.WithTimeout(ctx, h.timing.ProbeTimeout)
 	defer cancel()
 	_, err := h.client.Probe(ctx, m.Target, h.ownProbe())
@@ -74,7 +74,7 @@
 }
 
 // Reach implements peer.Handler.
-func (h handler) Reach(ctx context.Context, m *peer.Reach) (*peer.Verdict, error) {
+func (h peerHandler) Reach(ctx context.Context, m *peer.Reach) (*peer.Verdict, error) {
 	doc := h.conf.document()
 	if doc == nil {
 		return &peer.Verdict{}, nil
@@ -90,7 +90,7 @@
 }
 
 // Cancel implements peer.Handler.
-func (h handler) Cancel(ctx context.Context, m *peer.Cancel) (*peer.Verdict, error) {
+func (h peerHandler) Cancel(ctx context.Context, m *peer.Cancel) (*peer.Verdict, error) {
 	if !m.Owner {
 		return &peer.Verdict{Yes: h.callers.CancelLocal(ctx, m.Key)}, nil
 	}
@@ -102,23 +102,23 @@
 }
 
 // Pull implements peer.Handler.
-func (h handler) Pull(_ context.Context, m *peer.Pull) (*peer.Pulled, error) {
-	return h.conf.answer(m.Have), nil
+func (h peerHandler) Pull(_ context.Context, m *peer.Pull) (*peer.Pulled, error) {
+	return h.conf.pullResponse(m.Have), nil
 }
 
 // ownProbe returns what this host sends with a probe.
 func (h *Host) ownProbe() *peer.Probe {
-	return &peer.Probe{From: h.settings.Host, Claims: h.table.Gossip(), Revision: h.conf.number(), Received: h.conf.received()}
+	return &peer.Probe{From: h.settings.Host, Claims: h.table.Gossip(), Revision: h.conf.inForceNumber(), Received: h.conf.newestNumber()}
 }
 
-// heard takes in another host's probe.
-func (h *Host) heard(m *peer.Probe) {
+// mergeProbe takes in another host's probe.
+func (h *Host) mergeProbe(m *peer.Probe) {
 	now := time.Now()
 	for _, c := range m.Claims {
 		if c.Host.ID == m.From {
 			h.table.MarkAlive(c.Host, now)
-			if m.Received > h.conf.received() {
-				h.pullFrom(c.Host)
+			if m.Received > h.conf.newestNumber() {
+				h.startPull(c.Host)
 			}
 		}
 	}
@@ -134,7 +134,7 @@
 		case <-t.C:
 			h.table.Tick(time.Now())
 			if target, ok := h.table.NextProbe(rand.Shuffle); ok {
-				h.done.Go(func() { h.probe(ctx, target) })
+				h.background.Go(func() { h.probe(ctx, target) })
 			}
 		case <-ctx.Done():
 			return
@@ -142,35 +142,35 @@
 	}
 }
 
-// newsPause is the least time between two rounds of news, so that many changes
-// at once share their messages. It doubles up to slowestNews while changes keep
+// minGossipInterval is the least time between two rounds of news, so that many changes
+// at once share their messages. It doubles up to maxGossipInterval while changes keep
 // coming, as at the start of a fleet: the messages would otherwise take so much
 // time that probes go unanswered, and that is news again.
 const (
-	newsPause   = 50 * time.Millisecond
-	slowestNews = 2 * time.Second
+	minGossipInterval = 50 * time.Millisecond
+	maxGossipInterval = 2 * time.Second
 )
 
-// newsLoop passes a change of the live hosts on at once, rather than with the
+// gossipLoop passes a change of the live hosts on at once, rather than with the
 // next probes: what a death costs callers is the time until the next owner knows.
-func (h *Host) newsLoop(ctx context.Context) {
-	pause := newsPause
+func (h *Host) gossipLoop(ctx context.Context) {
+	pause := minGossipInterval
 	var last time.Time
 	for {
 		select {
-		case <-h.news:
+		case <-h.gossipWake:
 		case <-ctx.Done():
 			return
 		}
 		if time.Since(last) < 2*pause {
-			pause = min(2*pause, slowestNews)
+			pause = min(2*pause, maxGossipInterval)
 		} else {
-			pause = newsPause
+			pause = minGossipInterval
 		}
-		for _, other := range h.someNeighbours(pushed) {
-			h.done.Go(func() { _ = h.probeOnce(ctx, other) })
+		for _, other := range h.randomNeighbours(pushFanout) {
+			h.background.Go(func() { _ = h.probeOnce(ctx, other) })
 		}
-		pauseFor(ctx, pause)
+		sleep(ctx, pause)
 		last = time.Now()
 	}
 }
@@ -183,7 +183,7 @@
 	case ctx.Err() != nil:
 	case stderrors.Is(err, syscall.ECONNREFUSED):
 		h.table.MarkDead(target.ID, time.Now())
-	case !h.relayed(ctx, target):
+	case !h.reachedByRelay(ctx, target):
 		h.table.MarkSuspect(target.ID, time.Now())
 	}
 }
@@ -195,22 +195,22 @@
 	if err != nil {
 		return err
 	}
-	h.heard(answer)
+	h.mergeProbe(answer)
 	return nil
 }
 
-// relayed reports whether another host reaches the target.
-func (h *Host) relayed(ctx context.Context, target membership.Host) bool {
+// reachedByRelay reports whether another host reaches the target.
+func (h *Host) reachedByRelay(ctx context.Context, target membership.Host) bool {
 	ctx, cancel := context.WithTimeout(ctx, 2*h.timing.ProbeTimeout)
 	defer cancel()
-	return h.anyOf(h.others(relays, target.ID), func(other membership.Host) bool {
+	return h.askAny(h.randomHosts(maxRelays, target.ID), func(other membership.Host) bool {
 		v, err := h.client.Relay(ctx, other.Peer, &peer.Relay{Target: target.Peer})
 		return err == nil && v.Yes
 	}).Reached > 0
 }
 
-// others returns up to n random live hosts besides this one and the excluded.
-func (h *Host) others(n int, except string) []membership.Host {
+// randomHosts returns up to n random live hosts besides this one and the excluded.
+func (h *Host) randomHosts(n int, except string) []membership.Host {
 	live := h.table.Live()
 	var out []membership.Host
 	for _, i := range rand.Perm(len(live)) {
@@ -221,8 +221,8 @@
 	return out
 }
 
-// someNeighbours returns up to n random neighbours.
-func (h *Host) someNeighbours(n int) []membership.Host {
+// randomNeighbours returns up to n random neighbours.
+func (h *Host) randomNeighbours(n int) []membership.Host {
 	near := h.table.Neighbours()
 	var out []membership.Host
 	for _, i := range rand.Perm(len(near)) {
@@ -233,11 +233,11 @@
 	return out
 }
 
-// anyOf asks hosts in parallel and returns as soon as one said yes.
-func (h *Host) anyOf(hosts []membership.Host, ask func(membership.Host) bool) upstream.WitnessResult {
+// askAny asks hosts in parallel and returns as soon as one said yes.
+func (h *Host) askAny(hosts []membership.Host, ask func(membership.Host) bool) upstream.WitnessResult {
 	answers := make(chan string, len(hosts))
 	for _, other := range hosts {
-		h.done.Go(func() {
+		h.background.Go(func() {
 			if ask(other) {
 				answers <- other.ID
 			} else {
@@ -259,43 +259,43 @@
 func (h *Host) askWitnesses(ctx context.Context, group, member string) upstream.WitnessResult {
 	var next []membership.Host
 	for _, other := range h.ranked(group) {
-		if other.ID != h.settings.Host && len(next) < witnesses {
+		if other.ID != h.settings.Host && len(next) < maxWitnesses {
 			next = append(next, other)
 		}
 	}
-	return h.anyOf(next, func(other membership.Host) bool {
+	return h.askAny(next, func(other membership.Host) bool {
 		v, err := h.client.Reach(ctx, other.Peer, &peer.Reach{Group: group, Member: member})
 		return err == nil && v.Yes
 	})
 }
 
-// doubt probes a host at once, because a request to it has failed.
-func (h *Host) doubt(target membership.Host) {
+// probeNow probes a host at once, because a request to it has failed.
+func (h *Host) probeNow(target membership.Host) {
 	if target.ID == h.settings.Host {
 		return
 	}
 	h.ownersMu.Lock()
-	running := h.doubts[target.ID]
-	h.doubts[target.ID] = true
+	running := h.probing[target.ID]
+	h.probing[target.ID] = true
 	h.ownersMu.Unlock()
 	if running {
 		return
 	}
-	h.done.Go(func() {
+	h.background.Go(func() {
 		h.probe(context.Background(), target)
 		h.ownersMu.Lock()
-		delete(h.doubts, target.ID)
+		delete(h.probing, target.ID)
 		h.ownersMu.Unlock()
 	})
 }
 
-// watchPeer doubts the target if the caller does not call the returned function
+// probeIfSlow doubts the target if the caller does not call the returned function
 // soon.
-func (h *Host) watchPeer(target membership.Host) (stop func()) {
+func (h *Host) probeIfSlow(target membership.Host) (stop func()) {
 	if target.ID == h.settings.Host {
 		return func() {}
 	}
-	t := time.AfterFunc(slowAnswer, func() { h.doubt(target) })
+	t := time.AfterFunc(slowOwnerTimeout, func() { h.probeNow(target) })
 	return func() { t.Stop() }
 }
 
@@ -304,7 +304,7 @@
 	ctx, cancel := context.WithTimeout(ctx, announceTimeout)
 	defer cancel()
 	var wg sync.WaitGroup
-	for _, other := range h.others(announced, "") {
+	for _, other := range h.randomHosts(maxAnnounced, "") {
 		wg.Go(func() { _ = h.probeOnce(ctx, other) })
 	}
 	wg.Wait()
@@ -313,13 +313,13 @@
 
 const (
 	announceTimeout = 200 * time.Millisecond
-	// announced bounds how many hosts a leaving one tells itself. Claims carry
+	// maxAnnounced bounds how many hosts a leaving one tells itself. Claims carry
 	// the news on.
-	announced = 16
+	maxAnnounced = 16
 )
 
 // Confirm implements peer.Handler.
-func (h handler) Confirm(ctx context.Context, m *peer.Confirm) (*peer.Verdict, error) {
+func (h peerHandler) Confirm(ctx context.Context, m *peer.Confirm) (*peer.Verdict, error) {
 	owner := h.owner(m.Group)
 	if owner == nil {
 		return &peer.Verdict{}, nil
@@ -330,7 +330,7 @@
 }
 
 // Released implements peer.Handler.
-func (h handler) Released(_ context.Context, m *peer.Released) (*peer.Verdict, error) {
+func (h peerHandler) Released(_ context.Context, m *peer.Released) (*peer.Verdict, error) {
 	owner := h.owner(m.Group)
 	if owner != nil {
 		owner.PredecessorReleased()
--- a/internal/host/route.go
+++ b/internal/host/route.go
@@ -17,13 +17,13 @@
 	"pearlatch/io/postgres"
 )
 
-// ownerPause is the pause before a unit is offered to the owner again while the
+// ownerRetryInterval is the pause before a unit is offered to the owner again while the
 // ownership of its group changes hands.
-const ownerPause = 5 * time.Millisecond
+const ownerRetryInterval = 5 * time.Millisecond
 
-// slowAnswer is how long an owner may take for a unit before the entry asks
+// slowOwnerTimeout is how long an owner may take for a unit before the entry asks
 // whether its host is alive at all.
-const slowAnswer = 100 * time.Millisecond
+const slowOwnerTimeout = 100 * time.Millisecond
 
 // exchanges holds the exchanges that run here for other hosts' callers, for
 // cancel requests.
@@ -55,52 +55,52 @@
 	return e.byKey[key]
 }
 
-// routed is an exchange with whichever host owns the group when its first unit
+// routedExchange is an exchange with whichever host owns the group when its first unit
 // is sent.
-type routed struct {
-	host    *Host
-	request *statement.Request
-	passed  bool
+type routedExchange struct {
+	host            *Host
+	request         *statement.Request
+	responseStarted bool
 
 	mu    sync.Mutex // guards inner against Cancel, which comes from elsewhere
 	inner caller.Exchange
 }
 
-var _ caller.Exchange = (*routed)(nil)
+var _ caller.Exchange = (*routedExchange)(nil)
 
 // Begin implements caller.Router.
 func (h *Host) Begin(r *statement.Request) caller.Exchange {
-	return &routed{host: h, request: r}
+	return &routedExchange{host: h, request: r}
 }
 
 // Do implements caller.Exchange.
-func (x *routed) Do(ctx context.Context, u *statement.Unit, sink func([]byte) error) (statement.Outcome, error) {
+func (x *routedExchange) Do(ctx context.Context, u *statement.Unit, sink func([]byte) error) (statement.Outcome, error) {
 	if x.inner != nil {
 		out, err := x.inner.Do(ctx, u, sink)
-		return out, x.final(u, err)
+		return out, x.callerError(u, err)
 	}
 	counted := func(b []byte) error {
-		x.passed = true
+		x.responseStarted = true
 		return sink(b)
 	}
 	for {
 		target := x.host.ranked(x.request.Group)[0]
 		x.open(target)
-		stop := x.host.watchPeer(target)
+		stop := x.host.probeIfSlow(target)
 		out, err := x.inner.Do(ctx, u, counted)
 		stop()
 		if err == nil {
 			return out, nil
 		}
 		x.Close()
-		if !x.again(ctx, u, target, err) {
-			return out, x.final(u, err)
+		if !x.prepareRetry(ctx, u, target, err) {
+			return out, x.callerError(u, err)
 		}
 	}
 }
 
 // open prepares the exchange with the host that owns the group.
-func (x *routed) open(target membership.Host) {
+func (x *routedExchange) open(target membership.Host) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	x.inner = x.host.exchangeWith(target, x.request)
@@ -113,24 +113,24 @@
 	if owner := h.owner(r.Group); owner != nil {
 		return owner.Begin(r)
 	}
-	return notYet{}
+	return noOwnerExchange{}
 }
 
-// notYet stands for the exchange of a host that is about to own the group.
-type notYet struct{}
+// noOwnerExchange stands for the exchange of a host that is about to own the group.
+type noOwnerExchange struct{}
 
-var errNotYet = &statement.Refusal{Code: postgres.CodeCannotConnectNow, Reason: "the group has no owner yet", NotRun: true, RetryElsewhere: true}
+var errNoOwner = &statement.Refusal{Code: postgres.CodeCannotConnectNow, Reason: "the group has no owner yet", NotRun: true, RetryElsewhere: true}
 
-func (notYet) Do(context.Context, *statement.Unit, func([]byte) error) (statement.Outcome, error) {
-	return statement.Outcome{}, errNotYet
+func (noOwnerExchange) Do(context.Context, *statement.Unit, func([]byte) error) (statement.Outcome, error) {
+	return statement.Outcome{}, errNoOwner
 }
-func (notYet) Cancel(context.Context) error { return nil }
-func (notYet) Close()                       {}
+func (noOwnerExchange) Cancel(context.Context) error { return nil }
+func (noOwnerExchange) Close()                       {}
 
-// again reports whether the unit may be offered to an owner once more, and waits
+// prepareRetry reports whether the unit may be offered to an owner once more, and waits
 // a little before.
-func (x *routed) again(ctx context.Context, u *statement.Unit, target membership.Host, err error) bool {
-	if ctx.Err() != nil || !time.Now().Add(ownerPause).Before(u.Deadline) {
+func (x *routedExchange) prepareRetry(ctx context.Context, u *statement.Unit, target membership.Host, err error) bool {
+	if ctx.Err() != nil || !time.Now().Add(ownerRetryInterval).Before(u.Deadline) {
 		return false
 	}
 	var r *statement.Refusal
@@ -139,22 +139,22 @@
 		if !r.RetryElsewhere {
 			return false
 		}
-		x.host.follow(x.request.Group, r)
+		x.host.applyOwnerHint(x.request.Group, r)
 	case errors.Is(err, peer.ErrNotSent):
-		x.host.doubt(target)
+		x.host.probeNow(target)
 	case errors.Is(err, peer.ErrLost):
-		x.host.doubt(target)
-		if x.passed || u.Kind != statement.Read && !x.request.Idempotent && (u.RequestID == "" || u.ControlsTransaction) {
+		x.host.probeNow(target)
+		if x.responseStarted || u.Kind != statement.Read && !x.request.Idempotent && (u.RequestID == "" || u.ControlsTransaction) {
 			return false
 		}
 	default:
 		return false
 	}
-	return pause.For(ctx, ownerPause)
+	return pause.For(ctx, ownerRetryInterval)
 }
 
-// final turns an error into what the caller is told.
-func (x *routed) final(u *statement.Unit, err error) error {
+// callerError turns an error into what the caller is told.
+func (x *routedExchange) callerError(u *statement.Unit, err error) error {
 	var r *statement.Refusal
 	switch {
 	case err == nil || stderrors.As(err, &r):
@@ -170,7 +170,7 @@
 }
 
 // Cancel implements caller.Exchange.
-func (x *routed) Cancel(ctx context.Context) error {
+func (x *routedExchange) Cancel(ctx context.Context) error {
 	x.mu.Lock()
 	inner := x.inner
 	x.mu.Unlock()
@@ -181,7 +181,7 @@
 }
 
 // Close implements caller.Exchange.
-func (x *routed) Close() {
+func (x *routedExchange) Close() {
 	x.mu.Lock()
 	inner := x.inner
 	x.inner = nil
--- a/internal/host/settings.go
+++ b/internal/host/settings.go
@@ -47,8 +47,8 @@
 
 // Defaults of settings.
 const (
-	defaultDrain   = 30 * time.Second
-	defaultStartup = 5 * time.Second
+	defaultDrainTimeout   = 30 * time.Second
+	defaultStartupTimeout = 5 * time.Second
 )
 
 // ParseSettings reads and checks settings. The error is a yamlmap.Mistakes with
@@ -65,8 +65,8 @@
 		Platform:    parseAddrs(m, "platform"),
 		Seeds:       parseAddrs(m, "peer_seeds"),
 		Credentials: parseCredentials(m.Map("credentials")),
-		Drain:       m.Duration("drain", defaultDrain),
-		Startup:     m.Duration("startup", defaultStartup),
+		Drain:       m.Duration("drain", defaultDrainTimeout),
+		Startup:     m.Duration("startup", defaultStartupTimeout),
 	}
 	parseTLS(m.Map("tls"), s)
 	if m.Has("operator_login") {
--- a/internal/host/settings_test.go
+++ b/internal/host/settings_test.go
@@ -9,7 +9,7 @@
 	"github.com/sebdah/goldie/v2"
 )
 
-func TestSettings(t *testing.T) {
+func TestParseSettings(t *testing.T) {
 	for _, name := range []string{"valid", "mistakes"} {
 		t.Run(name, func(t *testing.T) {
 			text, err := os.ReadFile(filepath.Join("testdata", name+".yaml"))
--- a/internal/host/state.go
+++ b/internal/host/state.go
@@ -11,20 +11,20 @@
 	"pearlatch/io/upstream"
 )
 
-// process shows the host to operators.
-type process struct{ *Host }
+// operatorProcess shows the host to operators.
+type operatorProcess struct{ *Host }
 
-var _ operator.Process = process{}
+var _ operator.Process = operatorProcess{}
 
 // State implements operator.Process.
-func (p process) State() operator.State {
+func (p operatorProcess) State() operator.State {
 	h := p.Host
 	var mem runtime.MemStats
 	runtime.ReadMemStats(&mem)
 	reason := h.Ready()
 	s := operator.State{
 		Host: h.settings.Host, Zone: h.settings.Zone, UptimeSeconds: int64(time.Since(h.started) / time.Second),
-		Ready: reason == "", NotReady: reason, Draining: h.stopping.Load(), StoreReader: h.isReader(),
+		Ready: reason == "", NotReady: reason, Draining: h.stopping.Load(), StoreReader: h.isStoreReader(),
 		Config: h.conf.state(), Platform: operator.PlatformState{Calls: h.store.Calls()},
 		CallersByRoute: h.callers.Callers(),
 		Goroutines:     runtime.NumGoroutine(), HeapBytes: mem.HeapInuse,
@@ -42,15 +42,15 @@
 }
 
 // Drain implements operator.Process.
-func (p process) Drain() {
+func (p operatorProcess) Drain() {
 	select {
-	case p.drains <- struct{}{}:
+	case p.drainRequested <- struct{}{}:
 	default:
 	}
 }
 
-// Drains yields when an operator has ordered a graceful shutdown.
-func (h *Host) Drains() <-chan struct{} { return h.drains }
+// DrainRequested yields when an operator has ordered a graceful shutdown.
+func (h *Host) DrainRequested() <-chan struct{} { return h.drainRequested }
 
 func (h *Host) allOwners() []*upstream.Owner {
 	h.ownersMu.Lock()
@@ -66,7 +66,7 @@
 func (c *configuration) state() operator.ConfigState {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return operator.ConfigState{Revision: c.revision.Number, Author: c.revision.Author, Applied: c.applied}
+	return operator.ConfigState{Revision: c.current.Number, Author: c.current.Author, Applied: c.appliedAt}
 }
 
 func groupState(s upstream.Snapshot) operator.GroupState {
@@ -101,14 +101,14 @@
 // Traffic returns what the host exchanges with others.
 func (h *Host) Traffic() *peer.Traffic { return h.traffic }
 
-// Revision returns the number of the configuration in force.
-func (h *Host) Revision() uint64 { return h.conf.number() }
+// ConfigRevision returns the number of the configuration in force.
+func (h *Host) ConfigRevision() uint64 { return h.conf.inForceNumber() }
 
-// Live returns how many hosts this one believes alive, itself included.
-func (h *Host) Live() int { return len(h.table.Live()) }
+// LiveCount returns how many hosts this one believes alive, itself included.
+func (h *Host) LiveCount() int { return len(h.table.Live()) }
 
 // PlatformCalls returns how many calls the host made to the platform.
 func (h *Host) PlatformCalls() int64 { return h.store.Calls() }
 
-// MemberBytes returns what the control connections to members have carried.
-func (h *Host) MemberBytes() int64 { return h.memberBytes.Load() }
+// ControlBytes returns what the control connections to members have carried.
+func (h *Host) ControlBytes() int64 { return h.controlBytes.Load() }
--- a/internal/host/submit.go
+++ b/internal/host/submit.go
@@ -13,20 +13,20 @@
 const (
 	// submitTimeout bounds a submission, the settling of lost answers included.
 	submitTimeout = 20 * time.Second
-	// spreadLimit is how many hosts are asked at once for their revision.
-	spreadLimit = 32
+	// maxConcurrentProbes is how many hosts are asked at once for their revision.
+	maxConcurrentProbes = 32
 )
 
-// operators shows the configuration to operators.
-type operators struct{ *Host }
+// operatorConfig shows the configuration to operatorConfig.
+type operatorConfig struct{ *Host }
 
-var _ operator.Configuration = operators{}
+var _ operator.Configuration = operatorConfig{}
 
 // InForce implements operator.Configuration.
-func (o operators) InForce() config.Revision { return o.conf.inForce() }
+func (o operatorConfig) InForce() config.Revision { return o.conf.inForce() }
 
 // Submit implements operator.Configuration.
-func (o operators) Submit(ctx context.Context, base uint64, author string, text []byte) (config.Revision, error) {
+func (o operatorConfig) Submit(ctx context.Context, base uint64, author string, text []byte) (config.Revision, error) {
 	doc, err := config.Parse(text)
 	if err != nil {
 		return config.Revision{}, err
@@ -37,25 +37,25 @@
 	if err != nil {
 		return config.Revision{}, err
 	}
-	o.take(r, "operator")
+	o.adoptRevision(r, "operator")
 	return r, nil
 }
 
 // History implements operator.Configuration.
-func (o operators) History(ctx context.Context) ([]config.Revision, error) {
+func (o operatorConfig) History(ctx context.Context) ([]config.Revision, error) {
 	return etcd.History(ctx, o.store)
 }
 
 // HostRevisions implements operator.Configuration.
-func (o operators) HostRevisions(ctx context.Context) []operator.HostRevision {
+func (o operatorConfig) HostRevisions(ctx context.Context) []operator.HostRevision {
 	live := o.table.Live()
 	out := make([]operator.HostRevision, len(live))
-	slots := make(chan struct{}, spreadLimit)
+	slots := make(chan struct{}, maxConcurrentProbes)
 	var wg sync.WaitGroup
 	for i, h := range live {
 		out[i] = operator.HostRevision{Host: h.ID}
 		if h.ID == o.settings.Host {
-			out[i].Revision, out[i].Answered = o.conf.number(), true
+			out[i].Revision, out[i].Answered = o.conf.inForceNumber(), true
 			continue
 		}
 		slots <- struct{}{}
--- a/internal/lab/cluster.go
+++ b/internal/lab/cluster.go
@@ -124,12 +124,12 @@
 			OperatorLogin: host.Credential{User: User, Password: Password},
 			Drain:         10 * time.Second, Startup: 5 * time.Second,
 		},
-		Logger:      c.logger,
-		Membership:  t.Membership,
-		AllRead:     t.AllRead,
-		Binding:     t.Binding,
-		Unsafe:      t.Unsafe,
-		ListenPeers: c.Network.Listen,
+		Logger:          c.logger,
+		Membership:      t.Membership,
+		AllStoreReaders: t.AllRead,
+		Binding:         t.Binding,
+		Unsafe:          t.Unsafe,
+		ListenPeers:     c.Network.Listen,
 	})
 	if err != nil {
 		return errors.Wrapf(err, "start %s", hostID(i))
--- a/internal/lab/configbench.go
+++ b/internal/lab/configbench.go
@@ -217,7 +217,7 @@
 			if h == nil {
 				continue
 			}
-			r := h.Revision()
+			r := h.ConfigRevision()
 			if r < b.highest[i] {
 				b.reverts++
 			}
--- a/internal/lab/membership.go
+++ b/internal/lab/membership.go
@@ -104,12 +104,12 @@
 func (c *Cluster) agreeAmong(ctx context.Context, n int, hosts []*host.Host) (time.Duration, error) {
 	start := time.Now()
 	for {
-		differ := slices.IndexFunc(hosts, func(h *host.Host) bool { return h != nil && h.Live() != n })
+		differ := slices.IndexFunc(hosts, func(h *host.Host) bool { return h != nil && h.LiveCount() != n })
 		if differ < 0 {
 			return time.Since(start), nil
 		}
 		if ctx.Err() != nil {
-			return 0, errors.Errorf("%s believes in %d hosts of %d", hostID(differ), hosts[differ].Live(), n)
+			return 0, errors.Errorf("%s believes in %d hosts of %d", hostID(differ), hosts[differ].LiveCount(), n)
 		}
 		time.Sleep(time.Millisecond)
 	}
--- a/internal/lab/restored_test.go
+++ b/internal/lab/restored_test.go
@@ -24,7 +24,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for c.Hosts[0].Revision() != accepted.Number || c.Hosts[1].Revision() != accepted.Number {
+	for c.Hosts[0].ConfigRevision() != accepted.Number || c.Hosts[1].ConfigRevision() != accepted.Number {
 		if time.Sleep(20 * time.Millisecond); ctx.Err() != nil {
 			t.Fatal("the revision did not come into force")
 		}
@@ -36,7 +36,7 @@
 			break
 		}
 		if time.Sleep(20 * time.Millisecond); ctx.Err() != nil {
-			t.Fatalf("revision %d is in force, the service holds %d", c.Hosts[0].Revision(), stored.Number)
+			t.Fatalf("revision %d is in force, the service holds %d", c.Hosts[0].ConfigRevision(), stored.Number)
 		}
 	}
 	if _, err := etcd.Submit(ctx, store, accepted.Number, "operator", accepted.Text); err != nil {
--- a/internal/lab/slopes.go
+++ b/internal/lab/slopes.go
@@ -230,7 +230,7 @@
 func (c *Cluster) probes() int64 {
 	var n int64
 	for _, h := range c.Hosts {
-		n += h.MemberBytes()
+		n += h.ControlBytes()
 	}
 	return n
 }
