--- a/internal/soak/caller.go
+++ b/internal/soak/caller.go
@@ -18,19 +18,20 @@
 )
 
 const (
-	// callerRest is the pause of a caller between two operations, on average.
-	callerRest = 30 * time.Millisecond
-	// sessionOperations is how many operations a session serves, on average.
-	sessionOperations = 20
-	// startPatience bounds the opening of a session, and answerPatience a statement: longer than any
-	// route lets it take.
-	startPatience  = 2 * time.Second
-	answerPatience = 4 * time.Second
-	// restInTransaction is the pause between the statements of a transaction, on average.
-	restInTransaction = 5 * time.Millisecond
+	// meanOperationDelay is the average delay between two operations of a caller.
+	meanOperationDelay = 30 * time.Millisecond
+	// meanSessionOperations is the average number of operations of a session.
+	meanSessionOperations = 20
+	// connectTimeout bounds the opening of a session, and statementTimeout a statement. Both are longer than
+	// the timeout of any route.
+	connectTimeout   = 2 * time.Second
+	statementTimeout = 4 * time.Second
+	// meanStatementDelay is the average delay before a statement within a transaction.
+	meanStatementDelay = 5 * time.Millisecond
 )
 
-// caller runs one operation after the other on sessions of one database.
+// caller is a client that runs operations one after the other in sessions of one database. It is used by one
+// goroutine at a time.
 type caller struct {
 	run      *run
 	name     string
@@ -40,54 +41,54 @@
 	random   *rand.Rand
 
 	serial int
-	// The session, its host and the host's process.
-	conn       *platform.CallerConn
-	host, life int
-	// values are the session's, and prepared what it has prepared.
-	values   map[string]string
-	prepared map[string]string
-	mark     group.Position
+	// conn is the current session or nil, host the index of its host, and incarnation the one of the host's process.
+	conn              *platform.CallerConn
+	host, incarnation int
+	// values holds the settings of the session, and prepared the texts of its prepared statements, both by name.
+	values    map[string]string
+	prepared  map[string]string
+	lastWrite group.Position
 }
 
-// work runs operations until ctx ends.
-func (c *caller) work(ctx context.Context) {
-	for pause.For(ctx, jitter(c.random, callerRest)) {
+// runOperations runs operations until ctx ends, and opens a new session whenever one has ended.
+func (c *caller) runOperations(ctx context.Context) {
+	for pause.For(ctx, jitter(c.random, meanOperationDelay)) {
 		if c.conn == nil && !c.open(ctx) {
 			continue
 		}
-		if !c.operate() || c.random.IntN(sessionOperations) == 0 {
+		if !c.runOperation() || c.random.IntN(meanSessionOperations) == 0 {
 			c.close()
 		}
 	}
 	c.close()
 }
 
-// jitter returns a time between nothing and twice the average.
+// jitter returns a random duration from zero to twice the average.
 func jitter(random *rand.Rand, average time.Duration) time.Duration {
 	return time.Duration(random.Int64N(int64(2 * average)))
 }
 
 func (c *caller) open(ctx context.Context) bool {
-	c.host = c.run.rotation.pick(c.random)
-	c.life, _ = c.run.processes[c.host].lifetime()
-	call, cancel := context.WithTimeout(ctx, startPatience)
+	c.host = c.run.balancer.pickHost(c.random)
+	c.incarnation, _ = c.run.processes[c.host].current()
+	dialCtx, cancel := context.WithTimeout(ctx, connectTimeout)
 	defer cancel()
-	conn, err := platform.DialCaller(call, c.run.site.Callers(c.host), c.database, c.name)
+	conn, err := platform.DialCaller(dialCtx, c.run.site.Callers(c.host), c.database, c.name)
 	if err != nil {
 		return false
 	}
-	c.conn, c.values, c.prepared, c.mark = conn, map[string]string{}, map[string]string{}, group.Position{}
+	c.conn, c.values, c.prepared, c.lastWrite = conn, map[string]string{}, map[string]string{}, group.Position{}
 	return true
 }
 
 func (c *caller) close() {
 	if c.conn != nil {
-		_ = c.conn.Close() // the host may have ended it
+		_ = c.conn.Close() // fails if the host has closed the connection
 		c.conn = nil
 	}
 }
 
-// nextID returns the identifier of the next request.
+// nextID returns the identifier of the next request, after recording it in the site's history as issued.
 func (c *caller) nextID() string {
 	c.serial++
 	id := fmt.Sprintf("%s-%d", c.name, c.serial)
@@ -95,7 +96,7 @@
 	return id
 }
 
-// answer is what came of a request.
+// answer is the outcome of a request: the reply of the host, or the error if there is none.
 type answer struct {
 	id    string
 	began time.Time
@@ -105,8 +106,8 @@
 
 func (a answer) served() bool { return a.err == nil && a.reply.Failure == nil }
 
-// promised reports whether the caller was told that nothing is kept.
-func (a answer) promised() bool {
+// refused reports whether the caller was told that the request had no effect.
+func (a answer) refused() bool {
 	if a.err != nil || a.reply.Failure == nil {
 		return false
 	}
@@ -117,27 +118,27 @@
 	return false
 }
 
-// ask sends a statement.
-func (c *caller) ask(text string) answer {
+// execute sends a statement and waits for its answer.
+func (c *caller) execute(text string) answer {
 	a := answer{id: c.nextID(), began: time.Now()}
-	a.reply, a.err = c.conn.Do(answerPatience, a.id, text)
+	a.reply, a.err = c.conn.Do(statementTimeout, a.id, text)
 	if a.err != nil {
-		c.run.cut(c, a)
+		c.run.recordInterrupted(c, a)
 	}
 	return a
 }
 
-// operate runs one operation. It returns false if the session is to end.
-func (c *caller) operate() bool {
+// runOperation runs a random operation. It returns false if the session can't be used any further.
+func (c *caller) runOperation() bool {
 	if c.conn.Terminated() {
 		return false
 	}
 	var ok bool
 	switch n := c.random.IntN(10); {
 	case n == 0:
-		ok = c.setUp()
+		ok = c.changeSessionState()
 	case n <= 2:
-		ok = c.transact()
+		ok = c.transaction()
 	case n <= 4 && c.writes():
 		ok = c.write()
 	default:
@@ -146,32 +147,32 @@
 	return ok
 }
 
-// writes reports whether callers of the database write.
+// writes reports whether callers of the database write. With a freshness of MaxAge they only read.
 func (c *caller) writes() bool {
 	_, onlyReads := c.class.(freshness.MaxAge)
 	return !onlyReads
 }
 
-// setUp gives the session a value, or a prepared statement.
-func (c *caller) setUp() bool {
+// changeSessionState sets a value in the session, or prepares a statement.
+func (c *caller) changeSessionState() bool {
 	if c.random.IntN(2) == 0 {
 		value := fmt.Sprint(c.name, ".", c.serial)
-		if !c.ask("SET tz " + value).served() {
+		if !c.execute("SET tz " + value).served() {
 			return false
 		}
 		c.values["tz"] = value
 		return true
 	}
 	shape := fmt.Sprint("shape-", c.random.IntN(3))
-	if !c.ask("PREPARE s1 READ " + shape).served() {
+	if !c.execute("PREPARE s1 READ " + shape).served() {
 		return false
 	}
 	c.prepared["s1"] = shape
 	return true
 }
 
-// row is what a read must answer.
-func (c *caller) row(shape string) string {
+// expectedRow returns the row that a read must return in this session.
+func (c *caller) expectedRow(shape string) string {
 	var b strings.Builder
 	for _, name := range slices.Sorted(maps.Keys(c.values)) {
 		b.WriteString(name + "=" + c.values[name] + ";")
@@ -179,122 +180,126 @@
 	return b.String() + shape
 }
 
-// read reads an item, by a prepared statement if there is one.
+// read runs a read, in half of the cases by a prepared statement if there is one.
 func (c *caller) read() bool {
 	text, shape := "READ 1a", ""
 	if s, ok := c.prepared["s1"]; ok && c.random.IntN(2) == 0 {
 		text, shape = "EXEC s1 1a", s
 	}
-	a := c.ask(text)
-	c.run.count(a)
+	a := c.execute(text)
+	c.run.countOutcome(a)
 	if a.served() {
 		c.checkRead(a, a.began, shape)
 	}
 	return a.err == nil
 }
 
-// checkRead checks who answered a read, in whose session, and from how old a log.
+// checkRead checks that the answer belongs to the read and to this session, and that the member had applied the
+// log up to the position that the freshness class requires. began is when the read, or its transaction, began.
 func (c *caller) checkRead(a answer, began time.Time, shape string) {
 	h := c.run.site.History()
-	p, ok := parseProof(a.reply.Signature)
-	if !ok || p.request != a.id {
+	e, ok := parseSignature(a.reply.Signature)
+	if !ok || e.request != a.id {
 		h.Broken("MIXED: request %s got the answer %q", a.id, a.reply.Signature)
 		return
 	}
-	if want := c.row(shape); len(a.reply.Rows) != 1 || a.reply.Rows[0] != want {
+	if want := c.expectedRow(shape); len(a.reply.Rows) != 1 || a.reply.Rows[0] != want {
 		h.Broken("MIXED: request %s got %q, its session holds %q", a.id, a.reply.Rows, want)
 	}
-	if need := c.ledger.needs(c.class, began, c.mark); p.position.Compare(need) < 0 {
+	if required := c.ledger.requiredPosition(c.class, began, c.lastWrite); e.position.Compare(required) < 0 {
 		h.Broken("STALE: request %s (%s), begun at %s, read a log up to %s that lacks %s",
-			a.id, c.class, began.Format(time.StampMilli), p.position, need)
+			a.id, c.class, began.Format(time.StampMilli), e.position, required)
 	}
 }
 
-// write writes an item.
+// write runs a single write.
 func (c *caller) write() bool {
-	a := c.ask("WRITE 1a " + c.name)
-	c.run.count(a)
-	c.settle(a, []string{a.id})
+	a := c.execute("WRITE 1a " + c.name)
+	c.run.countOutcome(a)
+	c.recordOutcome(a, []string{a.id})
 	return a.err == nil
 }
 
-// settle notes what the caller was told of writes.
-func (c *caller) settle(a answer, writes []string) {
+// recordOutcome records in the ledger what the answer says of writes, the requests with the given identifiers. Without
+// a definite answer it records nothing.
+func (c *caller) recordOutcome(a answer, writes []string) {
 	switch {
-	case a.promised():
-		c.ledger.refused(writes)
+	case a.refused():
+		c.ledger.recordRefused(writes)
 	case a.served() && len(writes) > 0:
-		p, ok := parseProof(a.reply.Signature)
-		if !ok || p.request != a.id {
+		e, ok := parseSignature(a.reply.Signature)
+		if !ok || e.request != a.id {
 			c.run.site.History().Broken("MIXED: request %s got the answer %q", a.id, a.reply.Signature)
 			return
 		}
-		c.ledger.acked(writes, p.position)
-		if p.position.Compare(c.mark) > 0 {
-			c.mark = p.position
+		c.ledger.recordAcknowledged(writes, e.position)
+		if e.position.Compare(c.lastWrite) > 0 {
+			c.lastWrite = e.position
 		}
 	}
 }
 
-// transact runs a transaction. Some are rolled back, some are left in the middle.
-func (c *caller) transact() bool {
+// transaction runs a transaction. Some are rolled back, and some are abandoned by closing the session. It returns
+// false if the session can't be used any further.
+func (c *caller) transaction() bool {
 	begin := "BEGIN"
 	if !c.writes() {
 		begin = "BEGIN READ"
 	}
-	first := c.ask(begin)
+	first := c.execute(begin)
 	if !first.served() {
 		return first.err == nil
 	}
 	var writes []string
 	for range 1 + c.random.IntN(4) {
-		time.Sleep(jitter(c.random, restInTransaction))
-		a, ok := c.inTransaction(first.began, &writes)
+		time.Sleep(jitter(c.random, meanStatementDelay))
+		a, ok := c.transactionStatement(first.began, &writes)
 		if a.err != nil {
 			return false
 		}
 		if !ok {
-			c.run.count(a)
-			c.ledger.refusedIf(a.promised(), writes)
-			return c.ask("ROLLBACK").err == nil
+			c.run.countOutcome(a)
+			c.ledger.recordRefusedIf(a.refused(), writes)
+			return c.execute("ROLLBACK").err == nil
 		}
 	}
 	switch c.random.IntN(8) {
 	case 0:
-		return false // the caller leaves
+		return false // the caller abandons the transaction
 	case 1:
-		a := c.ask("ROLLBACK")
-		c.ledger.refusedIf(a.served(), writes)
+		a := c.execute("ROLLBACK")
+		c.ledger.recordRefusedIf(a.served(), writes)
 		return a.err == nil
 	}
-	a := c.ask("COMMIT")
-	c.run.count(a)
-	c.settle(a, writes)
+	a := c.execute("COMMIT")
+	c.run.countOutcome(a)
+	c.recordOutcome(a, writes)
 	return a.err == nil
 }
 
-// inTransaction runs one statement of a transaction.
-func (c *caller) inTransaction(began time.Time, writes *[]string) (answer, bool) {
+// transactionStatement runs a read or a write in a transaction that began at the given time, and adds the identifier
+// of a write to writes. It reports whether the statement was served.
+func (c *caller) transactionStatement(began time.Time, writes *[]string) (answer, bool) {
 	if c.writes() && c.random.IntN(3) == 0 {
-		a := c.ask("WRITE 1a " + c.name)
+		a := c.execute("WRITE 1a " + c.name)
 		*writes = append(*writes, a.id)
 		return a, a.served()
 	}
-	a := c.ask("READ 1a")
+	a := c.execute("READ 1a")
 	if a.served() {
 		c.checkRead(a, began, "")
 	}
 	return a, a.served()
 }
 
-// refusedIf notes writes that were promised not to be kept.
-func (l *ledger) refusedIf(promised bool, writes []string) {
-	if promised {
-		l.refused(writes)
+// recordRefusedIf records writes as refused if refused is true.
+func (l *ledger) recordRefusedIf(refused bool, writes []string) {
+	if refused {
+		l.recordRefused(writes)
 	}
 }
 
-// isTimeout reports whether an answer did not come in time.
+// isTimeout reports whether err is a timeout.
 func isTimeout(err error) bool {
 	var timeout interface{ Timeout() bool }
 	return errors.As(err, &timeout) && timeout.Timeout()
--- a/internal/soak/ledger.go
+++ b/internal/soak/ledger.go
@@ -12,35 +12,35 @@
 	"pearlatch/internal/site"
 )
 
-// ledger keeps what callers of one group were told: which writes were acknowledged when, and which were
-// promised not to have run.
+// ledger records the outcomes of writes to one group as its callers were told: which writes were
+// acknowledged and when, and which were refused, so that they must not have run. It is safe for concurrent use.
 type ledger struct {
 	group   *site.Group
 	history *site.History
 
 	mu sync.Mutex
-	// acks are acknowledgements in order of time, with the highest position up to each.
+	// acks holds the acknowledgements in order of time, each with the highest position acknowledged so far.
 	acks []ack
-	// acknowledged and promised hold the requests of writes.
-	acknowledged, promised map[string]bool
+	// acknowledgedWrites and refusedWrites hold the identifiers of requests.
+	acknowledgedWrites, refusedWrites map[string]bool
 }
 
-// ack says that a position was acknowledged by some time.
+// ack is the highest position that was acknowledged up to a time.
 type ack struct {
 	at      time.Time
 	highest group.Position
 }
 
 func newLedger(g *site.Group, h *site.History) *ledger {
-	return &ledger{group: g, history: h, acknowledged: map[string]bool{}, promised: map[string]bool{}}
+	return &ledger{group: g, history: h, acknowledgedWrites: map[string]bool{}, refusedWrites: map[string]bool{}}
 }
 
-// acked notes that a caller got the acknowledgement of writes at a position.
-func (l *ledger) acked(writes []string, p group.Position) {
+// recordAcknowledged records that writes were acknowledged to a caller, the last of them at position p.
+func (l *ledger) recordAcknowledged(writes []string, p group.Position) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, id := range writes {
-		l.acknowledged[id] = true
+		l.acknowledgedWrites[id] = true
 	}
 	a := ack{at: time.Now(), highest: p}
 	if n := len(l.acks); n > 0 && l.acks[n-1].highest.Compare(p) > 0 {
@@ -49,17 +49,17 @@
 	l.acks = append(l.acks, a)
 }
 
-// refused notes that a caller was promised that writes have not run.
-func (l *ledger) refused(writes []string) {
+// recordRefused records that a caller was told that writes have not run.
+func (l *ledger) recordRefused(writes []string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, id := range writes {
-		l.promised[id] = true
+		l.refusedWrites[id] = true
 	}
 }
 
-// before returns the highest position that was acknowledged before the time.
-func (l *ledger) before(at time.Time) group.Position {
+// acknowledgedBefore returns the highest position acknowledged before the given time, or the zero Position.
+func (l *ledger) acknowledgedBefore(at time.Time) group.Position {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	i, _ := slices.BinarySearchFunc(l.acks, at, func(a ack, at time.Time) int { return a.at.Compare(at) })
@@ -69,26 +69,28 @@
 	return l.acks[i-1].highest
 }
 
-// needs returns what a read must see that began at the time, in a session whose last write is at mark.
-func (l *ledger) needs(c freshness.Class, began time.Time, mark group.Position) group.Position {
-	var need group.Position
+// requiredPosition returns the lowest position that a read may have seen if it began at the given time, in a session
+// whose last write is at lastWrite.
+func (l *ledger) requiredPosition(c freshness.Class, began time.Time, lastWrite group.Position) group.Position {
+	var required group.Position
 	switch c := c.(type) {
 	case freshness.Latest:
-		return l.before(began)
+		return l.acknowledgedBefore(began)
 	case freshness.MaxAge:
-		need = l.before(began.Add(-c.Age))
+		required = l.acknowledgedBefore(began.Add(-c.Age))
 	}
-	if mark.Compare(need) > 0 {
-		need = mark
+	if lastWrite.Compare(required) > 0 {
+		required = lastWrite
 	}
-	return need
+	return required
 }
 
-// settle compares what callers were told with the log of the group's primary at the end.
-func (l *ledger) settle(committed map[string]int) {
+// checkLog compares the recorded outcomes with the log of the group's primary at the end. committed counts how often
+// each write is in the log.
+func (l *ledger) checkLog(committed map[string]int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for id := range l.acknowledged {
+	for id := range l.acknowledgedWrites {
 		if committed[id] == 0 {
 			l.history.Broken("LOST: write %s of group %s was acknowledged and is not in its log", id, l.group.Name())
 		}
@@ -97,28 +99,30 @@
 		if n > 1 {
 			l.history.Broken("TWICE: write %s of group %s took effect %d times", id, l.group.Name(), n)
 		}
-		if l.promised[id] {
+		if l.refusedWrites[id] {
 			l.history.Broken("REFUSED: write %s of group %s was promised not to have run, and is in its log", id, l.group.Name())
 		}
 	}
 }
 
-// proof is what a member says of a statement that it ran.
-type proof struct {
+// execution is a member's proof that it ran a statement: the request, and the position that the statement saw or
+// wrote.
+type execution struct {
 	request  string
 	position group.Position
 }
 
-// parseProof reads a member's signature.
-func parseProof(signature string) (proof, bool) {
-	f := strings.Split(signature, "/")
-	if len(f) != 4 {
-		return proof{}, false
+// parseSignature parses the signature that a member adds to its answers. It returns false if the signature is
+// malformed.
+func parseSignature(signature string) (execution, bool) {
+	fields := strings.Split(signature, "/")
+	if len(fields) != 4 {
+		return execution{}, false
 	}
-	term, err1 := strconv.ParseUint(f[2], 10, 64)
-	lsn, err2 := strconv.ParseUint(f[3], 10, 64)
-	if err1 != nil || err2 != nil {
-		return proof{}, false
+	term, termErr := strconv.ParseUint(fields[2], 10, 64)
+	lsn, lsnErr := strconv.ParseUint(fields[3], 10, 64)
+	if termErr != nil || lsnErr != nil {
+		return execution{}, false
 	}
-	return proof{f[0], group.Position{Term: group.Term(term), LSN: group.LSN(lsn)}}, true
+	return execution{fields[0], group.Position{Term: group.Term(term), LSN: group.LSN(lsn)}}, true
 }
--- a/internal/soak/serve.go
+++ b/internal/soak/serve.go
@@ -10,45 +10,46 @@
 	"pearlatch/internal/site"
 )
 
-// Progress tells how a site fares.
+// Progress is a periodic report of a running site.
 type Progress struct {
-	// Elapsed is since callers began.
+	// Elapsed is the time since callers started.
 	Elapsed time.Duration
-	// Served, Refused and Unknown count operations since the last report.
+	// Served, Refused and Unknown count the operations since the last report, as in Report.
 	Served, Refused, Unknown int64
-	// Primaries are the members that lead, by group, or empty strings.
+	// Primaries holds the primary of each group, in the order of the groups; empty if there is none.
 	Primaries []string
-	// Findings are the broken promises so far.
+	// Findings are the violated guarantees since the start.
 	Findings []string
 }
 
-// progressPause is the pause between two reports.
-const progressPause = time.Second
+// progressInterval is the pause between two progress reports.
+const progressInterval = time.Second
 
-// Serve runs a site with a load, and its faults, until ctx ends. It reports how the site fares.
+// Serve runs a site with its load and its faults until ctx ends, and calls report every second. It returns an error
+// if the site or its hosts don't start.
 func Serve(ctx context.Context, p *Plan, report func(Progress)) error {
 	s, err := site.Start(p.Options.Site)
 	if err != nil {
-		return errors.Wrap(err, "start the model")
+		return errors.Wrap(err, "start site model")
 	}
 	defer s.Close()
-	r := &run{options: p.Options, site: s, rotation: newRotation(s)}
-	r.layOut()
+	r := &run{options: p.Options, site: s, balancer: newBalancer(s)}
+	r.createDatabases()
 	if err := r.startHosts(); err != nil {
 		return err
 	}
 	defer r.finish()
-	if !r.await(ctx, startTime) {
-		return errors.New("the hosts did not come to serve")
+	if !r.awaitServing(ctx, startTimeout) {
+		return errors.New("not every host served every database after the start")
 	}
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		r.playUntil(ctx, p.Seed, p.Faults)
+		r.playUntilDone(ctx, p.Seed, p.Faults)
 	}()
 	started := time.Now()
 	var before Progress
-	for pause.For(ctx, progressPause) {
+	for pause.For(ctx, progressInterval) {
 		now := Progress{
 			Elapsed: time.Since(started), Served: r.served.Load(), Refused: r.refused.Load(), Unknown: r.unknown.Load(),
 			Findings: s.History().Findings(),
@@ -56,20 +57,20 @@
 		for _, g := range s.Groups() {
 			now.Primaries = append(now.Primaries, g.Leader())
 		}
-		told := now
-		told.Served, told.Refused, told.Unknown = now.Served-before.Served, now.Refused-before.Refused, now.Unknown-before.Unknown
+		delta := now
+		delta.Served, delta.Refused, delta.Unknown = now.Served-before.Served, now.Refused-before.Refused, now.Unknown-before.Unknown
 		before = now
-		report(told)
+		report(delta)
 	}
 	<-done
 	return nil
 }
 
-// playUntil plays callers and faults until ctx ends.
-func (r *run) playUntil(ctx context.Context, seed uint64, faults []Fault) {
-	callers := r.work(ctx, seed)
+// playUntilDone runs callers and injects the faults until ctx ends.
+func (r *run) playUntilDone(ctx context.Context, seed uint64, faults []Fault) {
+	callers := r.startCallers(ctx, seed)
 	for _, f := range faults {
-		callers.Go(func() { r.inflict(ctx, f) })
+		callers.Go(func() { r.inject(ctx, f) })
 	}
 	callers.Wait()
 }
