--- a/internal/follow/feeder.go
+++ b/internal/follow/feeder.go
@@ -90,7 +90,7 @@
 }
 
 // errTooManyFeeds ends the feed of a host that is redirected to other hosts.
-var errTooManyFeeds = errors.New("updates are forwarded to too many hosts")
+var errTooManyFeeds = errors.New("news are passed on to too many hosts")
 
 // redirect names other hosts from which the receiver can get updates, if any are known.
 func (f *Feeder) redirect(send func(StoreUpdate) error) error {
@@ -107,4 +107,4 @@
 }
 
 // errNoUpdates means that a host has no view of the store yet, or is shutting down.
-var errNoUpdates = errors.New("no updates to forward")
+var errNoUpdates = errors.New("no news to pass on")
--- a/internal/follow/update.go
+++ b/internal/follow/update.go
@@ -44,4 +44,4 @@
 }
 
 // ErrCompacted means that the store no longer keeps the requested changes.
-var ErrCompacted = errors.New("the requested history is no longer kept")
+var ErrCompacted = errors.New("the history asked for is no longer kept")
--- a/internal/gateway/ports.go
+++ b/internal/gateway/ports.go
@@ -144,7 +144,7 @@
 // Promoter requests promotions from the platform.
 type Promoter interface {
 	// Promote makes a member the primary of its group. holder is the host that requests it, and token its fencing token.
-	// ErrFenced means that a higher token was used before. After any other error the promotion may or may not take place, even
+	// ErrPromotionRefused means that a higher token was used before. After any other error the promotion may or may not take place, even
 	// seconds later.
 	Promote(ctx context.Context, holder string, token int64, groupName, memberID string) error
 	// RaiseToken makes the platform reject promotions of the group with older tokens and has no other effect. It is used if the
--- a/io/peer/news_messages.go
+++ b/io/peer/news_messages.go
@@ -29,7 +29,7 @@
 	return false
 }
 
-// newsMessage is follow.News on the wire.
+// newsMessage is follow.StoreUpdate on the wire.
 type newsMessage struct {
 	follow.StoreUpdate
 	compressor *compressor
--- a/io/peer/quota_messages.go
+++ b/io/peer/quota_messages.go
@@ -165,7 +165,7 @@
 	return false
 }
 
-// tellRequest is a quotas.TellRequest on the wire.
+// tellRequest is a quotas.ReportRequest on the wire.
 type tellRequest quotas.ReportRequest
 
 func (m *tellRequest) fields(w *fieldWriter) {
@@ -213,7 +213,7 @@
 	return false
 }
 
-// tellReply is a quotas.TellReply on the wire.
+// tellReply is a quotas.ReportResponse on the wire.
 type tellReply quotas.ReportResponse
 
 func (m *tellReply) fields(w *fieldWriter) {
