--- a/io/peer/quota_messages.go
+++ b/io/peer/quota_messages.go
@@ -135,7 +135,7 @@
 	return false
 }
 
-// quotaReply is a quotas.Reply on the wire.
+// quotaReply is a quotas.Response on the wire.
 type quotaReply quotas.Response
 
 func (m *quotaReply) fields(w *fieldWriter) {
